--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -46,7 +46,7 @@
 	servers  *membership.Servers
 	follower *replica.Follower
 	loop     *control.Loop
-	book     *once.Book
+	book     *once.Claims
 	observer *control.Observer
 
 	stopOnce sync.Once
@@ -99,7 +99,7 @@
 func (e *Entry) assemble() {
 	s := e.settings
 	e.book = once.New(e.platform, s.Name)
-	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithBook(e.book)}
+	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithClaims(e.book)}
 	probes := []membership.ServersOption{
 		membership.WithProbeInterval(ms(s.Gateway.ProbeIntervalMs)),
 		membership.WithOnList(e.newList),
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// trace follows which connection an attempt uses.
-type trace struct {
+// connTrace follows which connection an attempt uses.
+type connTrace struct {
 	mu     sync.Mutex
 	conn   *sealedConn
-	before int64 // bytes written on it before the attempt
+	writtenBefore int64 // bytes written on it before the attempt
 }
 
-func (t *trace) gotConn(info httptrace.GotConnInfo) {
+func (t *connTrace) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if c, ok := info.Conn.(*sealedConn); ok {
 		t.conn = c
-		t.before = c.count()
+		t.writtenBefore = c.bytesWritten()
 	}
 }
 
-// giveUp seals the connection and tells whether any byte of the request was written.
-func (t *trace) giveUp() Outcome {
+// abort seals the connection and tells whether any byte of the request was written.
+func (t *connTrace) abort() Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.conn == nil || t.conn.seal() == t.before {
+	if t.conn == nil || t.conn.seal() == t.writtenBefore {
 		return OutcomeNotRun
 	}
 	return OutcomeUnknown
@@ -42,68 +42,68 @@
 	x      *exchange
 	server *Server
 	cancel context.CancelCauseFunc
-	trace  trace
+	trace  connTrace
 	resp   *http.Response
-	first  *[]byte // the first part of the answer, of n bytes
-	n      int
-	whole  bool // there is no more
+	prefix  *[]byte // the first part of the answer, of n bytes
+	prefixLen      int
+	complete  bool // there is no more
 	err    error
 }
 
-// errLost ends an attempt when another one has answered.
-var errLost = errors.New("another attempt has answered")
+// errSuperseded ends an attempt when another one has answered.
+var errSuperseded = errors.New("another attempt has answered")
 
-// begin makes an attempt at a claimed server; ctx outlives it.
-func (x *exchange) begin(ctx context.Context, server *Server) (a *attempt, run func()) {
+// newAttempt makes an attempt at a claimed server; ctx outlives it.
+func (x *exchange) newAttempt(ctx context.Context, server *Server) (a *attempt, run func()) {
 	x.attempts++
 	x.tried = append(x.tried, server)
 	ctx, cancel := context.WithCancelCause(ctx)
 	a = &attempt{x: x, server: server, cancel: cancel}
-	req, err := x.outgoing(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.trace.gotConn}), server)
+	req, err := x.newBackendRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: a.trace.gotConn}), server)
 	if err != nil {
 		a.err = err
 		return a, func() {}
 	}
-	return a, func() { a.exchange(ctx, req) }
+	return a, func() { a.roundTrip(ctx, req) }
 }
 
-// exchange sends the request and takes the first part of the answer.
-func (a *attempt) exchange(ctx context.Context, req *http.Request) {
+// roundTrip sends the request and takes the first part of the answer.
+func (a *attempt) roundTrip(ctx context.Context, req *http.Request) {
 	began := time.Now()
-	if a.x.streams() {
+	if a.x.isStreaming() {
 		timer := time.AfterFunc(a.x.deadline(), func() { a.cancel(context.DeadlineExceeded) })
 		defer timer.Stop()
 	}
 	a.resp, a.err = a.server.transport.RoundTrip(req)
-	if a.err == nil && !a.x.streams() {
-		a.readFirst()
+	if a.err == nil && !a.x.isStreaming() {
+		a.readPrefix()
 	}
 	if a.err != nil {
-		a.broken(ctx)
+		a.classifyFailure(ctx)
 		return
 	}
-	a.answered(time.Since(began))
+	a.recordResponse(time.Since(began))
 }
 
-// readFirst reads the first part of the answer.
-func (a *attempt) readFirst() {
-	a.first = copyBuffers.Get().(*[]byte)
+// readPrefix reads the first part of the answer.
+func (a *attempt) readPrefix() {
+	a.prefix = bufferPool.Get().(*[]byte)
 	var err error
-	a.n, err = fill(a.resp.Body, *a.first)
-	a.whole = errors.Is(err, io.EOF)
-	if err != nil && !a.whole {
-		a.err = errBadAnswer{cause: err}
+	a.prefixLen, err = readFull(a.resp.Body, *a.prefix)
+	a.complete = errors.Is(err, io.EOF)
+	if err != nil && !a.complete {
+		a.err = errTruncatedResponse{cause: err}
 	}
 }
 
-// errBadAnswer is an answer that broke off in its first part.
-type errBadAnswer struct{ cause error }
+// errTruncatedResponse is an answer that broke off in its first part.
+type errTruncatedResponse struct{ cause error }
 
 // Error gives the cause.
-func (e errBadAnswer) Error() string { return "the answer broke off: " + e.cause.Error() }
+func (e errTruncatedResponse) Error() string { return "the answer broke off: " + e.cause.Error() }
 
-// unwell tells that the answer is the server's own word that it cannot serve now.
-func (a *attempt) unwell() bool {
+// isUnavailable tells that the answer is the server's own word that it cannot serve now.
+func (a *attempt) isUnavailable() bool {
 	switch a.resp.StatusCode {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return true
@@ -111,39 +111,39 @@
 	return false
 }
 
-// answered takes what the answer tells of the server.
-func (a *attempt) answered(took time.Duration) {
-	if a.unwell() {
-		a.fail()
+// recordResponse takes what the answer tells of the server.
+func (a *attempt) recordResponse(took time.Duration) {
+	if a.isUnavailable() {
+		a.recordFailure()
 		return
 	}
-	a.server.succeed()
-	if a.x.streams() {
+	a.server.recordSuccess()
+	if a.x.isStreaming() {
 		return // a lesson's length tells nothing of the server
 	}
 	a.server.observe(took)
-	a.x.route.late.Observe(took)
+	a.x.route.hedgeDelay.Observe(took)
 	if a.server.limit != nil {
 		now := time.Now()
-		a.server.limit.Answered(a.x.route.baseline.Observe(took, now), a.server.inFlight.Load(), now)
+		a.server.limit.ObserveResponse(a.x.route.baseline.Observe(took, now), a.server.inFlight.Load(), now)
 	}
 }
 
-// fail notes that the server failed; without limits, as in the baseline, nothing follows.
-func (a *attempt) fail() {
+// recordFailure notes that the server failed; without limits, as in the baseline, nothing follows.
+func (a *attempt) recordFailure() {
 	if a.x.g.settings.Limits {
-		a.server.fail(a.x.route.service.mayEject)
+		a.server.recordFailure(a.x.route.service.mayEject)
 	}
 }
 
-// broken sorts the failure of an attempt that got no answer.
-func (a *attempt) broken(ctx context.Context) {
+// classifyFailure sorts the failure of an attempt that got no answer.
+func (a *attempt) classifyFailure(ctx context.Context) {
 	cause := a.err
-	outcome := a.trace.giveUp()
+	outcome := a.trace.abort()
 	failure := ErrRequest{Status: http.StatusBadGateway, Outcome: outcome, Reason: ReasonBroken, Detail: "the exchange with the backend server broke: " + cause.Error()}
 	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.Is(context.Cause(ctx), errLost):
+	case errors.Is(context.Cause(ctx), errSuperseded):
 		a.err = failure
 		return
 	case errors.As(cause, &tooLarge):
@@ -155,21 +155,21 @@
 		failure.Status, failure.Reason = http.StatusGatewayTimeout, ReasonDeadline
 		failure.Detail = "no answer within the deadline"
 		if a.server.limit != nil {
-			a.server.limit.Overdue(time.Now())
+			a.server.limit.ObserveTimeout(time.Now())
 		}
 	case a.x.r.Context().Err() != nil && ctx.Err() != nil:
 		failure.Reason, failure.Detail = ReasonCallerGone, "the caller went away"
 		a.err = failure
 		return
-	case errors.As(cause, new(errBadAnswer)):
+	case errors.As(cause, new(errTruncatedResponse)):
 		failure.Reason = ReasonBadAnswer
 	case a.trace.conn == nil:
 		failure.Reason, failure.Detail = ReasonConnect, "no connection to the backend server: "+cause.Error()
-		a.server.failures.Add(failuresToClose) // no second sign is needed
+		a.server.failures.Add(failuresToEject) // no second sign is needed
 	}
-	a.fail()
+	a.recordFailure()
 	if outcome == OutcomeNotRun {
-		failure = failure.comeBack(comeBackSoon)
+		failure = failure.withRetryAfter(defaultRetryAfter)
 	}
 	a.err = failure
 }
@@ -180,22 +180,22 @@
 	if a.resp != nil {
 		_ = a.resp.Body.Close()
 	}
-	if a.first != nil {
-		copyBuffers.Put(a.first)
-		a.first = nil
+	if a.prefix != nil {
+		bufferPool.Put(a.prefix)
+		a.prefix = nil
 	}
 	a.server.release()
-	a.x.route.service.queue.Free()
+	a.x.route.service.queue.Notify()
 }
 
-// race makes an attempt and, when the answer of a request that may be repeated
+// attemptWithHedge makes an attempt and, when the answer of a request that may be repeated
 // is late, another at a second server; it returns the first that is answered.
-func (x *exchange) race(ctx context.Context, server *Server) *attempt {
-	a, run := x.begin(ctx, server)
-	late, known := x.route.late.Value()
-	if !known || !x.g.settings.Hedging || !x.repeatable() {
+func (x *exchange) attemptWithHedge(ctx context.Context, server *Server) *attempt {
+	a, run := x.newAttempt(ctx, server)
+	late, known := x.route.hedgeDelay.Value()
+	if !known || !x.g.settings.Hedging || !x.isRetrySafe() {
 		run()
-		return x.settle(a)
+		return x.recordOutcome(a)
 	}
 	done := make(chan *attempt, 2)
 	go func() { run(); done <- a }()
@@ -203,12 +203,12 @@
 	defer timer.Stop()
 	select {
 	case first := <-done:
-		return x.settle(first)
+		return x.recordOutcome(first)
 	case <-timer.C:
 	}
 	b, ok := x.hedge(ctx, done)
 	if !ok {
-		return x.settle(<-done)
+		return x.recordOutcome(<-done)
 	}
 	winner := <-done
 	loser := a
@@ -216,35 +216,35 @@
 		loser = b
 	}
 	if winner.err != nil { // the other may still answer
-		x.settle(winner)
+		x.recordOutcome(winner)
 		winner, loser = <-done, winner
 		loser.close()
-		return x.settle(winner)
+		return x.recordOutcome(winner)
 	}
-	loser.cancel(errLost)
+	loser.cancel(errSuperseded)
 	go func() { (<-done).close() }()
-	return x.settle(winner)
+	return x.recordOutcome(winner)
 }
 
 // hedge begins a second attempt, within the budget.
 func (x *exchange) hedge(ctx context.Context, done chan<- *attempt) (b *attempt, ok bool) {
-	if x.attempts >= maxAttempts || !x.route.service.hedges.Spend() {
+	if x.attempts >= maxAttempts || !x.route.service.hedges.TryWithdraw() {
 		return nil, false
 	}
-	server, ok := x.pick()
+	server, ok := x.claimServer()
 	if !ok {
 		return nil, false
 	}
-	b, run := x.begin(ctx, server)
+	b, run := x.newAttempt(ctx, server)
 	go func() { run(); done <- b }()
 	return b, true
 }
 
-// settle notes what the attempt means for the outcome of the request.
-func (x *exchange) settle(a *attempt) *attempt {
+// recordOutcome notes what the attempt means for the outcome of the request.
+func (x *exchange) recordOutcome(a *attempt) *attempt {
 	var failure ErrRequest
 	if errors.As(a.err, &failure) && failure.Outcome != OutcomeNotRun {
-		x.handed = true
+		x.mayHaveRun = true
 	}
 	return a
 }
@@ -255,12 +255,12 @@
 	if a.resp.StatusCode == http.StatusSwitchingProtocols {
 		return x.relayUpgrade(a.resp)
 	}
-	x.keep(a)
+	x.saveResponse(a)
 	return x.relay(a)
 }
 
-// outgoing makes the request to a backend server.
-func (x *exchange) outgoing(ctx context.Context, server *Server) (req *http.Request, err error) {
+// newBackendRequest makes the request to a backend server.
+func (x *exchange) newBackendRequest(ctx context.Context, server *Server) (req *http.Request, err error) {
 	u := *x.r.URL
 	u.Scheme = "http"
 	u.Host = server.Address
@@ -269,13 +269,13 @@
 		Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Body: x.requestBody(), ContentLength: x.r.ContentLength,
 	}).WithContext(ctx)
-	passOn(req.Header, x.r.Header)
-	addForwarded(req.Header, x.r.RemoteAddr)
+	copyHeaders(req.Header, x.r.Header)
+	addForwardedFor(req.Header, x.r.RemoteAddr)
 	req.Header.Set(HeaderRequestID, x.id)
 	if _, ok := req.Header["User-Agent"]; !ok {
 		req.Header["User-Agent"] = nil // net/http adds its own otherwise
 	}
-	if up := upgradeOf(x.r.Header); up != "" && x.streams() {
+	if up := upgradeProtocol(x.r.Header); up != "" && x.isStreaming() {
 		req.Header.Set("Connection", "Upgrade")
 		req.Header.Set("Upgrade", up)
 	}
--- a/pkg/gateway/balance/balance.go
+++ b/pkg/gateway/balance/balance.go
@@ -52,8 +52,8 @@
 // of Two Choices in Randomized Load Balancing", 2001).
 type PowerOfTwo[T Target] struct{}
 
-// draws is how often an unusable draw is repeated before all targets are gone through.
-const draws = 4
+// maxDraws is how often an unusable draw is repeated before all targets are gone through.
+const maxDraws = 4
 
 // Pick implements Policy.
 func (PowerOfTwo[T]) Pick(targets []T, skip func(T) bool) (target T, ok bool) {
@@ -75,7 +75,7 @@
 // draw returns a random usable target, starting from a first guess.
 func draw[T Target](targets []T, first int, skip func(T) bool) (target T, ok bool) {
 	at := first
-	for range draws {
+	for range maxDraws {
 		if t := targets[at]; t.Usable() && !skip(t) {
 			return t, true
 		}
--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -46,7 +46,7 @@
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = q.Take(ctx, schema.ClassInteractive, func() bool { return true })
+		_ = q.Acquire(ctx, schema.ClassInteractive, func() bool { return true })
 	}
 }
 
@@ -56,7 +56,7 @@
 	defer backend.Close()
 	for _, routes := range []int{1, 100} {
 		g := gateway.New("e", "z", schema.GatewaySettings{BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true})
-		snap := rows(1, strings.TrimPrefix(backend.URL, "http://"))
+		snap := testTable(1, strings.TrimPrefix(backend.URL, "http://"))
 		for i := range routes {
 			row := snap.Routes["safe"]
 			row.Value.PathPrefix = fmt.Sprintf("/other-%d", i)
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -19,13 +19,13 @@
 
 const maxKeyLen = 256
 
-// keyed tells that the request carries a key which the route heeds.
-func (x *exchange) keyed() bool {
-	return x.g.book != nil && x.route.Repeat == schema.RepeatOnce && x.r.Header.Get(HeaderKey) != ""
+// hasKey tells that the request carries a key which the route heeds.
+func (x *exchange) hasKey() bool {
+	return x.g.claims != nil && x.route.Repeat == schema.RepeatOnce && x.r.Header.Get(HeaderKey) != ""
 }
 
-// claim claims the request's key; done tells that the first answer was given again.
-func (x *exchange) claim(ctx context.Context) (done bool, err error) {
+// claimKey claims the request's key; done tells that the first answer was given again.
+func (x *exchange) claimKey(ctx context.Context) (done bool, err error) {
 	key := x.r.Header.Get(HeaderKey)
 	switch {
 	case len(key) > maxKeyLen:
@@ -33,7 +33,7 @@
 	case !x.buffered:
 		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with a key needs a body of known length that the entry can read whole")
 	}
-	t, first, err := x.g.book.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
+	t, first, err := x.g.claims.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
 	switch {
 	case err != nil:
 		return false, claimError(err)
@@ -41,27 +41,27 @@
 		x.replay(first)
 		return true, nil
 	}
-	x.ticket = t
+	x.claim = t
 	return false, nil
 }
 
 // claimError tells the caller why a key was not claimed.
 func claimError(err error) error {
 	switch {
-	case errors.As(err, new(once.ErrOtherBody)):
+	case errors.As(err, new(once.ErrBodyMismatch)):
 		return notRun(http.StatusUnprocessableEntity, ReasonKeyBody, err.Error())
-	case errors.As(err, new(once.ErrTaken)):
+	case errors.As(err, new(once.ErrClaimed)):
 		return ErrRequest{Status: http.StatusConflict, Outcome: OutcomeUnknown, Reason: ReasonKeyTaken, Detail: err.Error()}
 	}
-	return notRun(http.StatusServiceUnavailable, ReasonNoClaim, err.Error()).comeBack(comeBackSoon)
+	return notRun(http.StatusServiceUnavailable, ReasonNoClaim, err.Error()).withRetryAfter(defaultRetryAfter)
 }
 
-// truthfulOfKey takes earlier requests with the same key into account: a
+// adjustKeyedOutcome takes earlier requests with the same key into account: a
 // repetition that was refused before its key was claimed did not run itself,
 // but one before it may have, and its caller asks about them all.
-func (x *exchange) truthfulOfKey(err error) error {
+func (x *exchange) adjustKeyedOutcome(err error) error {
 	var failure ErrRequest
-	if x.route == nil || !x.keyed() || x.ticket != nil || !errors.As(err, &failure) {
+	if x.route == nil || !x.hasKey() || x.claim != nil || !errors.As(err, &failure) {
 		return err
 	}
 	if failure.Outcome == OutcomeNotRun && failure.Reason != ReasonKeyBody {
@@ -72,7 +72,7 @@
 }
 
 // replay gives the first answer again.
-func (x *exchange) replay(a *once.Answer) {
+func (x *exchange) replay(a *once.Response) {
 	h := x.w.Header()
 	maps.Copy(h, a.Header)
 	h.Set(HeaderOutcome, string(OutcomeRan))
@@ -81,25 +81,25 @@
 	_, _ = x.w.Write(a.Body) // a caller that is gone needs no answer
 }
 
-// settleClaim ends the claim by what became of the request.
-func (x *exchange) settleClaim(err error) {
-	if x.ticket == nil {
+// finishClaim ends the claim by what became of the request.
+func (x *exchange) finishClaim(err error) {
+	if x.claim == nil {
 		return
 	}
 	if err != nil && asErrRequest(err).Outcome == OutcomeNotRun {
-		x.g.book.GiveBack(x.ticket)
+		x.g.claims.Release(x.claim)
 		return
 	}
-	x.g.book.Finish(x.ticket, x.kept)
+	x.g.claims.Finish(x.claim, x.savedResponse)
 }
 
-// keep holds a whole answer for repetitions.
-func (x *exchange) keep(a *attempt) {
-	if x.ticket == nil || !a.whole {
+// saveResponse holds a whole answer for repetitions.
+func (x *exchange) saveResponse(a *attempt) {
+	if x.claim == nil || !a.complete {
 		return
 	}
 	header := http.Header{}
-	passOn(header, a.resp.Header)
+	copyHeaders(header, a.resp.Header)
 	header.Set(HeaderServer, a.server.Name)
-	x.kept = &once.Answer{Status: a.resp.StatusCode, Header: header, Body: slices.Clone((*a.first)[:a.n])}
+	x.savedResponse = &once.Response{Status: a.resp.StatusCode, Header: header, Body: slices.Clone((*a.prefix)[:a.prefixLen])}
 }
--- a/pkg/gateway/conn.go
+++ b/pkg/gateway/conn.go
@@ -17,7 +17,7 @@
 	dialTimeout     = 500 * time.Millisecond
 	idleConnTimeout = 30 * time.Second
 	maxIdlePerHost  = 64
-	maxAnswerHeader = 64 << 10
+	maxResponseHeaderBytes = 64 << 10
 	keepAlivePeriod = 15 * time.Second
 )
 
@@ -47,8 +47,8 @@
 	return min(n, len(p)), err
 }
 
-// count returns the bytes written so far.
-func (c *sealedConn) count() int64 {
+// bytesWritten returns the bytes written so far.
+func (c *sealedConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
@@ -79,8 +79,8 @@
 			DisableCompression:     true,
 			MaxIdleConnsPerHost:    maxIdlePerHost,
 			IdleConnTimeout:        idleConnTimeout,
-			MaxResponseHeaderBytes: maxAnswerHeader,
-			Protocols:              onlyHTTP1(),
+			MaxResponseHeaderBytes: maxResponseHeaderBytes,
+			Protocols:              http1Only(),
 		},
 	}
 	if g.settings.Limits {
@@ -89,13 +89,13 @@
 	return s
 }
 
-// dialPlain opens a TCP connection.
-func dialPlain(ctx context.Context, network, addr string) (net.Conn, error) {
+// dialTCP opens a TCP connection.
+func dialTCP(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}
 	return d.DialContext(ctx, network, addr)
 }
 
-func onlyHTTP1() *http.Protocols {
+func http1Only() *http.Protocols {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	return p
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -18,10 +18,10 @@
 const (
 	// maxAttempts bounds the servers that one request is tried at.
 	maxAttempts = 3
-	// answerGrace is what a caller may take to read an answer beyond the deadline.
-	answerGrace = 10 * time.Second
-	// comeBackSoon is the advice to callers of a busy or short-handed service.
-	comeBackSoon = time.Second
+	// responseGrace is what a caller may take to read an answer beyond the deadline.
+	responseGrace = 10 * time.Second
+	// defaultRetryAfter is the advice to callers of a busy or short-handed service.
+	defaultRetryAfter = time.Second
 )
 
 // exchange is one caller's request and its answer.
@@ -30,18 +30,18 @@
 	w     http.ResponseWriter
 	r     *http.Request
 	view  *view
-	began time.Time
+	start time.Time
 	id    string
 	route *route
 
 	body     []byte // the request's body when it was read whole
 	buffered bool   // body holds all of it
-	held     int64  // bytes of the body counted against the memory of all
+	reservedBytes     int64  // bytes of the body counted against the memory of all
 	tried    []*Server
-	handed   bool // some attempt's outcome is unknown: the request can no longer be called not run
+	mayHaveRun   bool // some attempt's outcome is unknown: the request can no longer be called not run
 	attempts int
-	ticket   *once.Ticket // of the request's key
-	kept     *once.Answer // for repetitions of the key
+	claim   *once.Claim // of the request's key
+	savedResponse     *once.Response // for repetitions of the key
 }
 
 // serve takes the request through admission, attempts and the answer.
@@ -50,14 +50,14 @@
 	if err == nil {
 		err = x.run()
 	}
-	err = x.truthfulOfKey(err)
-	x.settleClaim(err)
-	x.g.bodies.Release(x.held)
+	err = x.adjustKeyedOutcome(err)
+	x.finishClaim(err)
+	x.g.bodyMemory.Release(x.reservedBytes)
 	x.finish(err)
 }
 
-// ownHeaders sets what every answer carries.
-func (x *exchange) ownHeaders(h http.Header) {
+// setGatewayHeaders sets what every answer carries.
+func (x *exchange) setGatewayHeaders(h http.Header) {
 	h.Set(HeaderRequestID, x.id)
 	h.Set(HeaderEntry, x.g.name)
 	h.Set(HeaderRevision, strconv.Itoa(x.view.revision))
@@ -72,7 +72,7 @@
 	if x.route != nil {
 		name, class = x.route.name, string(x.route.Class)
 	}
-	elapsed := time.Since(x.began)
+	elapsed := time.Since(x.start)
 	x.g.metrics.seconds.WithLabelValues(class).Observe(elapsed.Seconds())
 	if x.attempts > 1 {
 		x.g.metrics.retries.WithLabelValues(name).Add(float64(x.attempts - 1))
@@ -88,10 +88,10 @@
 		Str("detail", failure.Detail).Int("attempts", x.attempts).
 		Int64("elapsed_us", elapsed.Microseconds()).Send()
 	x.g.failures.add(x.id, Failure{
-		At: x.began, Route: name, Outcome: failure.Outcome, Reason: failure.Reason, Detail: failure.Detail,
+		At: x.start, Route: name, Outcome: failure.Outcome, Reason: failure.Reason, Detail: failure.Detail,
 		Attempts: x.attempts, Servers: x.triedNames(), Took: elapsed,
 	})
-	var broken errAnswerBroken
+	var broken errResponseBroken
 	if errors.As(err, &broken) {
 		panic(http.ErrAbortHandler) // the answer has begun: break the connection rather than end it as if whole
 	}
@@ -111,15 +111,15 @@
 	return names
 }
 
-// errAnswerBroken is an answer that broke off after the caller had been sent a part of it.
-type errAnswerBroken struct{ cause ErrRequest }
+// errResponseBroken is an answer that broke off after the caller had been sent a part of it.
+type errResponseBroken struct{ cause ErrRequest }
 
 // Error gives the cause.
-func (e errAnswerBroken) Error() string { return e.cause.Error() }
+func (e errResponseBroken) Error() string { return e.cause.Error() }
 
 func asErrRequest(err error) ErrRequest {
 	var failure ErrRequest
-	var broken errAnswerBroken
+	var broken errResponseBroken
 	switch {
 	case errors.As(err, &failure):
 		return failure
@@ -132,7 +132,7 @@
 // admit decides whether the request is taken at all; nothing has been handed on when it fails.
 func (x *exchange) admit() error {
 	if !x.g.ready.Load() {
-		return notRun(http.StatusServiceUnavailable, ReasonStarting, "this entry is starting").comeBack(comeBackSoon)
+		return notRun(http.StatusServiceUnavailable, ReasonStarting, "this entry is starting").withRetryAfter(defaultRetryAfter)
 	}
 	x.route = x.view.match(x.r.Method, x.r.URL.Path)
 	if x.route == nil {
@@ -142,10 +142,10 @@
 		return err
 	}
 	rc := http.NewResponseController(x.w)
-	if x.streams() {
+	if x.isStreaming() {
 		_ = rc.EnableFullDuplex() // without it an answer ends the reading of the body
 	} else {
-		_ = rc.SetWriteDeadline(x.began.Add(x.deadline() + answerGrace)) // a caller that does not read holds nothing for ever
+		_ = rc.SetWriteDeadline(x.start.Add(x.deadline() + responseGrace)) // a caller that does not read holds nothing for ever
 	}
 	limit := int64(x.route.MaxBodyBytes)
 	if limit > 0 && x.r.ContentLength > limit {
@@ -164,12 +164,12 @@
 	if err != nil {
 		host = x.r.RemoteAddr
 	}
-	if !x.g.callers.Allow(host, x.g.settings.CallerRequestsPerS, x.began) {
-		return notRun(http.StatusTooManyRequests, ReasonRate, "the caller sends more requests a second than it may").comeBack(comeBackSoon)
+	if !x.g.callerRates.Allow(host, x.g.settings.CallerRequestsPerS, x.start) {
+		return notRun(http.StatusTooManyRequests, ReasonRate, "the caller sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
 	}
 	team := x.r.Header.Get(HeaderTeam)
-	if team != "" && !x.g.teams.Allow(team, x.view.teams[team], x.began) {
-		return notRun(http.StatusTooManyRequests, ReasonRate, "the team sends more requests a second than it may").comeBack(comeBackSoon)
+	if team != "" && !x.g.teamRates.Allow(team, x.view.teams[team], x.start) {
+		return notRun(http.StatusTooManyRequests, ReasonRate, "the team sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
 	}
 	return nil
 }
@@ -181,16 +181,16 @@
 		x.buffered = true
 		return nil
 	}
-	if n < 0 || n > int64(x.g.settings.BufferBodyBytes) || x.streams() {
+	if n < 0 || n > int64(x.g.settings.BufferBodyBytes) || x.isStreaming() {
 		return nil
 	}
-	if !x.g.bodies.TryAcquire(n) {
-		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the memory for request bodies is used up").comeBack(comeBackSoon)
+	if !x.g.bodyMemory.TryAcquire(n) {
+		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the memory for request bodies is used up").withRetryAfter(defaultRetryAfter)
 	}
-	x.held = n
+	x.reservedBytes = n
 	x.body = make([]byte, n)
 	if t := x.g.settings.BodyTimeoutMs; t > 0 {
-		_ = rc.SetReadDeadline(x.began.Add(time.Duration(t) * time.Millisecond))
+		_ = rc.SetReadDeadline(x.start.Add(time.Duration(t) * time.Millisecond))
 		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	}
 	if _, err := io.ReadFull(x.r.Body, x.body); err != nil {
@@ -200,12 +200,12 @@
 	return nil
 }
 
-// streams tells that bodies pass through as they come, both ways.
-func (x *exchange) streams() bool { return x.route.Class == schema.ClassLive }
+// isStreaming tells that bodies pass through as they come, both ways.
+func (x *exchange) isStreaming() bool { return x.route.Class == schema.ClassLive }
 
-// repeatable tells that the route allows more than one run and that the body can be sent again.
-func (x *exchange) repeatable() bool {
-	return x.route.Repeat == schema.RepeatSafe && x.buffered && !x.streams()
+// isRetrySafe tells that the route allows more than one run and that the body can be sent again.
+func (x *exchange) isRetrySafe() bool {
+	return x.route.Repeat == schema.RepeatSafe && x.buffered && !x.isStreaming()
 }
 
 // run makes attempts until one is answered or none may follow.
@@ -215,54 +215,54 @@
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	default:
-		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the route's requests in flight are at their limit").comeBack(comeBackSoon)
+		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the route's requests in flight are at their limit").withRetryAfter(defaultRetryAfter)
 	}
 	ctx, cancel := x.context()
 	defer cancel()
-	if x.keyed() {
-		if done, err := x.claim(ctx); done || err != nil {
+	if x.hasKey() {
+		if done, err := x.claimKey(ctx); done || err != nil {
 			return err
 		}
 	}
-	x.route.service.retries.Earn()
-	x.route.service.hedges.Earn()
-	server, err := x.takeServer(ctx)
+	x.route.service.retries.Deposit()
+	x.route.service.hedges.Deposit()
+	server, err := x.acquireServer(ctx)
 	if err != nil {
 		return err
 	}
 	for {
-		a := x.race(ctx, server)
-		if a.err == nil && !a.unwell() {
+		a := x.attemptWithHedge(ctx, server)
+		if a.err == nil && !a.isUnavailable() {
 			return x.deliver(a)
 		}
-		next, ok := x.another(ctx, a.err)
+		next, ok := x.nextServer(ctx, a.err)
 		if !ok && a.err == nil {
 			return x.deliver(a) // the server's own refusal is the answer
 		}
 		a.close()
 		if !ok {
-			return x.truthful(a.err)
+			return x.adjustOutcome(a.err)
 		}
 		server = next
-		x.pause(ctx)
+		x.backoff(ctx)
 	}
 }
 
-// another claims the server of the next attempt, if one may follow and there is
+// nextServer claims the server of the next attempt, if one may follow and there is
 // one. A nil error stands for an answer by which the server says that it is not well.
-func (x *exchange) another(ctx context.Context, err error) (server *Server, ok bool) {
+func (x *exchange) nextServer(ctx context.Context, err error) (server *Server, ok bool) {
 	if err == nil {
-		x.handed = true
+		x.mayHaveRun = true
 	}
-	if !x.mayRepeat(ctx, err) {
+	if !x.mayRetry(ctx, err) {
 		return nil, false
 	}
-	return x.pick()
+	return x.claimServer()
 }
 
-// pause waits a little before another attempt.
-func (x *exchange) pause(ctx context.Context) {
-	t := time.NewTimer(retry.Pause(x.attempts))
+// backoff waits a little before another attempt.
+func (x *exchange) backoff(ctx context.Context) {
+	t := time.NewTimer(retry.Backoff(x.attempts))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -270,33 +270,33 @@
 	}
 }
 
-// truthful takes every attempt into account: the last one may not have run where an earlier one may have.
-func (x *exchange) truthful(err error) error {
+// adjustOutcome takes every attempt into account: the last one may not have run where an earlier one may have.
+func (x *exchange) adjustOutcome(err error) error {
 	var failure ErrRequest
-	if x.handed && errors.As(err, &failure) && failure.Outcome == OutcomeNotRun {
+	if x.mayHaveRun && errors.As(err, &failure) && failure.Outcome == OutcomeNotRun {
 		failure.Outcome = OutcomeUnknown
 		return failure
 	}
 	return err
 }
 
-// takeServer claims a server; when all are full it waits in the queue of the service.
-func (x *exchange) takeServer(ctx context.Context) (server *Server, err error) {
+// acquireServer claims a server; when all are full it waits in the queue of the service.
+func (x *exchange) acquireServer(ctx context.Context) (server *Server, err error) {
 	svc := x.route.service
 	pick := func() (ok bool) {
-		server, ok = x.pick()
+		server, ok = x.claimServer()
 		return ok
 	}
 	if x.g.settings.Limits && svc.anyOpen() {
-		if svc.queue.Take(ctx, x.route.Class, pick) != nil {
+		if svc.queue.Acquire(ctx, x.route.Class, pick) != nil {
 			return nil, notRun(http.StatusServiceUnavailable, ReasonShed,
-				"all backend servers of "+svc.name+" are full").comeBack(comeBackSoon)
+				"all backend servers of "+svc.name+" are full").withRetryAfter(defaultRetryAfter)
 		}
 		return server, nil
 	}
 	if !pick() {
 		return nil, notRun(http.StatusServiceUnavailable, ReasonNoServer,
-			"no backend server of "+svc.name+" takes work").comeBack(comeBackSoon)
+			"no backend server of "+svc.name+" takes work").withRetryAfter(defaultRetryAfter)
 	}
 	return server, nil
 }
@@ -308,10 +308,10 @@
 	if x.route.Repeat == schema.RepeatOnce && x.buffered {
 		ctx = context.WithoutCancel(ctx)
 	}
-	if x.streams() {
+	if x.isStreaming() {
 		return context.WithCancel(ctx) // only the first byte is bounded, by the attempt
 	}
-	return context.WithDeadline(ctx, x.began.Add(x.deadline()))
+	return context.WithDeadline(ctx, x.start.Add(x.deadline()))
 }
 
 // deadline is the route's, or the caller's when that is sooner.
@@ -323,26 +323,26 @@
 	return d
 }
 
-// mayRepeat tells whether an attempt may be followed by another at another
+// mayRetry tells whether an attempt may be followed by another at another
 // server: where that is truthful and allowed, and within the budget. A nil error
 // stands for an answer by which the server says that it is not well.
-func (x *exchange) mayRepeat(ctx context.Context, err error) bool {
+func (x *exchange) mayRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || x.attempts >= maxAttempts {
 		return false
 	}
 	var failure ErrRequest
-	neverRan := errors.As(err, &failure) && failure.Outcome == OutcomeNotRun && failure.Reason == ReasonConnect && x.buffered
-	if !neverRan && !x.repeatable() {
+	notRun := errors.As(err, &failure) && failure.Outcome == OutcomeNotRun && failure.Reason == ReasonConnect && x.buffered
+	if !notRun && !x.isRetrySafe() {
 		return false
 	}
-	if neverRan && x.g.settings.Retries != schema.GatewaySettingsRetriesNever {
+	if notRun && x.g.settings.Retries != schema.GatewaySettingsRetriesNever {
 		return true // a refused connection adds no work anywhere
 	}
 	switch x.g.settings.Retries {
 	case schema.GatewaySettingsRetriesAlways:
 		return true
 	case schema.GatewaySettingsRetriesBudget:
-		return x.route.service.retries.Spend()
+		return x.route.service.retries.TryWithdraw()
 	}
 	return false
 }
--- a/pkg/gateway/failures.go
+++ b/pkg/gateway/failures.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// keptFailures is how many of the last requests that failed an entry remembers.
-const keptFailures = 4096
+// maxFailures is how many of the last requests that failed an entry remembers.
+const maxFailures = 4096
 
 // Failure is a request that failed, as far as the entry knows.
 type Failure struct {
@@ -58,7 +58,7 @@
 		f.order = append(f.order, id)
 	}
 	f.byID[id] = failure
-	if len(f.order) > keptFailures {
+	if len(f.order) > maxFailures {
 		delete(f.byID, f.order[0])
 		f.order = f.order[1:]
 	}
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -24,20 +24,20 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// conduct is what a backend server does with one attempt of a request.
-type conduct string
+// behavior is what a backend server does with one attempt of a request.
+type behavior string
 
 const (
-	answers    conduct = "answers"
-	answersBig conduct = "answers big"
-	unwell     conduct = "unwell"      // 503
-	cutsAtOnce conduct = "cuts"        // runs, then closes the connection
-	cutsAnswer conduct = "cuts answer" // closes it inside the answer
-	cutsBig    conduct = "cuts big"    // closes it after the first part
-	sleeps     conduct = "sleeps"      // answers long after the deadline
+	answers    behavior = "answers"
+	answersLarge behavior = "answers big"
+	unavailable     behavior = "unwell"      // 503
+	closesBeforeResponse behavior = "cuts"        // runs, then closes the connection
+	closesInResponse behavior = "cuts answer" // closes it inside the answer
+	closesInLargeResponse    behavior = "cuts big"    // closes it after the first part
+	sleeps     behavior = "sleeps"      // answers long after the deadline
 )
 
-var conducts = []conduct{answers, answers, answersBig, unwell, cutsAtOnce, cutsAnswer, cutsBig, sleeps}
+var behaviors = []behavior{answers, answers, answersLarge, unavailable, closesBeforeResponse, closesInResponse, closesInLargeResponse, sleeps}
 
 const (
 	headerID   = "X-Id"
@@ -71,8 +71,8 @@
 	o.problems = append(o.problems, fmt.Sprintf(format, args...))
 }
 
-// answerTo is the one right answer to a request.
-func answerTo(id string, big bool) []byte {
+// expectedBody is the one right answer to a request.
+func expectedBody(id string, big bool) []byte {
 	n := 3
 	if big {
 		n = 40_000
@@ -84,25 +84,25 @@
 func (o *oracle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	plan := strings.Split(r.Header.Get(headerPlan), ",")
-	does := conduct(plan[min(o.began(id), len(plan)-1)])
+	does := behavior(plan[min(o.began(id), len(plan)-1)])
 	_, _ = io.Copy(io.Discard, r.Body)
-	body := answerTo(id, does == answersBig || does == cutsBig)
+	body := expectedBody(id, does == answersLarge || does == closesInLargeResponse)
 	cut, _ := strconv.Atoi(r.Header.Get(headerCut))
 	switch does {
-	case unwell:
+	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case cutsAtOnce:
+	case closesBeforeResponse:
 		panic(http.ErrAbortHandler)
 	case sleeps:
 		select {
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
 		}
-	case cutsAnswer, cutsBig:
+	case closesInResponse, closesInLargeResponse:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:min(len(body)-1, cut)])
-		if does == cutsBig {
+		if does == closesInLargeResponse {
 			_ = http.NewResponseController(w).Flush()
 		}
 		panic(http.ErrAbortHandler)
@@ -110,13 +110,13 @@
 	_, _ = w.Write(body)
 }
 
-// sabotage breaks a promise between the gateway and its callers; none is the sound product.
-type sabotage func(http.Handler) http.Handler
+// mutation breaks a promise between the gateway and its callers; none is the sound product.
+type mutation func(http.Handler) http.Handler
 
-func none(h http.Handler) http.Handler { return h }
+func unmodified(h http.Handler) http.Handler { return h }
 
-// pathWorld is two entries over one store and three backend servers.
-type pathWorld struct {
+// pathHarness is two entries over one store and three backend servers.
+type pathHarness struct {
 	*oracle
 	store    *fake.Platform
 	gateways []*gateway.Gateway
@@ -126,8 +126,8 @@
 	close    func()
 }
 
-func newPathWorld(s sabotage) *pathWorld {
-	w := &pathWorld{oracle: &oracle{attempts: map[string]int{}}, store: fake.New(fake.WithLimits(10_000, 10_000)), keys: map[string]string{}}
+func newPathHarness(s mutation) *pathHarness {
+	w := &pathHarness{oracle: &oracle{attempts: map[string]int{}}, store: fake.New(fake.WithLimits(10_000, 10_000)), keys: map[string]string{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	closers := []func(){cancel}
 	var addresses []string
@@ -141,8 +141,8 @@
 		go func() { _ = book.Run(ctx) }()
 		g := gateway.New(fmt.Sprint("entry-", i), "z", schema.GatewaySettings{
 			BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesAlways, Hedging: true,
-		}, gateway.WithBook(book))
-		g.SetTable(rows(1, addresses...))
+		}, gateway.WithClaims(book))
+		g.SetTable(testTable(1, addresses...))
 		g.SetReady(true)
 		srv := httptest.NewServer(s(g))
 		closers = append(closers, srv.Close, g.Close)
@@ -158,7 +158,7 @@
 }
 
 // send sends one request and judges what its caller is told against what ran.
-func (w *pathWorld) send(entry int, route, id, plan, key string, cut int) {
+func (w *pathHarness) send(entry int, route, id, plan, key string, cut int) {
 	req, err := http.NewRequest(http.MethodPost, w.urls[entry]+route, bytes.NewReader([]byte("body")))
 	if err != nil {
 		panic(err)
@@ -190,7 +190,7 @@
 	if first, ok := w.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
 		want = first
 	}
-	whole := bytes.Equal(body, answerTo(want, false)) || bytes.Equal(body, answerTo(want, true))
+	whole := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
 	switch {
 	case outcome == gateway.OutcomeNotRun && ran > 0:
 		w.problem("%s is reported as not run but ran", id)
@@ -204,8 +204,8 @@
 }
 
 // pathMachine is the property of the request path.
-func pathMachine(t *rapid.T, s sabotage) {
-	w := newPathWorld(s)
+func pathMachine(t *rapid.T, s mutation) {
+	w := newPathHarness(s)
 	defer w.close()
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
@@ -224,7 +224,7 @@
 				route := rapid.SampledFrom([]string{"/safe", "/once"}).Draw(t, "route")
 				var plan []string
 				for range 3 {
-					plan = append(plan, string(rapid.SampledFrom(conducts).Draw(t, "conduct")))
+					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "conduct")))
 				}
 				cut := rapid.SampledFrom([]int{0, 1, 8, 9, 65_535, 65_536, 65_537, 100_000}).Draw(t, "cut")
 				wg.Go(func() { w.send(entry, route, id, strings.Join(plan, ","), "", cut) })
@@ -237,7 +237,7 @@
 				w.next++
 				w.keys[key] = fmt.Sprintf("r%d", w.next)
 			}
-			plan := string(rapid.SampledFrom(conducts).Draw(t, "conduct"))
+			plan := string(rapid.SampledFrom(behaviors).Draw(t, "conduct"))
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
@@ -258,21 +258,21 @@
 // TestPath proves outcomes, whole and own answers and at most once over real
 // connections; it judges by what ran, never by time.
 func TestPath(t *testing.T) {
-	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, none) })
+	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, unmodified) })
 }
 
 // TestPathPlanted breaks each promise once, on purpose: the property must see it.
 func TestPathPlanted(t *testing.T) {
-	for name, s := range map[string]sabotage{
+	for name, s := range map[string]mutation{
 		"unknown is told as not run": func(h http.Handler) http.Handler {
-			return rewrite(h, func(rec *httptest.ResponseRecorder) {
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				if rec.Header().Get(gateway.HeaderOutcome) == string(gateway.OutcomeUnknown) {
 					rec.Header().Set(gateway.HeaderOutcome, string(gateway.OutcomeNotRun))
 				}
 			})
 		},
 		"answers lose their end": func(h http.Handler) http.Handler {
-			return rewrite(h, func(rec *httptest.ResponseRecorder) {
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				if rec.Code == http.StatusOK {
 					rec.Body.Truncate(rec.Body.Len() - 1)
 					rec.Header().Del("Content-Length")
@@ -282,7 +282,7 @@
 		"answers are swapped": func(h http.Handler) http.Handler {
 			var mu sync.Mutex
 			var last []byte
-			return rewrite(h, func(rec *httptest.ResponseRecorder) {
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				mu.Lock()
 				defer mu.Unlock()
 				if rec.Code != http.StatusOK {
@@ -308,7 +308,7 @@
 			})
 		},
 		"no outcome": func(h http.Handler) http.Handler {
-			return rewrite(h, func(rec *httptest.ResponseRecorder) { rec.Header().Del(gateway.HeaderOutcome) })
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) { rec.Header().Del(gateway.HeaderOutcome) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -317,8 +317,8 @@
 	}
 }
 
-// rewrite lets f change an answer before its caller gets it.
-func rewrite(h http.Handler, f func(*httptest.ResponseRecorder)) http.Handler {
+// rewriteResponse lets f change an answer before its caller gets it.
+func rewriteResponse(h http.Handler, f func(*httptest.ResponseRecorder)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		h.ServeHTTP(rec, r)
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -29,11 +29,11 @@
 	metrics  *metrics
 	policy   balance.Policy[*Server]
 	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	callers  limit.Rates
-	teams    limit.Rates
-	book     *once.Book // nil without claims of keys
+	callerRates  limit.Rates
+	teamRates    limit.Rates
+	claims     *once.Claims // nil without claims of keys
 	failures failures
-	bodies   *semaphore.Weighted // bytes of bodies that are read whole
+	bodyMemory   *semaphore.Weighted // bytes of bodies that are read whole
 
 	view     atomic.Pointer[view]
 	ready    atomic.Bool
@@ -52,8 +52,8 @@
 // WithLogger logs one line for each request that fails.
 func WithLogger(l zerolog.Logger) Option { return func(g *Gateway) { g.log = l } }
 
-// WithBook claims the keys of requests that must not be repeated.
-func WithBook(b *once.Book) Option { return func(g *Gateway) { g.book = b } }
+// WithClaims claims the keys of requests that must not be repeated.
+func WithClaims(b *once.Claims) Option { return func(g *Gateway) { g.claims = b } }
 
 // WithDial opens connections to backend servers by f.
 func WithDial(f func(ctx context.Context, network, addr string) (net.Conn, error)) Option {
@@ -65,11 +65,11 @@
 	g := &Gateway{
 		name: name, zone: zone, settings: settings,
 		log: zerolog.Nop(), metrics: newMetrics(),
-		policy:  policyOf(settings.Policy),
-		dial:    dialPlain,
+		policy:  newPolicy(settings.Policy),
+		dial:    dialTCP,
 		servers: map[string]*Server{}, routes: map[string]*routeState{}, services: map[string]*serviceState{},
 	}
-	g.bodies = semaphore.NewWeighted(int64(max(settings.BufferTotalBytes, settings.BufferBodyBytes)))
+	g.bodyMemory = semaphore.NewWeighted(int64(max(settings.BufferTotalBytes, settings.BufferBodyBytes)))
 	g.view.Store(&view{})
 	for _, o := range opts {
 		o(g)
@@ -77,7 +77,7 @@
 	return g
 }
 
-func policyOf(p schema.GatewaySettingsPolicy) balance.Policy[*Server] {
+func newPolicy(p schema.GatewaySettingsPolicy) balance.Policy[*Server] {
 	if p == schema.GatewaySettingsPolicyRoundRobin {
 		return &balance.RoundRobin[*Server]{}
 	}
@@ -89,7 +89,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.updateServers(snap)
-	g.view.Store(g.makeView(snap))
+	g.view.Store(g.newView(snap))
 	g.metrics.revision.Set(float64(snap.Revision))
 }
 
@@ -99,7 +99,7 @@
 	server, ok := g.servers[vm]
 	g.mu.Unlock()
 	if ok {
-		server.mark(src, closed)
+		server.setClosed(src, closed)
 	}
 }
 
@@ -153,8 +153,8 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.active.Add(1)
 	defer g.active.Add(-1)
-	x := &exchange{g: g, w: w, r: r, view: g.view.Load(), began: time.Now(), id: requestID(r)}
-	x.ownHeaders(w.Header())
+	x := &exchange{g: g, w: w, r: r, view: g.view.Load(), start: time.Now(), id: requestID(r)}
+	x.setGatewayHeaders(w.Header())
 	x.serve()
 }
 
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -25,9 +25,9 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// rows builds a table with one service whose servers stand at the addresses.
-func rows(revision int, addresses ...string) *table.Snapshot {
-	route := func(prefix string, class schema.Class, repeat schema.Repeat) json {
+// testTable builds a table with one service whose servers stand at the addresses.
+func testTable(revision int, addresses ...string) *table.Snapshot {
+	route := func(prefix string, class schema.Class, repeat schema.Repeat) rawJSON {
 		return table.MustValue(schema.Route{PathPrefix: prefix, Service: "s", Class: class, Repeat: repeat, DeadlineMs: 3000, MaxBodyBytes: 100_000, MaxInFlight: 100})
 	}
 	list := []table.StoredRow{
@@ -50,18 +50,18 @@
 	return snap
 }
 
-type json = []byte
+type rawJSON = []byte
 
 func key(kind schema.Kind, name string) table.Key { return table.Key{Kind: kind, Name: name} }
 
-// start runs a gateway in front of servers and returns its address.
-func start(t *testing.T, addresses ...string) (g *gateway.Gateway, url string) {
-	return startWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true}, addresses...)
+// startGateway runs a gateway in front of servers and returns its address.
+func startGateway(t *testing.T, addresses ...string) (g *gateway.Gateway, url string) {
+	return startGatewayWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true}, addresses...)
 }
 
-func startWith(t *testing.T, settings schema.GatewaySettings, addresses ...string) (g *gateway.Gateway, url string) {
+func startGatewayWith(t *testing.T, settings schema.GatewaySettings, addresses ...string) (g *gateway.Gateway, url string) {
 	g = gateway.New("entry-1", "z", settings)
-	g.SetTable(rows(1, addresses...))
+	g.SetTable(testTable(1, addresses...))
 	g.SetReady(true)
 	s := httptest.NewUnstartedServer(g)
 	s.Config.MaxHeaderBytes = 8 << 10
@@ -119,9 +119,9 @@
 	return resp.StatusCode, gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome)), string(raw), err
 }
 
-// TestRubbish puts backend servers behind the gateway that answer anything but HTTP:
+// TestMalformedResponses puts backend servers behind the gateway that answer anything but HTTP:
 // the caller gets an error that tells what ran, and the gateway lives.
-func TestRubbish(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	cases := []struct {
 		name, answer string
@@ -151,7 +151,7 @@
 					_, _ = io.WriteString(conn, tc.answer)
 				}
 			})
-			_, url := start(t, address)
+			_, url := startGateway(t, address)
 			status, outcome, body, err := post(t, url+tc.path, "body")
 			c.Check(status, qt.Equals, tc.status)
 			c.Check(outcome, qt.Equals, tc.outcome)
@@ -166,7 +166,7 @@
 	var ran atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
 	defer backend.Close()
-	_, url := start(t, strings.TrimPrefix(backend.URL, "http://"))
+	_, url := startGateway(t, strings.TrimPrefix(backend.URL, "http://"))
 	address := strings.TrimPrefix(url, "http://")
 	cases := []struct{ name, raw, want string }{
 		{"no route", "GET /other HTTP/1.1\r\nHost: x\r\n\r\n", "404"},
@@ -228,7 +228,7 @@
 					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
 			})
-			_, url := start(t, address)
+			_, url := startGateway(t, address)
 			send := func() gateway.Outcome {
 				req, _ := http.NewRequest(tc.method, url+"/once", nil)
 				req.Header.Set(tc.header, "k")
@@ -254,7 +254,7 @@
 		_, _ = w.Write(body)
 	}))
 	defer good.Close()
-	_, url := start(t, bad, strings.TrimPrefix(good.URL, "http://"))
+	_, url := startGateway(t, bad, strings.TrimPrefix(good.URL, "http://"))
 	for range 20 {
 		status, outcome, body, err := post(t, url+"/safe", "hello")
 		c.Assert(err, qt.IsNil)
@@ -265,16 +265,16 @@
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	_ = closed.Close()
-	_, url = start(t, closed.Addr().String())
+	_, url = startGateway(t, closed.Addr().String())
 	status, outcome, _, err := post(t, url+"/once", "hello")
 	c.Assert(err, qt.IsNil)
 	c.Check(status, qt.Equals, 502)
 	c.Check(outcome, qt.Equals, gateway.OutcomeNotRun)
 }
 
-// TestTruthAfterRetry breaks the first attempt of a safe request after it was
+// TestOutcomeAfterRetry breaks the first attempt of a safe request after it was
 // handed on and refuses the others: the whole did not certainly not run.
-func TestTruthAfterRetry(t *testing.T) {
+func TestOutcomeAfterRetry(t *testing.T) {
 	c := qt.New(t)
 	var received atomic.Int64
 	bad, _ := rawServer(t, func(n int, conn net.Conn) {
@@ -290,7 +290,7 @@
 	c.Assert(err, qt.IsNil)
 	_ = closed.Close()
 	for range 20 {
-		_, url := start(t, bad, closed.Addr().String())
+		_, url := startGateway(t, bad, closed.Addr().String())
 		before := received.Load()
 		_, outcome, _, err := post(t, url+"/safe", "hello")
 		c.Assert(err, qt.IsNil)
@@ -299,9 +299,9 @@
 	}
 }
 
-// TestClosing closes servers by each source alone while requests run: after it
+// TestServerClosed closes servers by each source alone while requests run: after it
 // returned, no new request begins, and the count in flight falls to zero for good.
-func TestClosing(t *testing.T) {
+func TestServerClosed(t *testing.T) {
 	for _, src := range []gateway.Source{gateway.SourceTable, gateway.SourceList, gateway.SourceProbe} {
 		t.Run(fmt.Sprint(src), func(t *testing.T) {
 			c := qt.New(t)
@@ -312,7 +312,7 @@
 				defer s.Close()
 				addresses = append(addresses, strings.TrimPrefix(s.URL, "http://"))
 			}
-			g, url := start(t, addresses...)
+			g, url := startGateway(t, addresses...)
 			stop := make(chan struct{})
 			var wg sync.WaitGroup
 			for range 8 {
@@ -333,7 +333,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if src == gateway.SourceTable {
-				snap := rows(2, addresses...)
+				snap := testTable(2, addresses...)
 				vm := snap.VMs["w1"]
 				vm.Value.Phase = schema.PhaseDraining
 				snap.VMs["w1"] = vm
@@ -384,7 +384,7 @@
 		}
 	}))
 	defer echo.Close()
-	g, url := start(t, strings.TrimPrefix(echo.URL, "http://"))
+	g, url := startGateway(t, strings.TrimPrefix(echo.URL, "http://"))
 
 	t.Run("stream", func(t *testing.T) {
 		c := qt.New(t)
@@ -437,9 +437,9 @@
 	qt.Assert(t, g.WaitIdle(ctx), qt.IsNil)
 }
 
-// TestOwnAnswer lets answers come late: a caller whose request was given up
+// TestNoCrossedResponses lets answers come late: a caller whose request was given up
 // never meets the answer to another one on a kept connection.
-func TestOwnAnswer(t *testing.T) {
+func TestNoCrossedResponses(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -449,7 +449,7 @@
 		_, _ = w.Write(body)
 	}))
 	defer backend.Close()
-	_, url := startWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16}, strings.TrimPrefix(backend.URL, "http://"))
+	_, url := startGatewayWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16}, strings.TrimPrefix(backend.URL, "http://"))
 	var wg sync.WaitGroup
 	for i := range 16 {
 		wg.Go(func() {
@@ -492,7 +492,7 @@
 		}
 	}))
 	defer backend.Close()
-	g, url := start(t, strings.TrimPrefix(backend.URL, "http://"))
+	g, url := startGateway(t, strings.TrimPrefix(backend.URL, "http://"))
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/once", strings.NewReader("x"))
 	go func() {
@@ -523,8 +523,8 @@
 	for i := range 2 {
 		book := once.New(store.View("z"), fmt.Sprintf("entry-%d", i))
 		go func() { _ = book.Run(ctx) }()
-		g := gateway.New(fmt.Sprintf("entry-%d", i), "z", schema.GatewaySettings{BufferBodyBytes: 1 << 16}, gateway.WithBook(book))
-		g.SetTable(rows(1, strings.TrimPrefix(backend.URL, "http://")))
+		g := gateway.New(fmt.Sprintf("entry-%d", i), "z", schema.GatewaySettings{BufferBodyBytes: 1 << 16}, gateway.WithClaims(book))
+		g.SetTable(testTable(1, strings.TrimPrefix(backend.URL, "http://")))
 		g.SetReady(true)
 		s := httptest.NewServer(g)
 		defer s.Close()
@@ -563,8 +563,8 @@
 		defer s.Close()
 		addresses = append(addresses, strings.TrimPrefix(s.URL, "http://"))
 	}
-	a, urlA := start(t, addresses...)
-	b, urlB := start(t, addresses...)
+	a, urlA := startGateway(t, addresses...)
+	b, urlB := startGateway(t, addresses...)
 	place := func(room int) string {
 		var at []string
 		for _, url := range []string{urlA, urlB, urlA} {
@@ -614,12 +614,12 @@
 		}
 		return out
 	}
-	g, url := startWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16}, address)
-	snap := rows(2, address)
+	g, url := startGatewayWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16}, address)
+	snap := testTable(2, address)
 	snap.Teams = table.Rows[schema.Team]{"slow": {Value: schema.Team{RequestsPerS: rate}}}
 	g.SetTable(snap)
 	c.Check(outcomes(url, gateway.HeaderTeam, "slow"), qt.DeepEquals, map[string]int{"ran": 1, "not-run": 2})
 	c.Check(outcomes(url), qt.DeepEquals, map[string]int{"ran": 3})
-	_, url = startWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16, CallerRequestsPerS: rate}, address)
+	_, url = startGatewayWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16, CallerRequestsPerS: rate}, address)
 	c.Check(outcomes(url), qt.DeepEquals, map[string]int{"ran": 1, "not-run": 2})
 }
--- a/pkg/gateway/headers.go
+++ b/pkg/gateway/headers.go
@@ -13,9 +13,9 @@
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// passOn gives dst the headers that are meant for the other end; values are shared, not copied.
-func passOn(dst, src http.Header) {
-	named := namedHops(src)
+// copyHeaders gives dst the headers that are meant for the other end; values are shared, not copied.
+func copyHeaders(dst, src http.Header) {
+	named := connectionHeaders(src)
 	for name, values := range src {
 		if !hopHeaders[name] && !named[name] {
 			dst[name] = values
@@ -23,9 +23,9 @@
 	}
 }
 
-// namedHops returns the headers that a message itself names as belonging to the
+// connectionHeaders returns the headers that a message itself names as belonging to the
 // connection, nil for the usual none.
-func namedHops(h http.Header) (named map[string]bool) {
+func connectionHeaders(h http.Header) (named map[string]bool) {
 	for _, v := range h["Connection"] {
 		for token := range strings.SplitSeq(v, ",") {
 			name := textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(token))
@@ -41,8 +41,8 @@
 	return named
 }
 
-// addForwarded tells the backend server whom the request came from.
-func addForwarded(h http.Header, remote string) {
+// addForwardedFor tells the backend server whom the request came from.
+func addForwardedFor(h http.Header, remote string) {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
 		return
@@ -53,8 +53,8 @@
 	h.Set("X-Forwarded-For", host)
 }
 
-// upgradeOf returns the protocol that a message asks to change to, "" for none.
-func upgradeOf(h http.Header) string {
+// upgradeProtocol returns the protocol that a message asks to change to, "" for none.
+func upgradeProtocol(h http.Header) string {
 	for _, v := range h["Connection"] {
 		for token := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "upgrade") {
--- a/pkg/gateway/limit/limit_test.go
+++ b/pkg/gateway/limit/limit_test.go
@@ -14,14 +14,14 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// places is a service with some free places, which are taken and freed under a queue.
-type places struct {
+// slots is a service with some free slots, which are taken and freed under a queue.
+type slots struct {
 	limit.Queue
 	mu   sync.Mutex
 	free int
 }
 
-func (p *places) try() bool {
+func (p *slots) try() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.free == 0 {
@@ -31,23 +31,23 @@
 	return true
 }
 
-func (p *places) release() {
+func (p *slots) release() {
 	p.mu.Lock()
 	p.free++
 	p.mu.Unlock()
-	p.Free()
+	p.Notify()
 }
 
 // TestQueueOrder fills a queue and frees places one by one: the highest class
 // goes first, and within it who came first, until the first has waited for long.
 func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var p places
+		var p slots
 		var order []string
 		var wg sync.WaitGroup
 		join := func(class schema.Class, n int) {
 			wg.Go(func() {
-				if p.Take(context.Background(), class, p.try) == nil {
+				if p.Acquire(context.Background(), class, p.try) == nil {
 					order = append(order, fmt.Sprintf("%s-%d", class, n))
 				}
 			})
@@ -83,13 +83,13 @@
 // TestQueueNeverStarves keeps live requests coming: batch still gets some of the places.
 func TestQueueNeverStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var p places
+		var p slots
 		got := map[schema.Class]int{}
 		var wg sync.WaitGroup
 		for range 64 {
 			for _, class := range []schema.Class{schema.ClassLive, schema.ClassBatch} {
 				wg.Go(func() {
-					if p.Take(context.Background(), class, p.try) == nil {
+					if p.Acquire(context.Background(), class, p.try) == nil {
 						got[class]++
 					}
 				})
@@ -104,25 +104,25 @@
 	})
 }
 
-// TestQueueSheds gives up those whose time is over, and the oldest when too many wait.
-func TestQueueSheds(t *testing.T) {
+// TestQueueTimeoutAndOverflow gives up those whose time is over, and the oldest when too many wait.
+func TestQueueTimeoutAndOverflow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		var p places
+		var p slots
 		began := time.Now()
-		c.Check(p.Take(context.Background(), schema.ClassInteractive, p.try), qt.Equals, limit.ErrShed)
+		c.Check(p.Acquire(context.Background(), schema.ClassInteractive, p.try), qt.Equals, limit.ErrShed)
 		c.Check(time.Since(began), qt.Equals, 250*time.Millisecond)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began = time.Now()
-		c.Check(p.Take(ctx, schema.ClassBatch, p.try), qt.Equals, limit.ErrShed)
+		c.Check(p.Acquire(ctx, schema.ClassBatch, p.try), qt.Equals, limit.ErrShed)
 		c.Check(time.Since(began), qt.Equals, 50*time.Millisecond, qt.Commentf("half of the request's own time"))
 		var wg sync.WaitGroup
 		began = time.Now()
 		shedAtOnce := 0
 		for range 300 {
 			wg.Go(func() {
-				if p.Take(context.Background(), schema.ClassBatch, p.try) != nil && time.Since(began) == 0 {
+				if p.Acquire(context.Background(), schema.ClassBatch, p.try) != nil && time.Since(began) == 0 {
 					shedAtOnce++
 				}
 			})
@@ -142,7 +142,7 @@
 	answer := func(n int, ratio float64) int64 {
 		for range n {
 			now = now.Add(10 * time.Millisecond)
-			a.Answered(ratio, a.Limit(), now)
+			a.ObserveResponse(ratio, a.Limit(), now)
 		}
 		return a.Limit()
 	}
@@ -153,12 +153,12 @@
 	c.Check(answer(2000, 1) > 10, qt.IsTrue)
 	c.Check(answer(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the highest"))
 	now = now.Add(time.Second)
-	a.Overdue(now)
+	a.ObserveTimeout(now)
 	c.Check(a.Limit(), qt.Equals, int64(70))
 	idle := limit.NewAdaptive(100)
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		idle.Answered(1, 0, now)
+		idle.ObserveResponse(1, 0, now)
 	}
 	c.Check(idle.Limit(), qt.Equals, first, qt.Commentf("a limit that is not used does not grow"))
 }
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -13,8 +13,8 @@
 // classOrder is who goes first.
 var classOrder = [...]schema.Class{schema.ClassLive, schema.ClassInteractive, schema.ClassClerk, schema.ClassBatch}
 
-// rankOf is the place of a class in classOrder.
-var rankOf = func() map[schema.Class]int {
+// classRank is the place of a class in classOrder.
+var classRank = func() map[schema.Class]int {
 	ranks := make(map[schema.Class]int, len(classOrder))
 	for rank, class := range classOrder {
 		ranks[class] = rank
@@ -22,17 +22,17 @@
 	return ranks
 }()
 
-// longestWait is how long a class waits for a free server before it is shed.
-var longestWait = map[schema.Class]time.Duration{
+// maxWait is how long a class waits for a free server before it is shed.
+var maxWait = map[schema.Class]time.Duration{
 	schema.ClassLive: 500 * time.Millisecond, schema.ClassInteractive: 250 * time.Millisecond,
 	schema.ClassClerk: 500 * time.Millisecond, schema.ClassBatch: 2 * time.Second,
 }
 
 const (
-	// queueLength bounds the waiters of one class, and so the memory that a burst takes.
-	queueLength = 256
-	// turnOfLast gives every so manieth free place to the last class that waits, so that it is never starved.
-	turnOfLast = 16
+	// maxWaiters bounds the waiters of one class, and so the memory that a burst takes.
+	maxWaiters = 256
+	// lowestClassTurn gives every so manieth free place to the last class that waits, so that it is never starved.
+	lowestClassTurn = 16
 )
 
 // ErrShed reports a request that found no free server in its time.
@@ -52,17 +52,17 @@
 
 type waiter struct {
 	wake  chan struct{}
-	since time.Time
+	enqueuedAt time.Time
 }
 
-// Ahead tells whether somebody of a higher class waits.
-func (q *Queue) Ahead(class schema.Class) bool {
+// HigherWaiting tells whether somebody of a higher class waits.
+func (q *Queue) HigherWaiting(class schema.Class) bool {
 	if q.waiting.Load() == 0 {
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for rank := range rankOf[class] {
+	for rank := range classRank[class] {
 		if len(q.byClass[rank]) > 0 {
 			return true
 		}
@@ -70,14 +70,14 @@
 	return false
 }
 
-// Take calls try until it succeeds: at once, unless a higher class waits, then
+// Acquire calls try until it succeeds: at once, unless a higher class waits, then
 // each time that a place becomes free. It returns ErrShed when the time of the
 // class or half of the request's own is up, or when newer ones push it out.
-func (q *Queue) Take(ctx context.Context, class schema.Class, try func() bool) error {
-	if !q.Ahead(class) && try() {
+func (q *Queue) Acquire(ctx context.Context, class schema.Class, try func() bool) error {
+	if !q.HigherWaiting(class) && try() {
 		return nil
 	}
-	wait := longestWait[class]
+	wait := maxWait[class]
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = min(wait, time.Until(deadline)/2)
 	}
@@ -93,7 +93,7 @@
 		select {
 		case <-ctx.Done():
 			if !q.leave(class, w) {
-				q.Free() // it was woken too: the place goes to the next one
+				q.Notify() // it was woken too: the place goes to the next one
 			}
 			return ErrShed
 		case _, woken := <-w.wake:
@@ -109,11 +109,11 @@
 
 // join adds a waiter; the oldest of its class is pushed out when there are too many.
 func (q *Queue) join(class schema.Class, since time.Time) *waiter {
-	w := &waiter{wake: make(chan struct{}, 1), since: since}
-	rank := rankOf[class]
+	w := &waiter{wake: make(chan struct{}, 1), enqueuedAt: since}
+	rank := classRank[class]
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.byClass[rank]) >= queueLength {
+	if len(q.byClass[rank]) >= maxWaiters {
 		close(q.byClass[rank][0].wake)
 		q.byClass[rank] = q.byClass[rank][1:]
 		q.waiting.Add(-1)
@@ -125,7 +125,7 @@
 
 // leave removes a waiter; it returns false when the waiter is no longer there.
 func (q *Queue) leave(class schema.Class, w *waiter) bool {
-	rank := rankOf[class]
+	rank := classRank[class]
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, other := range q.byClass[rank] {
@@ -138,15 +138,15 @@
 	return false
 }
 
-// Free tells that a place has become free; it wakes the next waiter.
-func (q *Queue) Free() {
+// Notify tells that a place has become free; it wakes the next waiter.
+func (q *Queue) Notify() {
 	if q.waiting.Load() == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.turn++
-	if q.turn%turnOfLast == 0 {
+	if q.turn%lowestClassTurn == 0 {
 		for rank := len(classOrder) - 1; rank >= 0; rank-- {
 			if q.wakeOne(rank) {
 				return
@@ -168,7 +168,7 @@
 		return false
 	}
 	next, rest := waiters[0], waiters[1:]
-	if time.Since(next.since) > longestWait[classOrder[rank]]/2 {
+	if time.Since(next.enqueuedAt) > maxWait[classOrder[rank]]/2 {
 		next, rest = waiters[n-1], waiters[:n-1]
 	}
 	next.wake <- struct{}{}
--- a/pkg/gateway/limit/rates.go
+++ b/pkg/gateway/limit/rates.go
@@ -28,7 +28,7 @@
 
 type keyRate struct {
 	limiter *rate.Limiter
-	used    time.Time
+	lastUsed    time.Time
 }
 
 // Allow tells whether one more request of a key is within perSecond; 0 sets no limit.
@@ -44,11 +44,11 @@
 	}
 	k, ok := s.byKey[key]
 	if !ok || k.limiter.Limit() != rate.Limit(perSecond) {
-		s.makeRoom()
+		s.evict()
 		k = &keyRate{limiter: rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond*rateBurst)))}
 		s.byKey[key] = k
 	}
-	k.used = now
+	k.lastUsed = now
 	return k.limiter.AllowN(now, 1)
 }
 
@@ -56,9 +56,9 @@
 // of keys costs little.
 const evictionSample = 8
 
-// makeRoom drops the key of a few that was used longest ago, when there are too
+// evict drops the key of a few that was used longest ago, when there are too
 // many; the caller holds the lock.
-func (s *rateShard) makeRoom() {
+func (s *rateShard) evict() {
 	if len(s.byKey) < keysPerShard {
 		return
 	}
@@ -66,8 +66,8 @@
 	var at time.Time
 	seen := 0
 	for key, k := range s.byKey {
-		if oldest == "" || k.used.Before(at) {
-			oldest, at = key, k.used
+		if oldest == "" || k.lastUsed.Before(at) {
+			oldest, at = key, k.lastUsed
 		}
 		if seen++; seen == evictionSample {
 			break
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -4,7 +4,7 @@
 // A key is claimed in the platform's table before the request is handed on: an
 // item that must not exist yet, written with the digest of the body, the entry
 // and a token of this claim. Claims that come in together are written in one
-// transaction, at most one every [Gap], so that the table's write budget holds.
+// transaction, at most one every [MinCommitInterval], so that the table's write budget holds.
 // A lost answer is settled by reading the item back: the claim is this one's if
 // the token is. Whoever finds the key claimed never runs the request; the entry
 // that ran it answers repetitions with the first answer while it holds it.
@@ -31,16 +31,16 @@
 )
 
 const (
-	prefix = "claim/"
-	// Gap is the least time between two transactions of an entry: 10 a second.
-	Gap = 100 * time.Millisecond
-	// batchSize bounds the claims of one transaction.
-	batchSize = 200
-	// settleTries bounds the reads after a lost answer.
-	settleTries = 5
-	settlePause = 50 * time.Millisecond
-	// heldAnswers bounds the first answers that an entry keeps for repetitions.
-	heldAnswers = 4096
+	keyPrefix = "claim/"
+	// MinCommitInterval is the least time between two transactions of an entry: 10 a second.
+	MinCommitInterval = 100 * time.Millisecond
+	// maxBatch bounds the claims of one transaction.
+	maxBatch = 200
+	// maxReadBacks bounds the reads after a lost answer.
+	maxReadBacks = 5
+	readBackInterval = 50 * time.Millisecond
+	// maxSavedResponses bounds the first answers that an entry keeps for repetitions.
+	maxSavedResponses = 4096
 	// Lifetime is how long a claim is kept: a repetition after it runs anew.
 	Lifetime = 24 * time.Hour
 )
@@ -61,27 +61,27 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// claim is an item of the table.
-type claim struct {
+// claimRecord is an item of the table.
+type claimRecord struct {
 	Digest string `json:"digest"`
 	Entry  string `json:"entry"`
 	Token  string `json:"token"`
 	AtMs   int64  `json:"at_ms"`
 }
 
-// ErrTaken reports a key that has been claimed before; the request must not run.
-type ErrTaken struct {
+// ErrClaimed reports a key that has been claimed before; the request must not run.
+type ErrClaimed struct {
 	Entry string // that claimed it
 }
 
 // Error names the entry.
-func (e ErrTaken) Error() string { return fmt.Sprintf("the key was taken by entry %s", e.Entry) }
+func (e ErrClaimed) Error() string { return fmt.Sprintf("the key was taken by entry %s", e.Entry) }
 
-// ErrOtherBody reports a key that was claimed with another body.
-type ErrOtherBody struct{}
+// ErrBodyMismatch reports a key that was claimed with another body.
+type ErrBodyMismatch struct{}
 
 // Error says so.
-func (ErrOtherBody) Error() string { return "the key belongs to a request with another body" }
+func (ErrBodyMismatch) Error() string { return "the key belongs to a request with another body" }
 
 // ErrUnavailable reports a claim that could not be made; the request did not run.
 type ErrUnavailable struct {
@@ -93,127 +93,127 @@
 	return fmt.Sprintf("the key cannot be claimed now: %v", e.Cause)
 }
 
-// Answer is a first answer, kept for repetitions.
-type Answer struct {
+// Response is a first answer, kept for repetitions.
+type Response struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
-// Book is one entry's claims.
-type Book struct {
+// Claims is one entry's claims.
+type Claims struct {
 	store platform.Table
 	entry string
-	kick  chan struct{}
+	wakeup  chan struct{}
 
 	mu      sync.Mutex
-	mine    map[Key]*Ticket // claims of this entry, the latest heldAnswers of them
-	order   []Key
-	pending []*Ticket
-	giveUp  []Key // claims to give back
+	byKey    map[Key]*Claim // claims of this entry, the latest heldAnswers of them
+	finished   []Key
+	pending []*Claim
+	toRelease  []Key // claims to give back
 	closed  bool  // nobody writes claims any more
 }
 
 // New returns the book of an entry; Run must be running for claims to be made.
-func New(store platform.Table, entry string) *Book {
-	return &Book{store: store, entry: entry, kick: make(chan struct{}, 1), mine: map[Key]*Ticket{}}
+func New(store platform.Table, entry string) *Claims {
+	return &Claims{store: store, entry: entry, wakeup: make(chan struct{}, 1), byKey: map[Key]*Claim{}}
 }
 
-// Ticket is a claim under way or made.
-type Ticket struct {
+// Claim is a claim under way or made.
+type Claim struct {
 	key    Key
-	claim  claim
-	made   chan struct{} // closed when err is set
+	record  claimRecord
+	committed   chan struct{} // closed when err is set
 	err    error
 	done   chan struct{} // closed when the request has its outcome
-	answer *Answer       // nil when none is held
+	response *Response       // nil when none is held
 }
 
 // Claim claims a key for a request. It returns a ticket that must be finished
 // when the request is to run; or the first answer when this entry ran it; or an error.
-func (b *Book) Claim(ctx context.Context, key Key, digest string) (t *Ticket, first *Answer, err error) {
+func (b *Claims) Claim(ctx context.Context, key Key, digest string) (t *Claim, first *Response, err error) {
 	b.mu.Lock()
-	if t, ok := b.mine[key]; ok {
+	if t, ok := b.byKey[key]; ok {
 		b.mu.Unlock()
-		return b.repeated(ctx, t, digest)
+		return b.awaitFirst(ctx, t, digest)
 	}
 	if b.closed {
 		b.mu.Unlock()
 		return nil, nil, ErrUnavailable{Cause: errors.New("the entry is ending")}
 	}
-	t = &Ticket{
-		key: key, made: make(chan struct{}), done: make(chan struct{}),
-		claim: claim{Digest: digest, Entry: b.entry, Token: newToken(), AtMs: time.Now().UnixMilli()},
+	t = &Claim{
+		key: key, committed: make(chan struct{}), done: make(chan struct{}),
+		record: claimRecord{Digest: digest, Entry: b.entry, Token: newToken(), AtMs: time.Now().UnixMilli()},
 	}
-	b.mine[key] = t
+	b.byKey[key] = t
 	b.pending = append(b.pending, t)
 	b.mu.Unlock()
 	b.wake()
 	// The claim goes on when its caller is gone: others may wait for it.
-	<-t.made
+	<-t.committed
 	if t.err != nil {
-		b.forget(t)
+		b.drop(t)
 		return nil, nil, t.err
 	}
 	return t, nil, nil
 }
 
-// repeated waits for the first request of a key at this entry.
-func (b *Book) repeated(ctx context.Context, t *Ticket, digest string) (*Ticket, *Answer, error) {
-	if t.claim.Digest != digest {
-		return nil, nil, ErrOtherBody{}
+// awaitFirst waits for the first request of a key at this entry.
+func (b *Claims) awaitFirst(ctx context.Context, t *Claim, digest string) (*Claim, *Response, error) {
+	if t.record.Digest != digest {
+		return nil, nil, ErrBodyMismatch{}
 	}
-	for _, event := range []chan struct{}{t.made, t.done} {
+	for _, event := range []chan struct{}{t.committed, t.done} {
 		select {
 		case <-event:
 		case <-ctx.Done():
-			return nil, nil, ErrTaken{Entry: b.entry}
+			return nil, nil, ErrClaimed{Entry: b.entry}
 		}
 		if t.err != nil {
 			return nil, nil, t.err
 		}
 	}
-	if t.answer == nil {
-		return nil, nil, ErrTaken{Entry: b.entry}
+	if t.response == nil {
+		return nil, nil, ErrClaimed{Entry: b.entry}
 	}
-	return nil, t.answer, nil
+	return nil, t.response, nil
 }
 
 // Finish notes that the request of a ticket ran or may have run; answer may be nil.
-func (b *Book) Finish(t *Ticket, answer *Answer) {
+func (b *Claims) Finish(t *Claim, answer *Response) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t.answer = answer
+	t.response = answer
 	close(t.done)
-	b.order = append(b.order, t.key)
-	if len(b.order) > heldAnswers {
-		delete(b.mine, b.order[0])
-		b.order = b.order[1:]
+	b.finished = append(b.finished, t.key)
+	if len(b.finished) > maxSavedResponses {
+		delete(b.byKey, b.finished[0])
+		b.finished = b.finished[1:]
 	}
 }
 
-// GiveBack notes that the request of a ticket certainly did not run.
-func (b *Book) GiveBack(t *Ticket) {
+// Release notes that the request of a ticket certainly did not run.
+func (b *Claims) Release(t *Claim) {
 	b.mu.Lock()
 	close(t.done)
-	delete(b.mine, t.key)
-	b.giveUp = append(b.giveUp, t.key)
+	delete(b.byKey, t.key)
+	b.toRelease = append(b.toRelease, t.key)
 	b.mu.Unlock()
 	b.wake()
 }
 
-// forget drops a ticket whose claim was not made.
-func (b *Book) forget(t *Ticket) {
+// drop drops a ticket whose claim was not made.
+func (b *Claims) drop(t *Claim) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.mine[t.key] == t {
-		delete(b.mine, t.key)
+	if b.byKey[t.key] == t {
+		delete(b.byKey, t.key)
 	}
 }
 
-func (b *Book) wake() {
+func (b *Claims) wake() {
 	select {
-	case b.kick <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -225,19 +225,19 @@
 }
 
 // Run writes claims until ctx ends; what is pending then is refused.
-func (b *Book) Run(ctx context.Context) error {
+func (b *Claims) Run(ctx context.Context) error {
 	var flushed time.Time
 	for {
 		select {
 		case <-ctx.Done():
-			b.refuseAll(ctx.Err())
+			b.rejectPending(ctx.Err())
 			return nil
-		case <-b.kick:
+		case <-b.wakeup:
 		}
-		if wait := Gap - time.Since(flushed); wait > 0 {
+		if wait := MinCommitInterval - time.Since(flushed); wait > 0 {
 			select {
 			case <-ctx.Done():
-				b.refuseAll(ctx.Err())
+				b.rejectPending(ctx.Err())
 				return nil
 			case <-time.After(wait):
 			}
@@ -247,86 +247,86 @@
 	}
 }
 
-func (b *Book) refuseAll(cause error) {
+func (b *Claims) rejectPending(cause error) {
 	b.mu.Lock()
 	pending := b.pending
 	b.pending, b.closed = nil, true
 	b.mu.Unlock()
 	for _, t := range pending {
-		t.settle(ErrUnavailable{Cause: cause})
+		t.resolve(ErrUnavailable{Cause: cause})
 	}
 }
 
-func (t *Ticket) settle(err error) {
+func (t *Claim) resolve(err error) {
 	t.err = err
-	close(t.made)
+	close(t.committed)
 }
 
-// take returns the next batch and the claims to give back.
-func (b *Book) take() (batch []*Ticket, giveUp []Key) {
+// nextBatch returns the next batch and the claims to give back.
+func (b *Claims) nextBatch() (batch []*Claim, toRelease []Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := min(batchSize, len(b.pending))
+	n := min(maxBatch, len(b.pending))
 	batch, b.pending = b.pending[:n:n], b.pending[n:]
-	giveUp, b.giveUp = b.giveUp, nil
+	toRelease, b.toRelease = b.toRelease, nil
 	if len(b.pending) > 0 {
 		b.wake()
 	}
-	return batch, giveUp
+	return batch, toRelease
 }
 
 // flush writes one batch.
-func (b *Book) flush(ctx context.Context) {
-	batch, giveUp := b.take()
-	if len(giveUp) > 0 {
-		b.remove(ctx, giveUp)
+func (b *Claims) flush(ctx context.Context) {
+	batch, toRelease := b.nextBatch()
+	if len(toRelease) > 0 {
+		b.releaseKeys(ctx, toRelease)
 	}
 	if len(batch) == 0 {
 		return
 	}
-	err := b.store.Commit(ctx, txnOf(batch))
+	err := b.store.Commit(ctx, claimTxn(batch))
 	switch {
 	case err == nil:
 		for _, t := range batch {
-			t.settle(nil)
+			t.resolve(nil)
 		}
 	case platform.IsConflict(err):
-		b.sort(ctx, batch)
+		b.resolveConflicts(ctx, batch)
 	case platform.IsUnknown(err):
 		for _, t := range batch {
-			t.settle(b.readBack(ctx, t))
+			t.resolve(b.readBack(ctx, t))
 		}
 	default:
 		for _, t := range batch {
-			t.settle(ErrUnavailable{Cause: err})
+			t.resolve(ErrUnavailable{Cause: err})
 		}
 	}
 }
 
-func txnOf(batch []*Ticket) (txn platform.Txn) {
+func claimTxn(batch []*Claim) (txn platform.Txn) {
 	for _, t := range batch {
-		value, err := json.Marshal(t.claim)
+		value, err := json.Marshal(t.record)
 		if err != nil {
 			panic(err) // a claim always encodes
 		}
-		txn.Conditions = append(txn.Conditions, platform.Condition{Key: prefix + string(t.key)})
-		txn.Writes = append(txn.Writes, platform.Write{Key: prefix + string(t.key), Value: value})
+		txn.Conditions = append(txn.Conditions, platform.Condition{Key: keyPrefix + string(t.key)})
+		txn.Writes = append(txn.Writes, platform.Write{Key: keyPrefix + string(t.key), Value: value})
 	}
 	return txn
 }
 
-// sort finds which keys of a batch were claimed before and tries the others again.
-func (b *Book) sort(ctx context.Context, batch []*Ticket) {
-	var again []*Ticket
+// resolveConflicts finds which keys of a batch were claimed before and tries the others again.
+func (b *Claims) resolveConflicts(ctx context.Context, batch []*Claim) {
+	var again []*Claim
 	for _, t := range batch {
 		held, err := b.read(ctx, t.key)
 		switch {
 		case err != nil:
-			t.settle(ErrUnavailable{Cause: err})
+			t.resolve(ErrUnavailable{Cause: err})
 		case held == nil:
 			again = append(again, t)
 		default:
-			t.settle(verdict(held, t))
+			t.resolve(checkRecord(held, t))
 		}
 	}
 	b.mu.Lock()
@@ -337,25 +337,25 @@
 	}
 }
 
-// verdict judges a claim that is in the table.
-func verdict(held *claim, t *Ticket) error {
+// checkRecord judges a claim that is in the table.
+func checkRecord(held *claimRecord, t *Claim) error {
 	switch {
-	case held.Token == t.claim.Token:
+	case held.Token == t.record.Token:
 		return nil
-	case held.Digest != t.claim.Digest:
-		return ErrOtherBody{}
+	case held.Digest != t.record.Digest:
+		return ErrBodyMismatch{}
 	}
-	return ErrTaken{Entry: held.Entry}
+	return ErrClaimed{Entry: held.Entry}
 }
 
 // readBack settles a claim whose answer was lost. A claim that is not there may
 // still arrive; its request is refused, so that it runs nowhere.
-func (b *Book) readBack(ctx context.Context, t *Ticket) error {
+func (b *Claims) readBack(ctx context.Context, t *Claim) error {
 	var last error
-	for range settleTries {
+	for range maxReadBacks {
 		held, err := b.read(ctx, t.key)
 		if err == nil && held != nil {
-			return verdict(held, t)
+			return checkRecord(held, t)
 		}
 		last = errors.New("the answer of the store was lost")
 		if err != nil {
@@ -364,42 +364,42 @@
 		select {
 		case <-ctx.Done():
 			return ErrUnavailable{Cause: ctx.Err()}
-		case <-time.After(settlePause):
+		case <-time.After(readBackInterval):
 		}
 	}
 	return ErrUnavailable{Cause: last}
 }
 
 // read returns a claim, nil when there is none.
-func (b *Book) read(ctx context.Context, key Key) (held *claim, err error) {
-	item, err := b.store.Get(ctx, prefix+string(key))
+func (b *Claims) read(ctx context.Context, key Key) (held *claimRecord, err error) {
+	item, err := b.store.Get(ctx, keyPrefix+string(key))
 	if err != nil || item.Version == 0 {
 		return nil, err
 	}
-	held = &claim{}
+	held = &claimRecord{}
 	return held, errors.Wrap(json.Unmarshal(item.Value, held), "decode claim")
 }
 
-// remove gives claims back, once: a second try could remove somebody else's claim.
-func (b *Book) remove(ctx context.Context, keys []Key) {
+// releaseKeys gives claims back, once: a second try could releaseKeys somebody else's claim.
+func (b *Claims) releaseKeys(ctx context.Context, keys []Key) {
 	var txn platform.Txn
 	for _, key := range keys {
-		txn.Writes = append(txn.Writes, platform.Write{Key: prefix + string(key), Remove: true})
+		txn.Writes = append(txn.Writes, platform.Write{Key: keyPrefix + string(key), Remove: true})
 	}
 	_ = b.store.Commit(ctx, txn) // a claim that stays only refuses repetitions
 }
 
 // Sweep removes claims older than their lifetime, a page at a time; it returns how many.
-func (b *Book) Sweep(ctx context.Context, now time.Time) (removed int, err error) {
-	from := prefix
+func (b *Claims) Sweep(ctx context.Context, now time.Time) (removed int, err error) {
+	from := keyPrefix
 	for {
-		items, err := b.store.Scan(ctx, from, prefix+"\xff", batchSize)
+		items, err := b.store.Scan(ctx, from, keyPrefix+"\xff", maxBatch)
 		if err != nil || len(items) == 0 {
 			return removed, errors.Wrap(err, "sweep claims")
 		}
 		var txn platform.Txn
 		for _, it := range items {
-			var c claim
+			var c claimRecord
 			if json.Unmarshal(it.Value, &c) == nil && now.Sub(time.UnixMilli(c.AtMs)) > Lifetime {
 				txn.Conditions = append(txn.Conditions, platform.Condition{Key: it.Key, Version: it.Version})
 				txn.Writes = append(txn.Writes, platform.Write{Key: it.Key, Remove: true})
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -19,24 +19,24 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// world is several entries' books over one store, and a count of what ran.
-type world struct {
+// harness is several entries' books over one store, and a count of what ran.
+type harness struct {
 	store  *fake.Platform
 	wrap   func(platform.Table) platform.Table
-	books  []*once.Book
+	books  []*once.Claims
 	cancel []context.CancelFunc
 	wg     sync.WaitGroup
 
 	mu     sync.Mutex
 	ran    map[string]int // by key
 	bodies map[string]string
-	wrong  []string
+	problems  []string
 }
 
 const entries = 3
 
-func newWorld(wrap func(platform.Table) platform.Table) *world {
-	w := &world{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, ran: map[string]int{}, bodies: map[string]string{}}
+func newHarness(wrap func(platform.Table) platform.Table) *harness {
+	w := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, ran: map[string]int{}, bodies: map[string]string{}}
 	for range entries {
 		w.books = append(w.books, nil)
 		w.cancel = append(w.cancel, func() {})
@@ -48,7 +48,7 @@
 }
 
 // start begins an entry anew; what it held is lost.
-func (w *world) start(i int) {
+func (w *harness) start(i int) {
 	w.cancel[i]()
 	ctx, cancel := context.WithCancel(context.Background())
 	b := once.New(w.wrap(w.store.View("z")), fmt.Sprintf("entry-%d", i))
@@ -56,52 +56,52 @@
 	w.wg.Go(func() { _ = b.Run(ctx) })
 }
 
-// fate is what becomes of a request that may run.
-type fate string
+// result is what becomes of a request that may run.
+type result string
 
 const (
-	answered fate = "answered"
-	unknown  fate = "unknown" // it runs and no answer comes
-	never    fate = "never"   // it certainly does not run
+	answered result = "answered"
+	unknown  result = "unknown" // it runs and no answer comes
+	never    result = "never"   // it certainly does not run
 )
 
 // request sends a request with a key to an entry, as the request path does.
-func (w *world) request(b *once.Book, key, body string, f fate, took time.Duration) {
+func (w *harness) request(b *once.Claims, key, body string, f result, took time.Duration) {
 	t, first, err := b.Claim(context.Background(), once.NewKey("r", "c", key), once.Digest([]byte(body)))
 	switch {
 	case err != nil:
 		return
 	case first != nil:
-		w.judge(key, body, string(first.Body) == key+body)
+		w.checkResponse(key, body, string(first.Body) == key+body)
 		return
 	case f == never:
-		b.GiveBack(t)
+		b.Release(t)
 		return
 	}
 	w.mu.Lock()
 	w.ran[key]++
 	if other, ok := w.bodies[key]; ok && other != body {
-		w.wrong = append(w.wrong, "two bodies ran under "+key)
+		w.problems = append(w.problems, "two bodies ran under "+key)
 	}
 	w.bodies[key] = body
 	w.mu.Unlock()
 	time.Sleep(took)
-	var answer *once.Answer
+	var answer *once.Response
 	if f == answered {
-		answer = &once.Answer{Status: 200, Body: []byte(key + body)}
+		answer = &once.Response{Status: 200, Body: []byte(key + body)}
 	}
 	b.Finish(t, answer)
 }
 
-func (w *world) judge(key, body string, ok bool) {
+func (w *harness) checkResponse(key, body string, ok bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !ok {
-		w.wrong = append(w.wrong, "another answer for "+key+body)
+		w.problems = append(w.problems, "another answer for "+key+body)
 	}
 }
 
-func (w *world) check(t *rapid.T) {
+func (w *harness) check(t *rapid.T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for key, n := range w.ran {
@@ -109,15 +109,15 @@
 			t.Fatalf("%s ran %d times", key, n)
 		}
 	}
-	if len(w.wrong) > 0 {
-		t.Fatalf("%s", w.wrong[0])
+	if len(w.problems) > 0 {
+		t.Fatalf("%s", w.problems[0])
 	}
 }
 
 // machine is the property: repetitions at any entries, lost answers, outages,
 // crashes; nothing runs twice and no answer is another's.
 func machine(t *rapid.T, wrap func(platform.Table) platform.Table) {
-	w := newWorld(wrap)
+	w := newHarness(wrap)
 	defer func() {
 		w.store.SetRules()
 		for _, cancel := range w.cancel {
@@ -132,7 +132,7 @@
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				i, key := index.Draw(t, "entry"), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				body := rapid.SampledFrom([]string{"x", "x", "y"}).Draw(t, "body")
-				f := rapid.SampledFrom([]fate{answered, unknown, never}).Draw(t, "fate")
+				f := rapid.SampledFrom([]result{answered, unknown, never}).Draw(t, "fate")
 				took := time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
 				b := w.books[i]
 				w.wg.Go(func() { w.request(b, key, body, f, took) })
@@ -155,25 +155,25 @@
 	w.check(t)
 }
 
-func sound(t platform.Table) platform.Table { return t }
+func unmodified(t platform.Table) platform.Table { return t }
 
-// forgetful drops the conditions of every transaction.
-type forgetful struct{ platform.Table }
+// unconditional drops the conditions of every transaction.
+type unconditional struct{ platform.Table }
 
-func (f forgetful) Commit(ctx context.Context, txn platform.Txn) error {
+func (f unconditional) Commit(ctx context.Context, txn platform.Txn) error {
 	txn.Conditions = nil
 	return f.Table.Commit(ctx, txn)
 }
 
 // TestMachine proves at most once under races, faults and crashes.
 func TestMachine(t *testing.T) {
-	prop.Check(t, func(rt *rapid.T) { machine(rt, sound) })
+	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
 // TestPlanted drops the condition that a key is new: the property must see it.
 func TestPlanted(t *testing.T) {
 	qt.Assert(t, prop.Finds(t, func(rt *rapid.T) {
-		machine(rt, func(t platform.Table) platform.Table { return forgetful{t} })
+		machine(rt, func(t platform.Table) platform.Table { return unconditional{t} })
 	}), qt.IsTrue)
 }
 
@@ -215,14 +215,14 @@
 		key := once.NewKey("r", "c", "k")
 		ticket, _, err := a.Claim(ctx, key, "d")
 		c.Assert(err, qt.IsNil)
-		a.Finish(ticket, &once.Answer{Status: 201})
+		a.Finish(ticket, &once.Response{Status: 201})
 		_, first, err := a.Claim(ctx, key, "d")
 		c.Assert(err, qt.IsNil)
 		c.Check(first.Status, qt.Equals, 201)
 		_, _, err = a.Claim(ctx, key, "other")
-		c.Check(errors.As(err, new(once.ErrOtherBody)), qt.IsTrue)
+		c.Check(errors.As(err, new(once.ErrBodyMismatch)), qt.IsTrue)
 		_, _, err = b.Claim(ctx, key, "other")
-		c.Check(errors.As(err, new(once.ErrOtherBody)), qt.IsTrue)
+		c.Check(errors.As(err, new(once.ErrBodyMismatch)), qt.IsTrue)
 		_, _, err = b.Claim(ctx, key, "d")
 		c.Check(err, qt.ErrorMatches, ".*entry-a")
 		store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: fake.FaultDown})
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -74,8 +74,8 @@
 	return ErrRequest{Status: status, Outcome: OutcomeNotRun, Reason: reason, Detail: detail}
 }
 
-// comeBack adds the advice when to try again.
-func (e ErrRequest) comeBack(d time.Duration) ErrRequest {
+// withRetryAfter adds the advice when to try again.
+func (e ErrRequest) withRetryAfter(d time.Duration) ErrRequest {
 	e.RetryAfter = d
 	return e
 }
--- a/pkg/gateway/pick.go
+++ b/pkg/gateway/pick.go
@@ -8,12 +8,12 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// pick claims a server that has not been tried; the caller releases it.
-func (x *exchange) pick() (server *Server, ok bool) {
+// claimServer claims a server that has not been tried; the caller releases it.
+func (x *exchange) claimServer() (server *Server, ok bool) {
 	svc := x.route.service
 	for _, lenient := range []bool{false, true} {
 		for range maxAttempts {
-			server, ok = x.choose(svc, lenient)
+			server, ok = x.chooseServer(svc, lenient)
 			if !ok {
 				break
 			}
@@ -25,12 +25,12 @@
 	return nil, false
 }
 
-// crossing is the extra time of another zone, as a cost in nanoseconds.
-const crossing = float64(time.Millisecond)
+// crossZoneCost is the extra time of another zone, as a cost in nanoseconds.
+const crossZoneCost = float64(time.Millisecond)
 
-// choose returns the best server by the policy, of the own zone unless another one's is better by more than the crossing.
-func (x *exchange) choose(svc *service, lenient bool) (server *Server, ok bool) {
-	skip := func(s *Server) bool { return x.wasTried(s) || !s.roomFor(x.route.Class) }
+// chooseServer returns the best server by the policy, of the own zone unless another one's is better by more than the crossing.
+func (x *exchange) chooseServer(svc *service, lenient bool) (server *Server, ok bool) {
+	skip := func(s *Server) bool { return x.wasTried(s) || !s.hasCapacity(x.route.Class) }
 	if lenient {
 		return x.chooseLenient(svc)
 	}
@@ -43,7 +43,7 @@
 	local, okLocal := x.g.policy.Pick(svc.local, skip)
 	remote, okRemote := x.g.policy.Pick(svc.remote, skip)
 	switch {
-	case okLocal && okRemote && remote.Cost()+crossing < local.Cost():
+	case okLocal && okRemote && remote.Cost()+crossZoneCost < local.Cost():
 		return remote, true
 	case okLocal:
 		return local, true
@@ -58,7 +58,7 @@
 func (x *exchange) chooseSticky(svc *service, room string) (server *Server, ok bool) {
 	var best uint64
 	for _, s := range svc.all {
-		if !s.Usable() || x.wasTried(s) || !s.roomFor(x.route.Class) {
+		if !s.Usable() || x.wasTried(s) || !s.hasCapacity(x.route.Class) {
 			continue
 		}
 		if h := xxhash.Sum64String(room + "\x00" + s.Name); !ok || h > best {
@@ -74,7 +74,7 @@
 	for _, servers := range [][]*Server{svc.local, svc.remote} {
 		start := 0
 		if len(servers) > 0 {
-			start = int(x.began.UnixNano()) % len(servers)
+			start = int(x.start.UnixNano()) % len(servers)
 		}
 		for i := range servers {
 			if s := servers[(start+i)%len(servers)]; s.usable(true) && !x.wasTried(s) {
--- a/pkg/gateway/relay.go
+++ b/pkg/gateway/relay.go
@@ -7,44 +7,44 @@
 	"sync"
 )
 
-// firstPart is how much of an answer is read before the caller is sent any of
+// prefixSize is how much of an answer is read before the caller is sent any of
 // it, so that one which breaks off there can still be reported or, where that
 // is allowed, asked for again. Most answers are whole by then.
-const firstPart = 64 << 10
+const prefixSize = 64 << 10
 
-var copyBuffers = sync.Pool{New: func() any { b := make([]byte, firstPart); return &b }}
+var bufferPool = sync.Pool{New: func() any { b := make([]byte, prefixSize); return &b }}
 
 // relay sends an answer to the caller.
 func (x *exchange) relay(a *attempt) error {
-	x.answerHeader(a.resp, a.server)
-	if x.streams() {
-		bufp := copyBuffers.Get().(*[]byte)
-		defer copyBuffers.Put(bufp)
-		return brokenOff(x.stream(a.resp.Body, *bufp))
+	x.writeHeader(a.resp, a.server)
+	if x.isStreaming() {
+		bufp := bufferPool.Get().(*[]byte)
+		defer bufferPool.Put(bufp)
+		return responseBroken(x.stream(a.resp.Body, *bufp))
 	}
-	_, err := x.w.Write((*a.first)[:a.n])
-	if a.whole || x.r.Method == http.MethodHead {
+	_, err := x.w.Write((*a.prefix)[:a.prefixLen])
+	if a.complete || x.r.Method == http.MethodHead {
 		return nil // that was all; a caller that is gone needs no answer
 	}
 	if err != nil {
-		return brokenOff(err)
+		return responseBroken(err)
 	}
-	_, err = io.CopyBuffer(onlyWriter{x.w}, onlyReader{a.resp.Body}, *a.first)
-	return brokenOff(err)
+	_, err = io.CopyBuffer(onlyWriter{x.w}, onlyReader{a.resp.Body}, *a.prefix)
+	return responseBroken(err)
 }
 
-// brokenOff is the error of an answer that the caller has been sent a part of.
-func brokenOff(err error) error {
+// responseBroken is the error of an answer that the caller has been sent a part of.
+func responseBroken(err error) error {
 	if err == nil {
 		return nil
 	}
-	return errAnswerBroken{cause: ErrRequest{
+	return errResponseBroken{cause: ErrRequest{
 		Outcome: OutcomeUnknown, Reason: ReasonBroken, Detail: "the answer broke off: " + err.Error(),
 	}}
 }
 
-// fill reads until the buffer is full; io.EOF tells that the source ended as it should.
-func fill(r io.Reader, buf []byte) (n int, err error) {
+// readFull reads until the buffer is full; io.EOF tells that the source ended as it should.
+func readFull(r io.Reader, buf []byte) (n int, err error) {
 	for n < len(buf) && err == nil {
 		var m int
 		m, err = r.Read(buf[n:])
@@ -56,11 +56,11 @@
 // onlyWriter hides every other method of a writer.
 type onlyWriter struct{ io.Writer }
 
-// answerHeader sends the status and the headers of an answer.
-func (x *exchange) answerHeader(resp *http.Response, server *Server) {
+// writeHeader sends the status and the headers of an answer.
+func (x *exchange) writeHeader(resp *http.Response, server *Server) {
 	h := x.w.Header()
-	passOn(h, resp.Header)
-	x.ownHeaders(h) // ours win over the backend server's
+	copyHeaders(h, resp.Header)
+	x.setGatewayHeaders(h) // ours win over the backend server's
 	h.Set(HeaderOutcome, string(OutcomeRan))
 	h.Set(HeaderServer, server.Name)
 	x.w.WriteHeader(resp.StatusCode)
@@ -98,7 +98,7 @@
 		return ErrRequest{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Reason: ReasonUpgradeFailed, Detail: "the backend server's connection cannot be written to"}
 	}
 	h := x.w.Header()
-	passOn(h, resp.Header)
+	copyHeaders(h, resp.Header)
 	h.Set("Connection", "Upgrade")
 	h.Set("Upgrade", resp.Header.Get("Upgrade"))
 	h.Set(HeaderOutcome, string(OutcomeRan))
--- a/pkg/gateway/retry/retry.go
+++ b/pkg/gateway/retry/retry.go
@@ -26,15 +26,15 @@
 // NewBudget returns a budget of ratio second attempts for each first one.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, tokens: burstTokens} }
 
-// Earn notes a first attempt.
-func (b *Budget) Earn() {
+// Deposit notes a first attempt.
+func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(burstTokens, b.tokens+b.ratio)
 }
 
-// Spend takes a second attempt; false when there is none left.
-func (b *Budget) Spend() bool {
+// TryWithdraw takes a second attempt; false when there is none left.
+func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -46,21 +46,21 @@
 
 // The pause before another attempt grows from the first to the longest.
 const (
-	firstPause   = 2 * time.Millisecond
-	longestPause = 50 * time.Millisecond
+	minBackoff   = 2 * time.Millisecond
+	maxBackoff = 50 * time.Millisecond
 )
 
-// Pause returns how long to wait before the n-th second attempt, from 1, spread
+// Backoff returns how long to wait before the n-th second attempt, from 1, spread
 // over its whole length so that callers do not come back together.
-func Pause(n int) time.Duration {
-	d := min(longestPause, firstPause<<(n-1))
+func Backoff(n int) time.Duration {
+	d := min(maxBackoff, minBackoff<<(n-1))
 	return rand.N(d)
 }
 
 // Quantile follows a quantile of a changing distribution by small steps.
 type Quantile struct {
 	q    float64
-	seen atomic.Int64
+	samples atomic.Int64
 	bits atomic.Uint64 // of the estimate in nanoseconds
 }
 
@@ -68,17 +68,17 @@
 func NewQuantile(q float64) *Quantile { return &Quantile{q: q} }
 
 const (
-	stepShare = 0.05 // of the estimate, for one sample
+	stepFraction = 0.05 // of the estimate, for one sample
 	stepScale = 2    // a rise takes 9.5% of the 0.95-quantile, a fall 0.5%
-	warmUp    = 50   // samples before the estimate is used
+	minSamples    = 50   // samples before the estimate is used
 )
 
 // Observe takes a sample in; samples that race may overwrite each other, which a step of a few percent allows.
 func (e *Quantile) Observe(d time.Duration) {
 	old := math.Float64frombits(e.bits.Load())
 	x := float64(d)
-	n := e.seen.Add(1)
-	step := old * stepShare
+	n := e.samples.Add(1)
+	step := old * stepFraction
 	switch {
 	case n == 1:
 		old = x
@@ -92,5 +92,5 @@
 
 // Value returns the estimate; ok is false while there are too few samples.
 func (e *Quantile) Value() (d time.Duration, ok bool) {
-	return time.Duration(math.Float64frombits(e.bits.Load())), e.seen.Load() >= warmUp
+	return time.Duration(math.Float64frombits(e.bits.Load())), e.samples.Load() >= minSamples
 }
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -22,9 +22,9 @@
 	SourcePassive                    // exchanges that fail
 )
 
-// soft are the sources that may be wrong about a whole service at once: when
+// advisorySources are the sources that may be wrong about a whole service at once: when
 // they close every server of it, they are not believed.
-const soft = SourceHealth | SourcePassive
+const advisorySources = SourceHealth | SourcePassive
 
 // The latency estimate.
 const (
@@ -41,11 +41,11 @@
 	closed    atomic.Uint32 // sources that close it
 	inFlight  atomic.Int64
 	limit     *limit.Adaptive
-	highest   atomic.Int64  // requests in flight at the most, whatever the limit adapts to
-	opened    atomic.Int64  // when it was opened again, Unix nanoseconds
+	maxInFlight   atomic.Int64  // requests in flight at the most, whatever the limit adapts to
+	openedAt    atomic.Int64  // when it was opened again, Unix nanoseconds
 	ejections atomic.Int64  // passive closings in a row
 	latency   atomic.Uint64 // peak-sensitive average in nanoseconds, as float bits
-	sampled   atomic.Int64  // time of the last sample, Unix nanoseconds
+	sampledAt   atomic.Int64  // time of the last sample, Unix nanoseconds
 	failures  atomic.Int64  // exchanges that failed in a row
 	reopenAt  atomic.Int64  // end of a passive closing, Unix nanoseconds
 	transport *http.Transport
@@ -56,19 +56,19 @@
 
 // usable tells whether the server takes work; lenient leaves soft sources out.
 func (s *Server) usable(lenient bool) bool {
-	return s.open(lenient) && s.inFlight.Load() < s.room()
+	return s.open(lenient) && s.inFlight.Load() < s.capacity()
 }
 
-// roomFor tells whether a request of a class may join those in flight.
-func (s *Server) roomFor(class schema.Class) bool {
-	return s.limit == nil || s.inFlight.Load() < limit.Room(s.room(), class)
+// hasCapacity tells whether a request of a class may join those in flight.
+func (s *Server) hasCapacity(class schema.Class) bool {
+	return s.limit == nil || s.inFlight.Load() < limit.ClassLimit(s.capacity(), class)
 }
 
 // open tells that no source closes the server.
 func (s *Server) open(lenient bool) bool {
 	closed := Source(s.closed.Load())
 	if lenient {
-		closed &^= soft
+		closed &^= advisorySources
 	}
 	if closed&SourcePassive != 0 && time.Now().UnixNano() >= s.reopenAt.Load() {
 		closed &^= SourcePassive
@@ -76,12 +76,12 @@
 	return closed == 0
 }
 
-// room is how many requests the server may have in flight from this entry.
-func (s *Server) room() int64 {
+// capacity is how many requests the server may have in flight from this entry.
+func (s *Server) capacity() int64 {
 	if s.limit == nil {
-		return s.highest.Load()
+		return s.maxInFlight.Load()
 	}
-	return min(s.limit.Limit(), s.highest.Load())
+	return min(s.limit.Limit(), s.maxInFlight.Load())
 }
 
 // Cost implements balance.Target: expected wait, as latency times the queue that
@@ -90,10 +90,10 @@
 func (s *Server) Cost() float64 {
 	now := time.Now().UnixNano()
 	latency := math.Float64frombits(s.latency.Load())
-	latency *= math.Exp(-float64(now-s.sampled.Load()) / float64(latencyDecay))
+	latency *= math.Exp(-float64(now-s.sampledAt.Load()) / float64(latencyDecay))
 	cost := max(latency, float64(latencyFloor)) * float64(s.inFlight.Load()+1)
-	if age := now - s.opened.Load(); age < int64(slowStart) {
-		cost *= 1 + slowStartFactor*(1-float64(age)/float64(slowStart))
+	if age := now - s.openedAt.Load(); age < int64(slowStart) {
+		cost *= 1 + slowStartPenalty*(1-float64(age)/float64(slowStart))
 	}
 	return cost
 }
@@ -101,7 +101,7 @@
 // Slow start: a server that is opened costs this much more at first.
 const (
 	slowStart       = 5 * time.Second
-	slowStartFactor = 4
+	slowStartPenalty = 4
 )
 
 // claim counts a request in flight, unless the server has been closed or is full.
@@ -109,11 +109,11 @@
 // The count comes first and the look at the sources second; see the package comment.
 func (s *Server) claim(class schema.Class, lenient bool) bool {
 	n := s.inFlight.Add(1)
-	room := s.room()
+	capacity := s.capacity()
 	if s.limit != nil {
-		room = limit.Room(room, class)
+		capacity = limit.ClassLimit(capacity, class)
 	}
-	if s.open(lenient) && n <= room {
+	if s.open(lenient) && n <= capacity {
 		return true
 	}
 	s.release()
@@ -122,8 +122,8 @@
 
 func (s *Server) release() { s.inFlight.Add(-1) }
 
-// mark sets or clears a source; idle connections of a server that closes are dropped.
-func (s *Server) mark(src Source, closed bool) {
+// setClosed sets or clears a source; idle connections of a server that closes are dropped.
+func (s *Server) setClosed(src Source, closed bool) {
 	if !closed {
 		s.closed.And(^uint32(src))
 		return
@@ -139,17 +139,17 @@
 	if Source(s.closed.Load())&SourceTable != 0 && !closed {
 		s.failures.Store(0)
 		s.ejections.Store(0)
-		s.opened.Store(time.Now().UnixNano())
+		s.openedAt.Store(time.Now().UnixNano())
 		s.closed.Store(0)
 		return
 	}
-	s.mark(SourceTable, closed)
+	s.setClosed(SourceTable, closed)
 }
 
 // observe takes a sample into the latency estimate: a rise counts at once, a fall slowly.
 func (s *Server) observe(d time.Duration) {
 	now := time.Now().UnixNano()
-	last := s.sampled.Swap(now)
+	last := s.sampledAt.Swap(now)
 	old := math.Float64frombits(s.latency.Load())
 	sample := float64(d)
 	if sample < old {
@@ -162,30 +162,30 @@
 // Passive closing: a server is left alone for a while after failures in a row,
 // each time for longer.
 const (
-	failuresToClose = 3
-	firstClosing    = time.Second
-	longestClosing  = 30 * time.Second
+	failuresToEject = 3
+	minEjection    = time.Second
+	maxEjection  = 30 * time.Second
 )
 
-// succeed notes an exchange that was answered.
-func (s *Server) succeed() {
+// recordSuccess notes an exchange that was answered.
+func (s *Server) recordSuccess() {
 	if s.failures.Swap(0) != 0 {
 		s.ejections.Store(0)
-		s.mark(SourcePassive, false)
+		s.setClosed(SourcePassive, false)
 	}
 }
 
-// fail notes an exchange that broke; may tells whether the server may be closed for it.
-func (s *Server) fail(may func() bool) {
+// recordFailure notes an exchange that broke; may tells whether the server may be closed for it.
+func (s *Server) recordFailure(mayEject func() bool) {
 	n := s.failures.Add(1)
-	again := s.ejections.Load()
-	if n < failuresToClose && again == 0 || !may() {
+	ejections := s.ejections.Load()
+	if n < failuresToEject && ejections == 0 || !mayEject() {
 		return // the first failure after a closing closes again
 	}
-	pause := min(longestClosing, firstClosing<<min(again, 5))
+	ejection := min(maxEjection, minEjection<<min(ejections, 5))
 	s.ejections.Add(1)
-	s.reopenAt.Store(time.Now().Add(pause).UnixNano())
-	s.mark(SourcePassive, true)
+	s.reopenAt.Store(time.Now().Add(ejection).UnixNano())
+	s.setClosed(SourcePassive, true)
 }
 
 // ejected tells that passive closing keeps the server from work now.
--- a/pkg/gateway/view.go
+++ b/pkg/gateway/view.go
@@ -22,7 +22,7 @@
 type routeState struct {
 	slots    chan struct{}  // caps the requests in flight
 	baseline limit.Baseline // undisturbed latency
-	late     *retry.Quantile
+	hedgeDelay     *retry.Quantile
 }
 
 // service is the servers of a service in the order of preference.
@@ -45,7 +45,7 @@
 const (
 	retryShare = 0.08
 	hedgeShare = 0.05
-	lateShare  = 0.95
+	hedgeQuantile  = 0.95
 )
 
 // each calls f with every server until it returns false.
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// makeView builds the view of a snapshot; servers and slots are kept from earlier ones.
-func (g *Gateway) makeView(snap *table.Snapshot) *view {
+// newView builds the view of a snapshot; servers and slots are kept from earlier ones.
+func (g *Gateway) newView(snap *table.Snapshot) *view {
 	services := map[string]*service{}
 	for _, name := range snap.Services.Names() {
 		services[name] = &service{name: name, serviceState: g.serviceStateOf(name)}
@@ -141,7 +141,7 @@
 func (g *Gateway) routeStateOf(name string, n int) *routeState {
 	s, ok := g.routes[name]
 	if !ok || cap(s.slots) != n {
-		s = &routeState{slots: make(chan struct{}, n), late: retry.NewQuantile(lateShare)}
+		s = &routeState{slots: make(chan struct{}, n), hedgeDelay: retry.NewQuantile(hedgeQuantile)}
 		g.routes[name] = s
 	}
 	return s
@@ -168,12 +168,12 @@
 			server = g.newServer(name, snap.ZoneOf(name), vm.Address)
 			g.servers[name] = server
 		}
-		server.highest.Store(int64(snap.Services[snap.Pools[vm.Pool].Value.Service].Value.MaxInFlight))
+		server.maxInFlight.Store(int64(snap.Services[snap.Pools[vm.Pool].Value.Service].Value.MaxInFlight))
 		server.setTable(vm.Phase != schema.PhaseActive || vm.Pool == "")
 	}
 	for name, server := range g.servers {
 		if _, ok := snap.VMs[name]; !ok {
-			server.mark(SourceTable, true)
+			server.setClosed(SourceTable, true)
 			delete(g.servers, name)
 		}
 	}
