--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -32,8 +32,8 @@
 	Path   string // with the query
 	Header []Field
 	Body   []byte // JSON, none when nil
-	// Wait is for how long the host may hold its answer back by agreement; only what goes beyond it is silence.
-	Wait time.Duration
+	// LongPoll is for how long the host may hold its answer back by agreement; only what goes beyond it is silence.
+	LongPoll time.Duration
 	// Silence is the longest time, beyond Wait for the first byte, in which no byte
 	// of the answer comes; 0 for the whole time that the context leaves.
 	Silence time.Duration
--- a/pkg/httpc/conn.go
+++ b/pkg/httpc/conn.go
@@ -65,10 +65,10 @@
 	k.silence, k.heard, k.readErr = r.Silence, false, nil
 	first := k.until
 	if k.silence > 0 {
-		first = earlier(k.until, time.Now().Add(r.Wait+k.silence))
+		first = earlier(k.until, time.Now().Add(r.LongPoll+k.silence))
 	}
 	_ = k.SetDeadline(first)
-	k.client.begin(k, r.Wait)
+	k.client.begin(k, r.LongPoll)
 }
 
 func (k *conn) send(r *Request) (sent bool, err error) {
