--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -34,9 +34,9 @@
 	Body   []byte // JSON, none when nil
 	// LongPoll is for how long the host may hold its answer back by agreement; only what goes beyond it is silence.
 	LongPoll time.Duration
-	// Silence is the longest time, beyond Wait for the first byte, in which no byte
+	// IdleTimeout is the longest time, beyond Wait for the first byte, in which no byte
 	// of the answer comes; 0 for the whole time that the context leaves.
-	Silence time.Duration
+	IdleTimeout time.Duration
 }
 
 // Response is what a host answered.
--- a/pkg/httpc/client_test.go
+++ b/pkg/httpc/client_test.go
@@ -64,7 +64,7 @@
 	case "call":
 		r := httpc.Request{
 			Method: arg("method", "POST"), Host: s.address(), Path: "/path?a=b", Body: []byte(arg("body", "{}")),
-			Header: []httpc.Field{{Name: "Expect-Boot", Value: "b1"}}, LongPoll: within("wait"), Silence: within("silence"),
+			Header: []httpc.Field{{Name: "Expect-Boot", Value: "b1"}}, LongPoll: within("wait"), IdleTimeout: within("silence"),
 		}
 		if r.Method == "GET" {
 			r.Body = nil
--- a/pkg/httpc/conn.go
+++ b/pkg/httpc/conn.go
@@ -62,7 +62,7 @@
 // begin notes the bounds of a request.
 func (k *conn) begin(ctx context.Context, r *Request) {
 	k.until, _ = ctx.Deadline()
-	k.silence, k.heard, k.readErr = r.Silence, false, nil
+	k.silence, k.heard, k.readErr = r.IdleTimeout, false, nil
 	first := k.until
 	if k.silence > 0 {
 		first = earlier(k.until, time.Now().Add(r.LongPoll+k.silence))
