--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	// maxBody bounds the body of an answer that is read, in bytes.
-	maxBody = 8 << 20
-	// readBuffer holds the usual answer of a worker in one read, in bytes.
-	readBuffer = 2 << 10
+	// maxBodyBytes bounds the body of an answer that is read, in bytes.
+	maxBodyBytes = 8 << 20
+	// readBufferBytes holds the usual answer of a worker in one read, in bytes.
+	readBufferBytes = 2 << 10
 )
 
 // Field is a header of a request or an answer.
@@ -84,7 +84,7 @@
 
 	mu    sync.Mutex
 	hosts map[string]*host
-	swept time.Time // when idle connections were last gone through
+	lastSweep time.Time // when idle connections were last gone through
 }
 
 // Option changes how a Client is made.
@@ -101,7 +101,7 @@
 
 // New returns a client without connections.
 func New(opts ...Option) *Client {
-	c := &Client{dial: dial.Context, maxIdle: defaultMaxIdle, hosts: map[string]*host{}, swept: time.Now()}
+	c := &Client{dial: dial.Context, maxIdle: defaultMaxIdle, hosts: map[string]*host{}, lastSweep: time.Now()}
 	for _, o := range opts {
 		o(c)
 	}
@@ -114,15 +114,15 @@
 // goes out again on another connection.
 func (c *Client) Do(ctx context.Context, r *Request) (resp Response, err error) {
 	for {
-		k, err := c.take(ctx, r.Host)
+		k, err := c.getConn(ctx, r.Host)
 		if err != nil {
 			return resp, ErrNotSent{Cause: err}
 		}
-		sent, err := k.exchange(ctx, r, &resp)
+		sent, err := k.roundTrip(ctx, r, &resp)
 		if err == nil {
 			return resp, nil
 		}
-		if k.kept && ctx.Err() == nil && (!sent || r.Method == fasthttp.MethodGet && errors.As(err, new(errClosed))) {
+		if k.reused && ctx.Err() == nil && (!sent || r.Method == fasthttp.MethodGet && errors.As(err, new(errClosed))) {
 			continue
 		}
 		return resp, ErrNoAnswer{Cause: err}
@@ -137,7 +137,7 @@
 var (
 	requestHeaders = sync.Pool{New: func() any { return new(fasthttp.RequestHeader) }}
 	buffers        = sync.Pool{New: func() any { return new([]byte) }}
-	readers        = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBuffer) }}
+	readers        = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 )
 
 // encode appends the request as it goes over the wire.
@@ -162,7 +162,7 @@
 func decode(r *bufio.Reader, resp *Response) (keep bool, err error) {
 	got := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(got)
-	if err := got.ReadLimitBody(r, maxBody); err != nil {
+	if err := got.ReadLimitBody(r, maxBodyBytes); err != nil {
 		return false, err
 	}
 	resp.Status = got.StatusCode()
--- a/pkg/httpc/conn.go
+++ b/pkg/httpc/conn.go
@@ -21,31 +21,31 @@
 	host   *host           // of the request under way
 	raw    syscall.RawConn // nil where the connection is no socket
 
-	kept    bool      // it has carried a request before
-	heardAt time.Time // when it was opened or last answered
+	reused    bool      // it has carried a request before
+	lastReceived time.Time // when it was opened or last answered
 
 	// Of the request under way.
 	sentAt  time.Time
 	dueAt   time.Time     // from when its answer is overdue
-	until   time.Time     // when the request ends, zero for never
-	silence time.Duration // longest time without a byte, 0 for no such bound
-	heard   bool          // a byte of the answer has come
+	deadline   time.Time     // when the request ends, zero for never
+	idleTimeout time.Duration // longest time without a byte, 0 for no such bound
+	received   bool          // a byte of the answer has come
 	readErr error         // of the last read
 }
 
-// exchange sends a request and reads its answer; sent tells whether the host may
+// roundTrip sends a request and reads its answer; sent tells whether the host may
 // have got any of it. Afterwards the connection is kept or closed.
-func (k *conn) exchange(ctx context.Context, r *Request, resp *Response) (sent bool, err error) {
-	k.begin(ctx, r)
+func (k *conn) roundTrip(ctx context.Context, r *Request, resp *Response) (sent bool, err error) {
+	k.setDeadlines(ctx, r)
 	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(time.Unix(1, 0)) })
 	keep := false
 	defer func() {
 		// Once the function for the end of ctx has begun, it may still strike the next request.
 		keep = stop() && keep
-		k.client.done(k, keep, err)
+		k.client.finishRequest(k, keep, err)
 	}()
 	if sent, err = k.send(r); err != nil {
-		return sent, k.cause(ctx, err)
+		return sent, k.classifyError(ctx, err)
 	}
 	in := readers.Get().(*bufio.Reader)
 	defer readers.Put(in)
@@ -54,21 +54,21 @@
 		if k.readErr != nil {
 			err = k.readErr // the decoder does not tell which error it met
 		}
-		return true, k.cause(ctx, err)
+		return true, k.classifyError(ctx, err)
 	}
 	return true, nil
 }
 
-// begin notes the bounds of a request.
-func (k *conn) begin(ctx context.Context, r *Request) {
-	k.until, _ = ctx.Deadline()
-	k.silence, k.heard, k.readErr = r.IdleTimeout, false, nil
-	first := k.until
-	if k.silence > 0 {
-		first = earlier(k.until, time.Now().Add(r.LongPoll+k.silence))
+// setDeadlines notes the bounds of a request.
+func (k *conn) setDeadlines(ctx context.Context, r *Request) {
+	k.deadline, _ = ctx.Deadline()
+	k.idleTimeout, k.received, k.readErr = r.IdleTimeout, false, nil
+	first := k.deadline
+	if k.idleTimeout > 0 {
+		first = earlier(k.deadline, time.Now().Add(r.LongPoll+k.idleTimeout))
 	}
 	_ = k.SetDeadline(first)
-	k.client.begin(k, r.LongPoll)
+	k.client.startRequest(k, r.LongPoll)
 }
 
 func (k *conn) send(r *Request) (sent bool, err error) {
@@ -95,9 +95,9 @@
 func (k *conn) Read(p []byte) (n int, err error) {
 	n, err = k.Conn.Read(p)
 	if n > 0 {
-		k.heard = true
-		if k.silence > 0 {
-			_ = k.SetReadDeadline(earlier(k.until, time.Now().Add(k.silence)))
+		k.received = true
+		if k.idleTimeout > 0 {
+			_ = k.SetReadDeadline(earlier(k.deadline, time.Now().Add(k.idleTimeout)))
 		}
 	}
 	k.readErr = err
@@ -112,35 +112,35 @@
 	return a
 }
 
-// cause tells why a request failed.
-func (k *conn) cause(ctx context.Context, err error) error {
+// classifyError tells why a request failed.
+func (k *conn) classifyError(ctx context.Context, err error) error {
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return errSilent{since: time.Since(k.sentAt)}
-	case !k.heard && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
+		return errIdleTimeout{since: time.Since(k.sentAt)}
+	case !k.received && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
 		return errClosed{cause: err}
 	default:
 		return err
 	}
 }
 
-// errSilent reports a host of which nothing came for the longest time allowed.
-type errSilent struct{ since time.Duration }
+// errIdleTimeout reports a host of which nothing came for the longest time allowed.
+type errIdleTimeout struct{ since time.Duration }
 
-func (e errSilent) Error() string {
+func (e errIdleTimeout) Error() string {
 	return "nothing came for too long, " + e.since.String() + " after sending"
 }
 
-// silent tells whether a failure says that nothing came, rather than that the caller gave up.
-func silent(err error) bool {
-	return errors.As(err, new(errSilent)) || errors.Is(err, context.DeadlineExceeded)
+// isTimeout tells whether a failure says that nothing came, rather than that the caller gave up.
+func isTimeout(err error) bool {
+	return errors.As(err, new(errIdleTimeout)) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// closed tells whether the other side has closed an idle connection, or has sent
+// isClosed tells whether the other side has isClosed an idle connection, or has sent
 // something nobody asked for.
-func (k *conn) closed() bool {
+func (k *conn) isClosed() bool {
 	if k.raw == nil {
 		return false
 	}
--- a/pkg/httpc/host.go
+++ b/pkg/httpc/host.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	// idleTimeout is how long a connection without requests is kept.
-	idleTimeout = 2 * time.Minute
+	// idleConnTimeout is how long a connection without requests is kept.
+	idleConnTimeout = 2 * time.Minute
 	// sweepInterval is the time between two looks for idle connections that are closed or old.
 	sweepInterval = 5 * time.Second
-	// overdue is how long after it was due an answer makes the kept connections of
+	// overdueAfter is how long after it was due an answer makes the kept connections of
 	// its host suspect that were last heard before its request was sent; hosts
 	// answer in milliseconds. A second try of a transaction, 250 ms after the
 	// first, goes out on a connection that has been heard since, or on a new one.
-	overdue = 200 * time.Millisecond
+	overdueAfter = 200 * time.Millisecond
 )
 
 // host is what is kept for one address; the client's lock guards it.
 type host struct {
 	idle  []*conn // the one used last is last
-	calls []*conn // with a request under way
-	// suspectTo is a time up to which nothing heard counts: a request sent then
+	active []*conn // with a request under way
+	// suspectUntil is a time up to which nothing heard counts: a request sent then
 	// has had no answer.
-	suspectTo time.Time
+	suspectUntil time.Time
 }
 
-// take returns a kept connection to a host, or a new one.
-func (c *Client) take(ctx context.Context, name string) (*conn, error) {
-	if k := c.takeIdle(name); k != nil {
+// getConn returns a kept connection to a host, or a new one.
+func (c *Client) getConn(ctx context.Context, name string) (*conn, error) {
+	if k := c.getIdleConn(name); k != nil {
 		return k, nil
 	}
 	opened, err := c.dial(ctx, "tcp", name)
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{Conn: opened, client: c, name: name, heardAt: time.Now()}
+	k := &conn{Conn: opened, client: c, name: name, lastReceived: time.Now()}
 	if s, ok := opened.(syscall.Conn); ok {
 		k.raw, _ = s.SyscallConn() // without it a closed connection is noticed when it is used
 	}
 	return k, nil
 }
 
-// takeIdle returns the kept connection of a host that was used last, nil if none is fit for use.
-func (c *Client) takeIdle(name string) *conn {
+// getIdleConn returns the kept connection of a host that was used last, nil if none is fit for use.
+func (c *Client) getIdleConn(name string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.hosts[name]
 	if h == nil {
 		return nil
 	}
-	h.noteOverdue(time.Now())
+	h.markSuspect(time.Now())
 	for len(h.idle) > 0 {
 		k := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if k.heardAt.After(h.suspectTo) && !k.closed() {
-			k.kept = true
+		if k.lastReceived.After(h.suspectUntil) && !k.isClosed() {
+			k.reused = true
 			return k
 		}
 		_ = k.Close()
@@ -65,17 +65,17 @@
 	return nil
 }
 
-// noteOverdue puts kept connections in doubt while a request is without the answer that was due.
-func (h *host) noteOverdue(now time.Time) {
-	for _, k := range h.calls {
-		if now.Sub(k.dueAt) > overdue && k.sentAt.After(h.suspectTo) {
-			h.suspectTo = k.sentAt
+// markSuspect puts kept connections in doubt while a request is without the answer that was due.
+func (h *host) markSuspect(now time.Time) {
+	for _, k := range h.active {
+		if now.Sub(k.dueAt) > overdueAfter && k.sentAt.After(h.suspectUntil) {
+			h.suspectUntil = k.sentAt
 		}
 	}
 }
 
-// begin notes a request that is about to be sent.
-func (c *Client) begin(k *conn, wait time.Duration) {
+// startRequest notes a request that is about to be sent.
+func (c *Client) startRequest(k *conn, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.hosts[k.name]
@@ -86,23 +86,23 @@
 	k.host = h
 	k.sentAt = time.Now()
 	k.dueAt = k.sentAt.Add(wait)
-	h.calls = append(h.calls, k)
+	h.active = append(h.active, k)
 }
 
-// done notes the end of a request, and keeps its connection or closes it.
-func (c *Client) done(k *conn, keep bool, err error) {
+// finishRequest notes the end of a request, and keeps its connection or closes it.
+func (c *Client) finishRequest(k *conn, keep bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	h := k.host
-	if at := slices.Index(h.calls, k); at >= 0 {
-		h.calls[at] = h.calls[len(h.calls)-1]
-		h.calls = h.calls[:len(h.calls)-1]
+	if at := slices.Index(h.active, k); at >= 0 {
+		h.active[at] = h.active[len(h.active)-1]
+		h.active = h.active[:len(h.active)-1]
 	}
 	if err == nil {
-		k.heardAt = now
-	} else if silent(err) && k.sentAt.After(h.suspectTo) {
-		h.suspectTo = k.sentAt
+		k.lastReceived = now
+	} else if isTimeout(err) && k.sentAt.After(h.suspectUntil) {
+		h.suspectUntil = k.sentAt
 	}
 	switch {
 	case err != nil:
@@ -112,8 +112,8 @@
 	default:
 		_ = k.Close()
 	}
-	if now.Sub(c.swept) > sweepInterval {
-		c.swept = now
+	if now.Sub(c.lastSweep) > sweepInterval {
+		c.lastSweep = now
 		c.sweep(now)
 	}
 }
@@ -123,13 +123,13 @@
 func (c *Client) sweep(now time.Time) {
 	for name, h := range c.hosts {
 		h.idle = slices.DeleteFunc(h.idle, func(k *conn) bool {
-			old := now.Sub(k.heardAt) > idleTimeout || !k.heardAt.After(h.suspectTo) || k.closed()
+			old := now.Sub(k.lastReceived) > idleConnTimeout || !k.lastReceived.After(h.suspectUntil) || k.isClosed()
 			if old {
 				_ = k.Close()
 			}
 			return old
 		})
-		if len(h.idle) == 0 && len(h.calls) == 0 {
+		if len(h.idle) == 0 && len(h.active) == 0 {
 			delete(c.hosts, name)
 		}
 	}
