--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -21,14 +21,14 @@
 	longestWait = time.Second
 )
 
-// ErrUnsettled reports an edit whose outcome is not known yet; the edit's ID settles it later.
-type ErrUnsettled struct {
+// ErrOutcomeUnknown reports an edit whose outcome is not known yet; the edit's ID settles it later.
+type ErrOutcomeUnknown struct {
 	EditID string
 	Cause  error
 }
 
 // Error names the edit.
-func (e ErrUnsettled) Error() string {
+func (e ErrOutcomeUnknown) Error() string {
 	return fmt.Sprintf("it is not known whether edit %s was accepted: %v", e.EditID, e.Cause)
 }
 
@@ -37,7 +37,7 @@
 // It tries again, until ctx ends, while the edit certainly was not made or its
 // answer was lost; the edit's ID keeps it from being made twice. Errors are
 // those of table.Snapshot.Prepare, platform.ErrRefused, platform.ErrNotDone
-// (nothing was written) and [ErrUnsettled].
+// (nothing was written) and [ErrOutcomeUnknown].
 func (r *Replica) Commit(ctx context.Context, edit *table.Edit) (entry *schema.Entry, err error) {
 	defer func() { err = errors.Wrapf(err, "commit edit %s", edit.ID) }()
 	select {
@@ -60,7 +60,7 @@
 		}
 	}
 	if lost != nil {
-		return nil, ErrUnsettled{EditID: edit.ID, Cause: lost}
+		return nil, ErrOutcomeUnknown{EditID: edit.ID, Cause: lost}
 	}
 	return nil, err
 }
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -109,7 +109,7 @@
 	switch {
 	case err == nil:
 		w.told[id] = accepted
-	case errors.As(err, new(replica.ErrUnsettled)):
+	case errors.As(err, new(replica.ErrOutcomeUnknown)):
 		w.told[id] = unsettled
 	default:
 		w.told[id] = notMade
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -193,7 +193,7 @@
 	var answer errAnswer
 	var conflict table.ErrConflict
 	var rejected table.ErrRejected
-	var unsettled replica.ErrUnsettled
+	var unsettled replica.ErrOutcomeUnknown
 	var http1 *echo.HTTPError
 	switch {
 	case errors.As(err, &answer):
