--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -21,11 +21,11 @@
 type Reloader struct {
 	files schema.TLS
 
-	mu      sync.Mutex
-	checked time.Time
-	stamp   time.Time // newest modification of the files that are loaded
-	cert    *tls.Certificate
-	roots   *x509.CertPool
+	mu        sync.Mutex
+	checkedAt time.Time
+	modTime   time.Time // newest modification of the files that are loaded
+	cert      *tls.Certificate
+	roots     *x509.CertPool
 }
 
 // New loads the files.
@@ -39,7 +39,7 @@
 
 func (r *Reloader) load() (err error) {
 	defer func() { err = errors.Wrap(err, "load certificate") }()
-	stamp, err := r.newest()
+	stamp, err := r.newestModTime()
 	if err != nil {
 		return err
 	}
@@ -58,12 +58,12 @@
 			return errors.Errorf("%s holds no certificate", r.files.CAFile)
 		}
 	}
-	r.cert, r.roots, r.stamp, r.checked = &cert, roots, stamp, time.Now()
+	r.cert, r.roots, r.modTime, r.checkedAt = &cert, roots, stamp, time.Now()
 	return nil
 }
 
-// newest returns the newest modification time of the files.
-func (r *Reloader) newest() (t time.Time, err error) {
+// newestModTime returns the newestModTime modification time of the files.
+func (r *Reloader) newestModTime() (t time.Time, err error) {
 	for _, f := range []string{r.files.CertFile, r.files.KeyFile, r.files.CAFile} {
 		if f == "" {
 			continue
@@ -86,9 +86,9 @@
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if time.Since(r.checked) >= checkInterval {
-		r.checked = time.Now()
-		if stamp, err := r.newest(); err == nil && !stamp.Equal(r.stamp) {
+	if time.Since(r.checkedAt) >= checkInterval {
+		r.checkedAt = time.Now()
+		if stamp, err := r.newestModTime(); err == nil && !stamp.Equal(r.modTime) {
 			_ = r.load() // tried again at the next check
 		}
 	}
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -31,9 +31,9 @@
 var schemaNames = []string{"table.json", "settings.json", "messages.json", "service.json"}
 
 var (
-	compiledMu sync.Mutex
-	compiled   = map[Target]*jsonschema.Schema{}
-	compiler   = sync.OnceValues(newCompiler)
+	schemaCacheMu sync.Mutex
+	schemaCache   = map[Target]*jsonschema.Schema{}
+	compiler      = sync.OnceValues(newCompiler)
 )
 
 // newCompiler loads the embedded schemas.
@@ -57,9 +57,9 @@
 
 // schemaOf returns the compiled schema of a target.
 func schemaOf(t Target) (s *jsonschema.Schema, err error) {
-	compiledMu.Lock()
-	defer compiledMu.Unlock()
-	if s, ok := compiled[t]; ok {
+	schemaCacheMu.Lock()
+	defer schemaCacheMu.Unlock()
+	if s, ok := schemaCache[t]; ok {
 		return s, nil
 	}
 	c, err := compiler()
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "compile schema %s", t)
 	}
-	compiled[t] = s
+	schemaCache[t] = s
 	return s, nil
 }
 
@@ -104,9 +104,9 @@
 	if err != nil {
 		return nil, syntaxError(file, src, err)
 	}
-	at := locate(src, &tree)
-	if len(at.repeated) > 0 {
-		return nil, ErrInvalid{File: file, Problems: at.repeated}
+	at := newPositions(src, &tree)
+	if len(at.duplicates) > 0 {
+		return nil, ErrInvalid{File: file, Problems: at.duplicates}
 	}
 	tree.Standardize()
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(tree.Pack()))
--- a/pkg/config/errors.go
+++ b/pkg/config/errors.go
@@ -45,13 +45,13 @@
 
 // positions maps the dotted path of each value to its place.
 type positions struct {
-	offsets  map[string]int
-	src      []byte
-	repeated []Problem
+	offsets    map[string]int
+	src        []byte
+	duplicates []Problem
 }
 
-// locate walks the tree and records where each value begins.
-func locate(src []byte, v *hujson.Value) *positions {
+// newPositions walks the tree and records where each value begins.
+func newPositions(src []byte, v *hujson.Value) *positions {
 	p := &positions{offsets: map[string]int{}, src: src}
 	p.walk("", v)
 	return p
@@ -64,21 +64,21 @@
 		for i := range t.Members {
 			m := &t.Members[i]
 			name := m.Name.Value.(hujson.Literal).String()
-			sub := join(path, name)
+			sub := joinPath(path, name)
 			if _, ok := p.offsets[sub]; ok {
-				p.repeated = append(p.repeated, p.problem(m.Name.StartOffset, sub, "expected each name once, this one is given again"))
+				p.duplicates = append(p.duplicates, p.problem(m.Name.StartOffset, sub, "expected each name once, this one is given again"))
 			}
 			p.walk(sub, &m.Value)
 			p.offsets[sub] = m.Name.StartOffset
 		}
 	case *hujson.Array:
 		for i := range t.Elements {
-			p.walk(join(path, strconv.Itoa(i)), &t.Elements[i])
+			p.walk(joinPath(path, strconv.Itoa(i)), &t.Elements[i])
 		}
 	}
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
@@ -119,24 +119,24 @@
 		return errors.Wrapf(err, "check %s", file)
 	}
 	out := ErrInvalid{File: file}
-	collect(ve, at, &out.Problems)
+	collectProblems(ve, at, &out.Problems)
 	slices.SortFunc(out.Problems, func(a, b Problem) int {
 		return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column), strings.Compare(a.Field, b.Field))
 	})
 	return out
 }
 
-func collect(ve *jsonschema.ValidationError, at *positions, out *[]Problem) {
+func collectProblems(ve *jsonschema.ValidationError, at *positions, out *[]Problem) {
 	if len(ve.Causes) > 0 {
 		for _, c := range ve.Causes {
-			collect(c, at, out)
+			collectProblems(c, at, out)
 		}
 		return
 	}
 	path := strings.Join(ve.InstanceLocation, ".")
 	if extra, ok := ve.ErrorKind.(*kind.AdditionalProperties); ok {
 		for _, name := range extra.Properties {
-			field := join(path, name)
+			field := joinPath(path, name)
 			*out = append(*out, at.problem(at.offsets[field], field, "unknown field, expected one that the settings reference names"))
 		}
 		return
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -30,21 +30,21 @@
 
 // Loop is one entry's control work.
 type Loop struct {
-	name     string
-	table    Table
-	platform platform.Platform
-	observer *Observer
-	limits   fleet.Limits
-	step     time.Duration
-	lease    *lease
-	log      zerolog.Logger
-	paused   func() bool
-	decide   func(fleet.State, fleet.Limits) []fleet.Action
-	holds    atomic.Bool
+	name       string
+	table      Table
+	platform   platform.Platform
+	observer   *Observer
+	limits     fleet.Limits
+	step       time.Duration
+	lease      *lease
+	log        zerolog.Logger
+	paused     func() bool
+	decide     func(fleet.State, fleet.Limits) []fleet.Action
+	holdsLease atomic.Bool
 }
 
-// Holds tells whether this entry did the control work at its last step.
-func (l *Loop) Holds() bool { return l.holds.Load() }
+// HoldsLease tells whether this entry did the control work at its last step.
+func (l *Loop) HoldsLease() bool { return l.holdsLease.Load() }
 
 // Option changes how a Loop is made.
 type Option func(*Loop)
@@ -107,17 +107,17 @@
 // Step makes one decision, if this entry holds the lease, and carries it out.
 func (l *Loop) Step(ctx context.Context) {
 	if l.paused() {
-		l.holds.Store(false)
+		l.holdsLease.Store(false)
 		if err := l.lease.release(ctx, time.Now()); err != nil {
 			l.log.Debug().Str("event", "lease_not_released").Err(err).Send()
 		}
 		return
 	}
-	held, err := l.lease.hold(ctx, time.Now())
+	held, err := l.lease.acquire(ctx, time.Now())
 	if err != nil {
 		l.log.Debug().Str("event", "lease_failed").Err(err).Send()
 	}
-	l.holds.Store(held)
+	l.holdsLease.Store(held)
 	if !held {
 		return
 	}
@@ -127,17 +127,17 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.carryOut(ctx, a)
+		l.execute(ctx, a)
 	}
 }
 
-// carryOut does one action; what fails is decided anew in the next step.
-func (l *Loop) carryOut(ctx context.Context, a fleet.Action) {
+// execute does one action; what fails is decided anew in the next step.
+func (l *Loop) execute(ctx context.Context, a fleet.Action) {
 	var err error
 	if a.IsEffect() {
-		err = l.effect(ctx, a)
+		err = l.applyEffect(ctx, a)
 	} else {
-		err = l.edit(ctx, a)
+		err = l.commitEdit(ctx, a)
 	}
 	ev := l.log.Info()
 	if err != nil {
@@ -147,7 +147,7 @@
 		Str("reason", a.Reason).Str("evidence", a.Evidence).Err(err).Send()
 }
 
-func (l *Loop) effect(ctx context.Context, a fleet.Action) (err error) {
+func (l *Loop) applyEffect(ctx context.Context, a fleet.Action) (err error) {
 	switch a.Kind {
 	case fleet.EffectDrain:
 		err = l.platform.Drain(ctx, a.VM, a.Boot)
@@ -161,7 +161,7 @@
 	return errors.Wrapf(err, "%s of %s", a.Kind, a.VM)
 }
 
-func (l *Loop) edit(ctx context.Context, a fleet.Action) error {
+func (l *Loop) commitEdit(ctx context.Context, a fleet.Action) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	_, err := l.table.Commit(ctx, &table.Edit{
--- a/pkg/control/lease.go
+++ b/pkg/control/lease.go
@@ -20,22 +20,22 @@
 
 // lease is one entry's side of the lease.
 type lease struct {
-	store    platform.Table
-	holder   string
-	duration time.Duration
-	held     time.Time // end of what this entry holds
+	store     platform.Table
+	holder    string
+	duration  time.Duration
+	heldUntil time.Time // end of what this entry holds
 }
 
-// hold takes, keeps or fails to take the lease; it tells whether it is held.
+// acquire takes, keeps or fails to take the lease; it tells whether it is held.
 //
 // It writes only when a third of the time is left, or to take over.
-func (l *lease) hold(ctx context.Context, now time.Time) (held bool, err error) {
-	if l.held.Sub(now) > l.duration/3 {
+func (l *lease) acquire(ctx context.Context, now time.Time) (held bool, err error) {
+	if l.heldUntil.Sub(now) > l.duration/3 {
 		return true, nil
 	}
 	item, err := l.store.Get(ctx, leaseKey)
 	if err != nil {
-		return now.Before(l.held), errors.Wrap(err, "read lease")
+		return now.Before(l.heldUntil), errors.Wrap(err, "read lease")
 	}
 	var current leaseItem
 	if item.Version != 0 {
@@ -44,7 +44,7 @@
 		}
 	}
 	if current.Holder != l.holder && now.UnixMilli() < current.UntilMs {
-		l.held = time.Time{}
+		l.heldUntil = time.Time{}
 		return false, nil
 	}
 	return l.write(ctx, item.Version, now)
@@ -62,18 +62,18 @@
 	})
 	switch {
 	case err == nil:
-		l.held = until
+		l.heldUntil = until
 		return true, nil
 	case platform.IsConflict(err):
-		l.held = time.Time{}
+		l.heldUntil = time.Time{}
 		return false, nil
 	}
-	return now.Before(l.held), errors.Wrap(err, "write lease")
+	return now.Before(l.heldUntil), errors.Wrap(err, "write lease")
 }
 
 // release gives the lease up, so that another entry takes over at once.
 func (l *lease) release(ctx context.Context, now time.Time) error {
-	if !now.Before(l.held) {
+	if !now.Before(l.heldUntil) {
 		return nil
 	}
 	item, err := l.store.Get(ctx, leaseKey)
@@ -84,7 +84,7 @@
 	if err := json.Unmarshal(item.Value, &current); err != nil || current.Holder != l.holder {
 		return nil
 	}
-	l.held = time.Time{}
+	l.heldUntil = time.Time{}
 	return l.store.Commit(ctx, platform.Txn{
 		Conditions: []platform.Condition{{Key: leaseKey, Version: item.Version}},
 		Writes:     []platform.Write{{Key: leaseKey, Remove: true}},
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -25,64 +25,64 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// plants are promises that a test variant breaks on purpose.
-type plants struct {
-	lyingEntries  bool // entries always say that nothing is in flight
-	deafPlatform  bool // the platform forgets which boot a reboot was meant for
-	hastyDecision bool // a draining VM reboots without waiting
+// mutations are promises that a test variant breaks on purpose.
+type mutations struct {
+	zeroCounts    bool // entries always say that nothing is in flight
+	ignoreBoot    bool // the platform forgets which boot a reboot was meant for
+	skipDrainWait bool // a draining VM reboots without waiting
 }
 
 // node is one entry: its copy of the table, its requests and its control loop.
 type node struct {
-	replica  *replica.Replica
-	loop     *Loop
-	stepping atomic.Bool // a loop makes one step at a time; what follows is under the world's lock
-	inFlight map[string]int
-	cut      bool             // the other nodes cannot reach it
-	pause    time.Duration    // between its next decision and its writes
-	pauseOn  fleet.ActionKind // the pause waits for a decision with this action, if it is set
-}
-
-// world is several nodes racing on one platform, and the oracle beside them.
-type world struct {
-	t        fataler
-	plants   plants
-	platform *fake.Platform
-	nodes    []*node
-	pending  sync.WaitGroup
-
-	mu       sync.Mutex
-	rows     map[string]schema.VM // the truth in the store
-	pools    map[string]schema.Pool
-	off      map[string]bool
-	leaving  map[string]bool
-	failing  bool // power goes off by a failure, not by a reboot
-	problems []string
-}
-
-// fataler ends a test; rapid's and the standard one's T do.
-type fataler interface {
+	replica     *replica.Replica
+	loop        *Loop
+	stepping    atomic.Bool // a loop makes one step at a time; what follows is under the world's lock
+	inFlight    map[string]int
+	unreachable bool             // the other nodes cannot reach it
+	pause       time.Duration    // between its next decision and its writes
+	pauseOn     fleet.ActionKind // the pause waits for a decision with this action, if it is set
+}
+
+// harness is several nodes racing on one platform, and the oracle beside them.
+type harness struct {
+	t         fatalT
+	mutations mutations
+	platform  *fake.Platform
+	nodes     []*node
+	pending   sync.WaitGroup
+
+	mu         sync.Mutex
+	rows       map[string]schema.VM // the truth in the store
+	pools      map[string]schema.Pool
+	poweredOff map[string]bool
+	leaving    map[string]bool
+	failing    bool // power goes off by a failure, not by a reboot
+	problems   []string
+}
+
+// fatalT ends a test; rapid's and the standard one's T do.
+type fatalT interface {
 	Fatalf(format string, args ...any)
 }
 
-const worldNodes = 3
+const harnessNodes = 3
 
-func newWorld(t fataler, p plants) *world {
-	w := &world{
-		t: t, plants: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
-		off: map[string]bool{}, leaving: map[string]bool{},
+func newHarness(t fatalT, p mutations) *harness {
+	w := &harness{
+		t: t, mutations: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
+		poweredOff: map[string]bool{}, leaving: map[string]bool{},
 	}
 	w.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(w), fake.WithObserver(w),
 		fake.WithListLag(2*time.Second), fake.WithRebootTime(2*time.Second), fake.WithLimits(10_000, 100_000))
-	for range worldNodes {
+	for range harnessNodes {
 		w.nodes = append(w.nodes, w.newNode())
 	}
-	w.fill()
+	w.populate()
 	return w
 }
 
-// fill writes two pools and six VMs.
-func (w *world) fill() {
+// populate writes two pools and six VMs.
+func (w *harness) populate() {
 	value := func(kind schema.Kind, name string, v any) table.Change {
 		return table.Change{Key: table.Key{Kind: kind, Name: name}, Value: table.MustValue(v)}
 	}
@@ -104,19 +104,19 @@
 	}
 }
 
-func (w *world) newNode() *node {
+func (w *harness) newNode() *node {
 	view := w.platform.View("z")
-	if w.plants.deafPlatform {
-		view = deaf{view}
+	if w.mutations.ignoreBoot {
+		view = bootIgnorer{view}
 	}
 	n := &node{replica: replica.New(view), inFlight: map[string]int{}}
-	o := &Observer{VMs: view, Prober: prober{w}, Entries: asked{w}, Own: func(string) int { return 0 }}
+	o := &Observer{VMs: view, Prober: prober{w}, Entries: entryCounter{w}, LocalInFlight: func(string) int { return 0 }}
 	n.loop = New("node", n.replica, view, o, WithLimits(fleet.Limits{
 		DownAfter: 3 * time.Second, RepairAfter: 5 * time.Second, ReplaceAfter: 20 * time.Second, MaxActions: 8,
 	}))
 	n.loop.decide = func(s fleet.State, l fleet.Limits) []fleet.Action {
-		if w.plants.hastyDecision {
-			s = hasty(s)
+		if w.mutations.skipDrainWait {
+			s = withoutInFlight(s)
 		}
 		actions := fleet.Decide(s, l)
 		time.Sleep(w.pauseOf(n, actions))
@@ -126,7 +126,7 @@
 }
 
 // pauseOf returns how long a node pauses after a decision; a pause happens once.
-func (w *world) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
+func (w *harness) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	decided := slices.ContainsFunc(actions, func(a fleet.Action) bool { return a.Kind == n.pauseOn })
@@ -137,10 +137,10 @@
 	return pause
 }
 
-// deaf carries out a reboot whatever boot it was meant for.
-type deaf struct{ platform.Platform }
+// bootIgnorer carries out a reboot whatever boot it was meant for.
+type bootIgnorer struct{ platform.Platform }
 
-func (d deaf) Reboot(ctx context.Context, vm, operation string, _ int) error {
+func (d bootIgnorer) Reboot(ctx context.Context, vm, operation string, _ int) error {
 	status, err := d.VMStatus(ctx, vm)
 	if err != nil {
 		return err
@@ -148,8 +148,8 @@
 	return d.Platform.Reboot(ctx, vm, operation, status.Boot)
 }
 
-// hasty observes that nothing is in flight, whatever was seen.
-func hasty(s fleet.State) fleet.State {
+// withoutInFlight observes that nothing is in flight, whatever was seen.
+func withoutInFlight(s fleet.State) fleet.State {
 	s.Observed = maps.Clone(s.Observed)
 	for name, o := range s.Observed {
 		if s.Table.VMs[name].Value.Phase != schema.PhaseDraining || o.Status == nil {
@@ -164,12 +164,12 @@
 	return s
 }
 
-func (w *world) problem(format string, args ...any) {
+func (w *harness) problem(format string, args ...any) {
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
 
 // Wrote implements fake.Observer: budgets are judged by the rows in the store.
-func (w *world) Wrote(write platform.Write) {
+func (w *harness) Wrote(write platform.Write) {
 	key, ok := replica.ParseRowKey(write.Key)
 	if !ok {
 		return
@@ -188,15 +188,15 @@
 		vm := table.MustParse[schema.VM](row.Value)
 		w.rows[key.Name] = vm
 		if old.Phase == schema.PhaseActive && vm.Phase == schema.PhaseDraining && vm.Pool != "" {
-			w.judgeGrant(key.Name, vm.Pool)
+			w.checkBudget(key.Name, vm.Pool)
 		}
-		if old.Pool != "" && vm.Pool != old.Pool && w.busy(key.Name) > 0 && !w.off[key.Name] {
+		if old.Pool != "" && vm.Pool != old.Pool && w.busy(key.Name) > 0 && !w.poweredOff[key.Name] {
 			w.problem("%s left pool %s with requests in flight", key.Name, old.Pool)
 		}
 	}
 }
 
-func (w *world) judgeGrant(name, pool string) {
+func (w *harness) checkBudget(name, pool string) {
 	out := 0
 	for _, vm := range w.rows {
 		if vm.Pool == pool && vm.Phase != schema.PhaseActive {
@@ -208,7 +208,7 @@
 	}
 }
 
-func (w *world) busy(vm string) (n int) {
+func (w *harness) busy(vm string) (n int) {
 	for _, node := range w.nodes {
 		n += node.inFlight[vm]
 	}
@@ -216,17 +216,17 @@
 }
 
 // Leaving implements fake.Machine.
-func (w *world) Leaving(vm string, leaving bool) {
+func (w *harness) Leaving(vm string, leaving bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.leaving[vm] = leaving
 }
 
 // Power implements fake.Machine: a reboot must meet an idle VM that the table gave up.
-func (w *world) Power(vm string, on bool) {
+func (w *harness) Power(vm string, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.off[vm] = !on
+	w.poweredOff[vm] = !on
 	w.leaving[vm] = false
 	if on {
 		return
@@ -243,28 +243,28 @@
 }
 
 // InFlight implements fake.Machine.
-func (w *world) InFlight(vm string) int {
+func (w *harness) InFlight(vm string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.plants.lyingEntries {
+	if w.mutations.zeroCounts {
 		return 0
 	}
 	return w.busy(vm)
 }
 
-// asked answers control's questions to the entries.
-type asked struct{ w *world }
+// entryCounter answers control's questions to the entries.
+type entryCounter struct{ w *harness }
 
 // InFlight implements Entries.
-func (a asked) InFlight(_ context.Context, vms []string) (out []membership.EntryInFlight) {
+func (a entryCounter) InFlight(_ context.Context, vms []string) (out []membership.EntryInFlight) {
 	w := a.w
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, n := range w.nodes {
-		e := membership.EntryInFlight{Entry: fmt.Sprint(i), Reached: !n.cut, Revision: n.replica.Revision(), Counts: map[string]int{}}
+		e := membership.EntryInFlight{Entry: fmt.Sprint(i), Reached: !n.unreachable, Revision: n.replica.Revision(), Counts: map[string]int{}}
 		for _, vm := range vms {
 			e.Counts[vm] = n.inFlight[vm]
-			if w.plants.lyingEntries {
+			if w.mutations.zeroCounts {
 				e.Counts[vm] = 0
 			}
 		}
@@ -274,13 +274,13 @@
 }
 
 // prober sees the truth.
-type prober struct{ w *world }
+type prober struct{ w *harness }
 
 func (p prober) Health(vm string) (membership.Health, time.Time) {
 	p.w.mu.Lock()
 	defer p.w.mu.Unlock()
 	switch {
-	case p.w.off[vm]:
+	case p.w.poweredOff[vm]:
 		return membership.HealthBad, time.Now()
 	case p.w.leaving[vm]:
 		return membership.HealthLeaving, time.Now()
@@ -294,7 +294,7 @@
 }
 
 // step makes one control step of a node.
-func (w *world) step(n *node) {
+func (w *harness) step(n *node) {
 	if n.stepping.Swap(true) {
 		return
 	}
@@ -304,17 +304,17 @@
 }
 
 // request begins a request at a VM that the node holds for active.
-func (w *world) request(n *node, vm string) {
+func (w *harness) request(n *node, vm string) {
 	row := n.replica.Snapshot().VMs[vm].Value
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if row.Phase == schema.PhaseActive && row.Pool != "" && !w.off[vm] {
+	if row.Phase == schema.PhaseActive && row.Pool != "" && !w.poweredOff[vm] {
 		n.inFlight[vm]++
 	}
 }
 
-// operate edits a row as an operator does; a refusal is an answer.
-func operate[T any](n *node, kind schema.Kind, name string, f func(*T)) {
+// editAsOperator edits a row as an operator does; a refusal is an answer.
+func editAsOperator[T any](n *node, kind schema.Kind, name string, f func(*T)) {
 	key := table.Key{Kind: kind, Name: name}
 	snap := n.replica.Snapshot()
 	var v T
@@ -330,8 +330,8 @@
 	})
 }
 
-// judge ends the case when the oracle has seen a promise broken.
-func (w *world) judge() {
+// checkProblems ends the case when the oracle has seen a promise broken.
+func (w *harness) checkProblems() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.problems) > 0 {
@@ -342,16 +342,16 @@
 // machine is the property: nodes race, pause, crash and are cut off; the store
 // fails; VMs fail; operators steer. Nothing is cut off, budgets hold, and when
 // all is well again every wave ends.
-func machine(t *rapid.T, p plants) {
-	w := newWorld(t, p)
+func machine(t *rapid.T, p mutations) {
+	w := newHarness(t, p)
 	defer w.pending.Wait()
-	node := rapid.Custom(func(t *rapid.T) *node { return w.nodes[rapid.IntRange(0, worldNodes-1).Draw(t, "node")] })
+	node := rapid.Custom(func(t *rapid.T) *node { return w.nodes[rapid.IntRange(0, harnessNodes-1).Draw(t, "node")] })
 	vm := rapid.SampledFrom([]string{"w0", "w1", "w2", "w3", "w4", "w5"})
 	if rapid.Bool().Draw(t, "wave from the start") {
-		operate(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+		editAsOperator(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	}
 	t.Repeat(map[string]func(*rapid.T){
-		"":     func(*rapid.T) { w.judge() },
+		"":     func(*rapid.T) { w.checkProblems() },
 		"step": func(t *rapid.T) { w.step(node.Draw(t, "n")) },
 		"work": func(t *rapid.T) {
 			for range rapid.IntRange(1, 5).Draw(t, "rounds") {
@@ -382,9 +382,9 @@
 		"catch up":    func(t *rapid.T) { _, _ = node.Draw(t, "n").replica.CatchUp(context.Background()) },
 		"request":     func(t *rapid.T) { w.request(node.Draw(t, "n"), vm.Draw(t, "vm")) },
 		"end request": func(t *rapid.T) { w.endRequests(node.Draw(t, "n"), vm.Draw(t, "vm")) },
-		"cut":         func(t *rapid.T) { w.setCut(node.Draw(t, "n"), rapid.Bool().Draw(t, "cut")) },
+		"cut":         func(t *rapid.T) { w.setUnreachable(node.Draw(t, "n"), rapid.Bool().Draw(t, "cut")) },
 		"crash": func(t *rapid.T) {
-			i := rapid.IntRange(0, worldNodes-1).Draw(t, "i")
+			i := rapid.IntRange(0, harnessNodes-1).Draw(t, "i")
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.nodes[i] = w.newNode()
@@ -401,37 +401,37 @@
 		"wave": func(t *rapid.T) {
 			state := rapid.SampledFrom([]schema.WaveState{schema.WaveStateRunning, schema.WaveStateRunning, schema.WaveStatePaused, schema.WaveStateAborted}).Draw(t, "state")
 			name := rapid.SampledFrom([]string{"wave-1", "wave-2"}).Draw(t, "wave")
-			operate(node.Draw(t, "n"), schema.KindWave, name, func(v *schema.Wave) { v.State, v.Pools = state, []string{} })
+			editAsOperator(node.Draw(t, "n"), schema.KindWave, name, func(v *schema.Wave) { v.State, v.Pools = state, []string{} })
 		},
 		"budget": func(t *rapid.T) {
-			operate(node.Draw(t, "n"), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = rapid.IntRange(0, 2).Draw(t, "budget") })
+			editAsOperator(node.Draw(t, "n"), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = rapid.IntRange(0, 2).Draw(t, "budget") })
 		},
 		"size": func(t *rapid.T) {
-			operate(node.Draw(t, "n"), schema.KindPool, "b", func(v *schema.Pool) { v.Size = rapid.IntRange(2, 3).Draw(t, "size") })
+			editAsOperator(node.Draw(t, "n"), schema.KindPool, "b", func(v *schema.Pool) { v.Size = rapid.IntRange(2, 3).Draw(t, "size") })
 		},
 	})
-	w.settle()
+	w.recoverAll()
 }
 
-func (w *world) endRequests(n *node, vm string) {
+func (w *harness) endRequests(n *node, vm string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(n.inFlight, vm)
 }
 
-func (w *world) setPause(n *node, d time.Duration, on fleet.ActionKind) {
+func (w *harness) setPause(n *node, d time.Duration, on fleet.ActionKind) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n.pause, n.pauseOn = d, on
 }
 
-func (w *world) setCut(n *node, cut bool) {
+func (w *harness) setUnreachable(n *node, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n.cut = cut
+	n.unreachable = cut
 }
 
-func (w *world) fail(vm string) {
+func (w *harness) fail(vm string) {
 	w.mu.Lock()
 	w.failing = true
 	w.mu.Unlock()
@@ -441,22 +441,22 @@
 	w.mu.Unlock()
 }
 
-func (w *world) recover(vm string) {
+func (w *harness) recover(vm string) {
 	w.mu.Lock()
-	off := w.off[vm]
+	off := w.poweredOff[vm]
 	w.mu.Unlock()
 	if off {
 		w.platform.Recover(vm)
 	}
 }
 
-// settle heals everything and lets the nodes finish.
-func (w *world) settle() {
+// recoverAll heals everything and lets the nodes finish.
+func (w *harness) recoverAll() {
 	w.platform.SetRules()
 	w.pending.Wait()
 	w.mu.Lock()
 	for _, n := range w.nodes {
-		n.cut = false
+		n.unreachable = false
 		clear(n.inFlight)
 	}
 	w.mu.Unlock()
@@ -464,7 +464,7 @@
 	for _, vm := range w.caughtUp().replica.Snapshot().VMs.Names() {
 		w.recover(vm)
 	}
-	operate(w.caughtUp(), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = 1 })
+	editAsOperator(w.caughtUp(), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = 1 })
 	const rounds = 400
 	for range rounds {
 		time.Sleep(500 * time.Millisecond)
@@ -475,14 +475,14 @@
 			break
 		}
 	}
-	w.judge()
+	w.checkProblems()
 	if what := w.unsettled(); what != "" {
 		w.t.Fatalf("%s", what)
 	}
 }
 
 // unsettled says what has not come to its end.
-func (w *world) unsettled() string {
+func (w *harness) unsettled() string {
 	snap := w.caughtUp().replica.Snapshot()
 	for name, wave := range snap.Waves {
 		if wave.Value.State == schema.WaveStateRunning {
@@ -498,7 +498,7 @@
 	return ""
 }
 
-func (w *world) caughtUp() *node {
+func (w *harness) caughtUp() *node {
 	n := w.nodes[0]
 	if _, err := n.replica.CatchUp(context.Background()); err != nil {
 		w.t.Fatalf("catch up: %v", err)
@@ -508,14 +508,14 @@
 
 // TestMachine proves budgets, drains and the end of waves under races and faults.
 func TestMachine(t *testing.T) {
-	prop.Check(t, func(rt *rapid.T) { machine(rt, plants{}) })
+	prop.Check(t, func(rt *rapid.T) { machine(rt, mutations{}) })
 }
 
-// TestPlanted breaks promises on purpose: the property must see each.
-func TestPlanted(t *testing.T) {
-	for name, p := range map[string]plants{
-		"entries lie":           {lyingEntries: true},
-		"drains are not waited": {hastyDecision: true},
+// TestMutations breaks promises on purpose: the property must see each.
+func TestMutations(t *testing.T) {
+	for name, p := range map[string]mutations{
+		"entries lie":           {zeroCounts: true},
+		"drains are not waited": {skipDrainWait: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
@@ -525,9 +525,9 @@
 
 // pausedReboot pauses a node between the decision to reboot a VM and the call,
 // until another node has taken two waves to their ends and the VMs serve again.
-func pausedReboot(t fataler, p plants) (problems []string) {
-	w := newWorld(t, p)
-	operate(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+func pausedReboot(t fatalT, p mutations) (problems []string) {
+	w := newHarness(t, p)
+	editAsOperator(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	const paused = 5 * time.Minute
 	w.setPause(w.nodes[0], paused, fleet.EffectReboot)
 	began := time.Now()
@@ -541,7 +541,7 @@
 	for time.Since(began) < paused-10*time.Second {
 		if !next && time.Since(began) > paused/2 { // another wave gives each VM another operation
 			next = true
-			operate(w.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+			editAsOperator(w.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 		}
 		w.step(w.nodes[1])
 		for _, n := range w.nodes { // an entry that lags would hold every drain up
@@ -567,7 +567,7 @@
 // meets a VM that has booted since and is refused. Without that fence, it cuts requests off.
 func TestPausedReboot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		qt.Check(t, pausedReboot(t, plants{}), qt.HasLen, 0)
-		qt.Check(t, pausedReboot(t, plants{deafPlatform: true}), qt.Not(qt.HasLen), 0)
+		qt.Check(t, pausedReboot(t, mutations{}), qt.HasLen, 0)
+		qt.Check(t, pausedReboot(t, mutations{ignoreBoot: true}), qt.Not(qt.HasLen), 0)
 	})
 }
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -30,10 +30,10 @@
 
 // Observer gathers what decisions rest on.
 type Observer struct {
-	VMs     platform.VMs
-	Prober  Prober
-	Entries Entries
-	Own     func(vm string) int // requests in flight at this entry
+	VMs           platform.VMs
+	Prober        Prober
+	Entries       Entries
+	LocalInFlight func(vm string) int // requests in flight at this entry
 
 	mu    sync.Mutex
 	since map[string]healthSince
@@ -55,8 +55,8 @@
 	var draining, ask []string
 	for name, row := range snap.VMs {
 		h, at := o.Prober.Health(name)
-		obs := fleet.Observation{InFlight: o.Own(name), Listed: listed[name]}
-		obs.Health, obs.Since = o.track(name, h, at, row.Value)
+		obs := fleet.Observation{InFlight: o.LocalInFlight(name), Listed: listed[name]}
+		obs.Health, obs.Since = o.trackHealth(name, h, at, row.Value)
 		seen[name] = obs
 		if row.Value.Phase == schema.PhaseDraining {
 			draining = append(draining, name)
@@ -74,18 +74,18 @@
 		obs := seen[name]
 		obs.Status = statuses[name]
 		if snap.VMs[name].Value.Phase == schema.PhaseDraining {
-			obs.Entries = countsOf(name, entries)
+			obs.Entries = entryCounts(name, entries)
 		}
 		seen[name] = obs
 	}
 	return seen
 }
 
-// track turns probes into health with the time since when it holds.
+// trackHealth turns probes into health with the time since when it holds.
 //
 // For a VM that is being checked only the newest probe counts, so that an
 // answer from before the reboot is not taken for one after it.
-func (o *Observer) track(name string, h membership.Health, at time.Time, vm schema.VM) (fleet.Health, time.Time) {
+func (o *Observer) trackHealth(name string, h membership.Health, at time.Time, vm schema.VM) (fleet.Health, time.Time) {
 	health := fleet.HealthUnknown
 	switch h {
 	case membership.HealthGood:
@@ -128,7 +128,7 @@
 	return out
 }
 
-func countsOf(vm string, entries []membership.EntryInFlight) (counts []fleet.EntryCount) {
+func entryCounts(vm string, entries []membership.EntryInFlight) (counts []fleet.EntryCount) {
 	for _, e := range entries {
 		counts = append(counts, fleet.EntryCount{Entry: e.Entry, Reached: e.Reached, Revision: e.Revision, Count: e.Counts[vm]})
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -34,7 +34,7 @@
 	limits   fleet.Limits
 	platform platform.Platform
 	dial     Dial // nil for the usual one
-	traffic  *traffic
+	traffic  *controlTraffic
 	registry *prometheus.Registry
 
 	callers, operators, peerListener net.Listener
@@ -46,7 +46,7 @@
 	servers  *membership.Servers
 	follower *replica.Follower
 	loop     *control.Loop
-	book     *once.Claims
+	claims   *once.Claims
 	observer *control.Observer
 
 	stopOnce sync.Once
@@ -98,11 +98,11 @@
 // assemble connects the parts.
 func (e *Entry) assemble() {
 	s := e.settings
-	e.book = once.New(e.platform, s.Name)
-	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithClaims(e.book)}
+	e.claims = once.New(e.platform, s.Name)
+	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithClaims(e.claims)}
 	probes := []membership.ServersOption{
 		membership.WithProbeInterval(ms(s.Gateway.ProbeIntervalMs)),
-		membership.WithOnList(e.newList),
+		membership.WithOnList(e.onVMList),
 		membership.WithServersLogger(e.log),
 	}
 	if e.dial != nil {
@@ -110,7 +110,7 @@
 		probes = append(probes, membership.WithProbeDial(e.dial))
 	}
 	e.gateway = gateway.New(s.Name, s.Zone, s.Gateway, path...)
-	e.replica = replica.New(e.platform, replica.WithNotify(e.newTable))
+	e.replica = replica.New(e.platform, replica.WithNotify(e.onTable))
 	self := schema.PeerState{
 		Name: s.Name, Incarnation: int(time.Now().UnixMilli()), Zone: s.Zone, Address: e.PeerAddress(),
 	}
@@ -118,7 +118,7 @@
 		membership.WithInFlight(e.gateway.InFlight),
 		membership.WithStopping(e.stopping),
 		membership.WithInterval(ms(s.Control.SyncIntervalMs)),
-		membership.WithPeerTLS(e.dialTLS),
+		membership.WithPeerTLS(e.peerClientTLS),
 		membership.WithPeerBytes(e.traffic.peers),
 		membership.WithPeerLogger(e.log),
 	}
@@ -129,7 +129,7 @@
 	e.peers.SetAddresses(s.Peers.Seeds)
 	e.servers = membership.NewServers(s.Zone, e.replica, e.platform, marker{e.gateway}, probes...)
 	e.follower = replica.NewFollower(e.replica, ms(s.Control.HeadIntervalMs), e.isReader, e.log)
-	e.observer = &control.Observer{VMs: e.platform, Prober: e.servers, Entries: e.entries(), Own: e.gateway.InFlight}
+	e.observer = &control.Observer{VMs: e.platform, Prober: e.servers, Entries: e.entries(), LocalInFlight: e.gateway.InFlight}
 	e.loop = control.New(s.Name, e.replica, e.platform, e.observer,
 		control.WithStep(ms(s.Control.StepIntervalMs)),
 		control.WithLease(ms(s.Control.LeaseMs)),
@@ -138,7 +138,7 @@
 		control.WithLogger(e.log))
 }
 
-func (e *Entry) dialTLS() *tls.Config {
+func (e *Entry) peerClientTLS() *tls.Config {
 	if e.peerTLS == nil {
 		return nil
 	}
@@ -173,7 +173,7 @@
 	e.addActor(&g, ctx, e.servers.Run)
 	e.addActor(&g, ctx, e.follow)
 	e.addActor(&g, ctx, e.loop.Run)
-	e.addActor(&g, ctx, e.book.Run)
+	e.addActor(&g, ctx, e.claims.Run)
 	e.addActor(&g, ctx, e.sweepClaims)
 	e.addActor(&g, ctx, func(ctx context.Context) error { return e.awaitStop(ctx, callerServer) })
 	e.log.Info().Str("event", "entry_started").Str("zone", e.settings.Zone).
@@ -229,10 +229,10 @@
 			return nil
 		case <-time.After(interval):
 		}
-		if !e.loop.Holds() {
+		if !e.loop.HoldsLease() {
 			continue
 		}
-		n, err := e.book.Sweep(ctx, time.Now())
+		n, err := e.claims.Sweep(ctx, time.Now())
 		e.log.Info().Str("event", "claims_swept").Int("removed", n).Err(err).Send()
 	}
 }
--- a/pkg/entry/listen.go
+++ b/pkg/entry/listen.go
@@ -114,7 +114,7 @@
 		ReadHeaderTimeout: ms(g.HeaderTimeoutMs),
 		IdleTimeout:       ms(g.IdleTimeoutMs),
 		MaxHeaderBytes:    g.MaxHeaderBytes,
-		ErrorLog:          quietLog(e.log),
+		ErrorLog:          debugLogger(e.log),
 	}
 }
 
@@ -134,5 +134,5 @@
 		server.WithReady(e.gateway.Ready),
 		server.WithMetrics(promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{})),
 		server.WithLogger(e.log))
-	return &http.Server{Handler: h, ReadHeaderTimeout: operatorHeaderTimeout, IdleTimeout: time.Minute, ErrorLog: quietLog(e.log)}
+	return &http.Server{Handler: h, ReadHeaderTimeout: operatorHeaderTimeout, IdleTimeout: time.Minute, ErrorLog: debugLogger(e.log)}
 }
--- a/pkg/entry/parts.go
+++ b/pkg/entry/parts.go
@@ -23,8 +23,8 @@
 // readersPerZone is how many entries of a zone read the store's head for the others.
 const readersPerZone = 2
 
-// newTable puts a snapshot in force at the request path.
-func (e *Entry) newTable(snap *table.Snapshot, entries []schema.Entry) {
+// onTable puts a snapshot in force at the request path.
+func (e *Entry) onTable(snap *table.Snapshot, entries []schema.Entry) {
 	e.gateway.SetTable(snap)
 	ev := e.log.Info().Str("event", "table_in_force").Int("revision", snap.Revision)
 	if n := len(entries); n > 0 {
@@ -33,8 +33,8 @@
 	ev.Send()
 }
 
-// newList takes the peers' addresses from the platform's list, beside the seeds.
-func (e *Entry) newList(list platform.VMList) {
+// onVMList takes the peers' addresses from the platform's list, beside the seeds.
+func (e *Entry) onVMList(list platform.VMList) {
 	addresses := slices.Clone(e.settings.Peers.Seeds)
 	for _, vm := range list.VMs {
 		if vm.Role == platform.RoleEntry && vm.State != platform.VMGone && vm.Address != "" {
@@ -150,28 +150,28 @@
 	}
 }
 
-// traffic counts the bytes that control costs.
-type traffic struct{ bytes *prometheus.CounterVec }
+// controlTraffic counts the bytes that control costs.
+type controlTraffic struct{ bytes *prometheus.CounterVec }
 
-func newTraffic() *traffic {
-	return &traffic{bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
+func newTraffic() *controlTraffic {
+	return &controlTraffic{bytes: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Name: "gannetwell_control_bytes_total",
 		Help: "Payload bytes exchanged for control, by the other side and direction.",
 	}, []string{"with", "direction"})}
 }
 
-func (t *traffic) add(with string, sent, received int) {
+func (t *controlTraffic) add(with string, sent, received int) {
 	t.bytes.WithLabelValues(with, "sent").Add(float64(sent))
 	t.bytes.WithLabelValues(with, "received").Add(float64(received))
 }
 
-func (t *traffic) store(sent, received int) { t.add("platform", sent, received) }
-func (t *traffic) peers(sent, received int) { t.add("peers", sent, received) }
+func (t *controlTraffic) store(sent, received int) { t.add("platform", sent, received) }
+func (t *controlTraffic) peers(sent, received int) { t.add("peers", sent, received) }
 
-func (t *traffic) collectors() []prometheus.Collector { return []prometheus.Collector{t.bytes} }
+func (t *controlTraffic) collectors() []prometheus.Collector { return []prometheus.Collector{t.bytes} }
 
-// quietLog brings what net/http logs into the log, as debug lines.
-func quietLog(log zerolog.Logger) *stdlog.Logger {
+// debugLogger brings what net/http logs into the log, as debug lines.
+func debugLogger(log zerolog.Logger) *stdlog.Logger {
 	return stdlog.New(logWriter{log}, "", 0)
 }
 
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -13,8 +13,8 @@
 
 // connTrace follows which connection an attempt uses.
 type connTrace struct {
-	mu     sync.Mutex
-	conn   *sealedConn
+	mu            sync.Mutex
+	conn          *sealedConn
 	writtenBefore int64 // bytes written on it before the attempt
 }
 
@@ -39,15 +39,15 @@
 
 // attempt is the request at one server.
 type attempt struct {
-	x      *exchange
-	server *Server
-	cancel context.CancelCauseFunc
-	trace  connTrace
-	resp   *http.Response
-	prefix  *[]byte // the first part of the answer, of n bytes
-	prefixLen      int
+	x         *exchange
+	server    *Server
+	cancel    context.CancelCauseFunc
+	trace     connTrace
+	resp      *http.Response
+	prefix    *[]byte // the first part of the answer, of n bytes
+	prefixLen int
 	complete  bool // there is no more
-	err    error
+	err       error
 }
 
 // errSuperseded ends an attempt when another one has answered.
--- a/pkg/gateway/conn.go
+++ b/pkg/gateway/conn.go
@@ -14,11 +14,11 @@
 
 // The transport to one backend server.
 const (
-	dialTimeout     = 500 * time.Millisecond
-	idleConnTimeout = 30 * time.Second
-	maxIdlePerHost  = 64
+	dialTimeout            = 500 * time.Millisecond
+	idleConnTimeout        = 30 * time.Second
+	maxIdlePerHost         = 64
 	maxResponseHeaderBytes = 64 << 10
-	keepAlivePeriod = 15 * time.Second
+	keepAlivePeriod        = 15 * time.Second
 )
 
 var errSealed = errors.New("the exchange was given up")
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -34,14 +34,14 @@
 	id    string
 	route *route
 
-	body     []byte // the request's body when it was read whole
-	buffered bool   // body holds all of it
-	reservedBytes     int64  // bytes of the body counted against the memory of all
-	tried    []*Server
-	mayHaveRun   bool // some attempt's outcome is unknown: the request can no longer be called not run
-	attempts int
-	claim   *once.Claim // of the request's key
-	savedResponse     *once.Response // for repetitions of the key
+	body          []byte // the request's body when it was read whole
+	buffered      bool   // body holds all of it
+	reservedBytes int64  // bytes of the body counted against the memory of all
+	tried         []*Server
+	mayHaveRun    bool // some attempt's outcome is unknown: the request can no longer be called not run
+	attempts      int
+	claim         *once.Claim    // of the request's key
+	savedResponse *once.Response // for repetitions of the key
 }
 
 // serve takes the request through admission, attempts and the answer.
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -28,13 +28,13 @@
 type behavior string
 
 const (
-	answers    behavior = "answers"
-	answersLarge behavior = "answers big"
-	unavailable     behavior = "unwell"      // 503
-	closesBeforeResponse behavior = "cuts"        // runs, then closes the connection
-	closesInResponse behavior = "cuts answer" // closes it inside the answer
-	closesInLargeResponse    behavior = "cuts big"    // closes it after the first part
-	sleeps     behavior = "sleeps"      // answers long after the deadline
+	answers               behavior = "answers"
+	answersLarge          behavior = "answers big"
+	unavailable           behavior = "unwell"      // 503
+	closesBeforeResponse  behavior = "cuts"        // runs, then closes the connection
+	closesInResponse      behavior = "cuts answer" // closes it inside the answer
+	closesInLargeResponse behavior = "cuts big"    // closes it after the first part
+	sleeps                behavior = "sleeps"      // answers long after the deadline
 )
 
 var behaviors = []behavior{answers, answers, answersLarge, unavailable, closesBeforeResponse, closesInResponse, closesInLargeResponse, sleeps}
@@ -261,8 +261,8 @@
 	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, unmodified) })
 }
 
-// TestPathPlanted breaks each promise once, on purpose: the property must see it.
-func TestPathPlanted(t *testing.T) {
+// TestPathMutations breaks each promise once, on purpose: the property must see it.
+func TestPathMutations(t *testing.T) {
 	for name, s := range map[string]mutation{
 		"unknown is told as not run": func(h http.Handler) http.Handler {
 			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -22,18 +22,18 @@
 
 // Gateway serves callers' requests; it is an http.Handler.
 type Gateway struct {
-	name     string
-	zone     string
-	settings schema.GatewaySettings
-	log      zerolog.Logger
-	metrics  *metrics
-	policy   balance.Policy[*Server]
-	dial     func(ctx context.Context, network, addr string) (net.Conn, error)
-	callerRates  limit.Rates
-	teamRates    limit.Rates
-	claims     *once.Claims // nil without claims of keys
-	failures failures
-	bodyMemory   *semaphore.Weighted // bytes of bodies that are read whole
+	name        string
+	zone        string
+	settings    schema.GatewaySettings
+	log         zerolog.Logger
+	metrics     *metrics
+	policy      balance.Policy[*Server]
+	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
+	callerRates limit.Rates
+	teamRates   limit.Rates
+	claims      *once.Claims // nil without claims of keys
+	failures    failures
+	bodyMemory  *semaphore.Weighted // bytes of bodies that are read whole
 
 	view     atomic.Pointer[view]
 	ready    atomic.Bool
--- a/pkg/gateway/limit/adaptive.go
+++ b/pkg/gateway/limit/adaptive.go
@@ -15,12 +15,12 @@
 // Avoidance", 1989).
 const (
 	initialLimit = 4
-	minLimit  = 2
+	minLimit     = 2
 	// congestedRatio is how many times the undisturbed latency is taken for a queue at the server.
 	congestedRatio = 1.35
 	// uncongestedRatio is up to where more may be tried.
 	uncongestedRatio = 1.15
-	decreaseFactor    = 0.85
+	decreaseFactor   = 0.85
 	timeoutFactor    = 0.7 // after a deadline that passed
 	// minUtilization is the part of the limit that must be in flight for it to rise.
 	minUtilization = 0.8
@@ -45,10 +45,10 @@
 type Adaptive struct {
 	current atomic.Int64
 
-	mu       sync.Mutex
-	limit    float64
-	maxLimit  float64
-	ratio    float64 // smoothed latency over the undisturbed one
+	mu           sync.Mutex
+	limit        float64
+	maxLimit     float64
+	ratio        float64 // smoothed latency over the undisturbed one
 	lastDecrease time.Time
 }
 
@@ -103,11 +103,11 @@
 // Means are taken so that kinds whose work varies by itself do not look
 // congested beside their quickest request.
 type Baseline struct {
-	mu             sync.Mutex
-	windowStart          time.Time
+	mu                sync.Mutex
+	windowStart       time.Time
 	current, previous time.Duration // lowest means of this window and the one before
-	sum            time.Duration
-	n              int
+	sum               time.Duration
+	n                 int
 }
 
 const (
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -51,7 +51,7 @@
 }
 
 type waiter struct {
-	wake  chan struct{}
+	wake       chan struct{}
 	enqueuedAt time.Time
 }
 
--- a/pkg/gateway/limit/rates.go
+++ b/pkg/gateway/limit/rates.go
@@ -27,8 +27,8 @@
 }
 
 type keyRate struct {
-	limiter *rate.Limiter
-	lastUsed    time.Time
+	limiter  *rate.Limiter
+	lastUsed time.Time
 }
 
 // Allow tells whether one more request of a key is within perSecond; 0 sets no limit.
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -37,7 +37,7 @@
 	// maxBatch bounds the claims of one transaction.
 	maxBatch = 200
 	// maxReadBacks bounds the reads after a lost answer.
-	maxReadBacks = 5
+	maxReadBacks     = 5
 	readBackInterval = 50 * time.Millisecond
 	// maxSavedResponses bounds the first answers that an entry keeps for repetitions.
 	maxSavedResponses = 4096
@@ -102,16 +102,16 @@
 
 // Claims is one entry's claims.
 type Claims struct {
-	store platform.Table
-	entry string
-	wakeup  chan struct{}
-
-	mu      sync.Mutex
-	byKey    map[Key]*Claim // claims of this entry, the latest heldAnswers of them
-	finished   []Key
-	pending []*Claim
-	toRelease  []Key // claims to give back
-	closed  bool  // nobody writes claims any more
+	store  platform.Table
+	entry  string
+	wakeup chan struct{}
+
+	mu        sync.Mutex
+	byKey     map[Key]*Claim // claims of this entry, the latest heldAnswers of them
+	finished  []Key
+	pending   []*Claim
+	toRelease []Key // claims to give back
+	closed    bool  // nobody writes claims any more
 }
 
 // New returns the book of an entry; Run must be running for claims to be made.
@@ -121,12 +121,12 @@
 
 // Claim is a claim under way or made.
 type Claim struct {
-	key    Key
-	record  claimRecord
-	committed   chan struct{} // closed when err is set
-	err    error
-	done   chan struct{} // closed when the request has its outcome
-	response *Response       // nil when none is held
+	key       Key
+	record    claimRecord
+	committed chan struct{} // closed when err is set
+	err       error
+	done      chan struct{} // closed when the request has its outcome
+	response  *Response     // nil when none is held
 }
 
 // Claim claims a key for a request. It returns a ticket that must be finished
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -27,10 +27,10 @@
 	cancel []context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	ran    map[string]int // by key
-	bodies map[string]string
-	problems  []string
+	mu       sync.Mutex
+	ran      map[string]int // by key
+	bodies   map[string]string
+	problems []string
 }
 
 const entries = 3
@@ -170,8 +170,8 @@
 	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
-// TestPlanted drops the condition that a key is new: the property must see it.
-func TestPlanted(t *testing.T) {
+// TestMutations drops the condition that a key is new: the property must see it.
+func TestMutations(t *testing.T) {
 	qt.Assert(t, prop.Finds(t, func(rt *rapid.T) {
 		machine(rt, func(t platform.Table) platform.Table { return unconditional{t} })
 	}), qt.IsTrue)
--- a/pkg/gateway/retry/retry.go
+++ b/pkg/gateway/retry/retry.go
@@ -46,7 +46,7 @@
 
 // The pause before another attempt grows from the first to the longest.
 const (
-	minBackoff   = 2 * time.Millisecond
+	minBackoff = 2 * time.Millisecond
 	maxBackoff = 50 * time.Millisecond
 )
 
@@ -59,9 +59,9 @@
 
 // Quantile follows a quantile of a changing distribution by small steps.
 type Quantile struct {
-	q    float64
+	q       float64
 	samples atomic.Int64
-	bits atomic.Uint64 // of the estimate in nanoseconds
+	bits    atomic.Uint64 // of the estimate in nanoseconds
 }
 
 // NewQuantile returns an estimate of the q-quantile, 0 < q < 1.
@@ -69,8 +69,8 @@
 
 const (
 	stepFraction = 0.05 // of the estimate, for one sample
-	stepScale = 2    // a rise takes 9.5% of the 0.95-quantile, a fall 0.5%
-	minSamples    = 50   // samples before the estimate is used
+	stepScale    = 2    // a rise takes 9.5% of the 0.95-quantile, a fall 0.5%
+	minSamples   = 50   // samples before the estimate is used
 )
 
 // Observe takes a sample in; samples that race may overwrite each other, which a step of a few percent allows.
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -38,17 +38,17 @@
 	Zone    string
 	Address string // host:port
 
-	closed    atomic.Uint32 // sources that close it
-	inFlight  atomic.Int64
-	limit     *limit.Adaptive
-	maxInFlight   atomic.Int64  // requests in flight at the most, whatever the limit adapts to
+	closed      atomic.Uint32 // sources that close it
+	inFlight    atomic.Int64
+	limit       *limit.Adaptive
+	maxInFlight atomic.Int64  // requests in flight at the most, whatever the limit adapts to
 	openedAt    atomic.Int64  // when it was opened again, Unix nanoseconds
-	ejections atomic.Int64  // passive closings in a row
-	latency   atomic.Uint64 // peak-sensitive average in nanoseconds, as float bits
+	ejections   atomic.Int64  // passive closings in a row
+	latency     atomic.Uint64 // peak-sensitive average in nanoseconds, as float bits
 	sampledAt   atomic.Int64  // time of the last sample, Unix nanoseconds
-	failures  atomic.Int64  // exchanges that failed in a row
-	reopenAt  atomic.Int64  // end of a passive closing, Unix nanoseconds
-	transport *http.Transport
+	failures    atomic.Int64  // exchanges that failed in a row
+	reopenAt    atomic.Int64  // end of a passive closing, Unix nanoseconds
+	transport   *http.Transport
 }
 
 // Usable implements balance.Target: no source closes the server and it has room.
@@ -100,7 +100,7 @@
 
 // Slow start: a server that is opened costs this much more at first.
 const (
-	slowStart       = 5 * time.Second
+	slowStart        = 5 * time.Second
 	slowStartPenalty = 4
 )
 
@@ -163,8 +163,8 @@
 // each time for longer.
 const (
 	failuresToEject = 3
-	minEjection    = time.Second
-	maxEjection  = 30 * time.Second
+	minEjection     = time.Second
+	maxEjection     = 30 * time.Second
 )
 
 // recordSuccess notes an exchange that was answered.
--- a/pkg/gateway/view.go
+++ b/pkg/gateway/view.go
@@ -20,9 +20,9 @@
 
 // routeState is what a route learns; it outlives the views.
 type routeState struct {
-	slots    chan struct{}  // caps the requests in flight
-	baseline limit.Baseline // undisturbed latency
-	hedgeDelay     *retry.Quantile
+	slots      chan struct{}  // caps the requests in flight
+	baseline   limit.Baseline // undisturbed latency
+	hedgeDelay *retry.Quantile
 }
 
 // service is the servers of a service in the order of preference.
@@ -43,9 +43,9 @@
 
 // The shares of the traffic that may be second attempts.
 const (
-	retryShare = 0.08
-	hedgeShare = 0.05
-	hedgeQuantile  = 0.95
+	retryShare    = 0.08
+	hedgeShare    = 0.05
+	hedgeQuantile = 0.95
 )
 
 // each calls f with every server until it returns false.
--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -82,8 +82,8 @@
 	dial    Dial
 	maxIdle int
 
-	mu    sync.Mutex
-	hosts map[string]*host
+	mu        sync.Mutex
+	hosts     map[string]*host
 	lastSweep time.Time // when idle connections were last gone through
 }
 
--- a/pkg/httpc/client_test.go
+++ b/pkg/httpc/client_test.go
@@ -133,9 +133,9 @@
 	}
 }
 
-// TestAbortDropsUnsentData gives up a request of which the host has read nothing yet. What
+// TestGivenUpIsNotSent gives up a request of which the host has read nothing yet. What
 // the host reads later is not the whole request.
-func TestAbortDropsUnsentData(t *testing.T) {
+func TestGivenUpIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
--- a/pkg/httpc/conn.go
+++ b/pkg/httpc/conn.go
@@ -21,16 +21,16 @@
 	host   *host           // of the request under way
 	raw    syscall.RawConn // nil where the connection is no socket
 
-	reused    bool      // it has carried a request before
+	reused       bool      // it has carried a request before
 	lastReceived time.Time // when it was opened or last answered
 
 	// Of the request under way.
-	sentAt  time.Time
-	dueAt   time.Time     // from when its answer is overdue
-	deadline   time.Time     // when the request ends, zero for never
+	sentAt      time.Time
+	dueAt       time.Time     // from when its answer is overdue
+	deadline    time.Time     // when the request ends, zero for never
 	idleTimeout time.Duration // longest time without a byte, 0 for no such bound
-	received   bool          // a byte of the answer has come
-	readErr error         // of the last read
+	received    bool          // a byte of the answer has come
+	readErr     error         // of the last read
 }
 
 // roundTrip sends a request and reads its answer; sent tells whether the host may
--- a/pkg/httpc/host.go
+++ b/pkg/httpc/host.go
@@ -21,7 +21,7 @@
 
 // host is what is kept for one address; the client's lock guards it.
 type host struct {
-	idle  []*conn // the one used last is last
+	idle   []*conn // the one used last is last
 	active []*conn // with a request under way
 	// suspectUntil is a time up to which nothing heard counts: a request sent then
 	// has had no answer.
--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -17,8 +17,8 @@
 
 // The wait before another try grows from the first to the longest.
 const (
-	firstWait   = 20 * time.Millisecond
-	longestWait = time.Second
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
 // ErrOutcomeUnknown reports an edit whose outcome is not known yet; the edit's ID settles it later.
@@ -47,15 +47,15 @@
 		return nil, platform.ErrNotDone{Op: "commit", Cause: "other edits were under way: " + ctx.Err().Error()}
 	}
 	var lost error // the last answer that was lost
-	for wait := firstWait; ; wait = min(2*wait, longestWait) {
-		entry, err = r.try(ctx, edit, lost != nil)
+	for wait := minBackoff; ; wait = min(2*wait, maxBackoff) {
+		entry, err = r.tryCommit(ctx, edit, lost != nil)
 		if platform.IsUnknown(err) {
 			lost = err
 		}
-		if err == nil || !again(err) {
+		if err == nil || !isRetryable(err) {
 			return entry, err
 		}
-		if sleepErr := pauseAbout(ctx, wait); sleepErr != nil {
+		if sleepErr := sleepJittered(ctx, wait); sleepErr != nil {
 			break
 		}
 	}
@@ -65,47 +65,47 @@
 	return nil, err
 }
 
-// again tells whether a try may be followed by another.
-func again(err error) bool {
+// isRetryable tells whether a try may be followed by another.
+func isRetryable(err error) bool {
 	return platform.IsNotDone(err) || platform.IsUnknown(err) || platform.IsConflict(err)
 }
 
-// pauseAbout waits for about d, spread so that processes do not meet again.
-func pauseAbout(ctx context.Context, d time.Duration) error {
+// sleepJittered waits for about d, spread so that processes do not meet again.
+func sleepJittered(ctx context.Context, d time.Duration) error {
 	return pause.For(ctx, d/2+rand.N(d))
 }
 
-// try makes one attempt; settle demands to look first whether an earlier one took effect.
-func (r *Replica) try(ctx context.Context, edit *table.Edit, settle bool) (entry *schema.Entry, err error) {
+// tryCommit makes one attempt; settle demands to look first whether an earlier one took effect.
+func (r *Replica) tryCommit(ctx context.Context, edit *table.Edit, checkEarlier bool) (entry *schema.Entry, err error) {
 	revision, headVersion, err := r.readHead(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.reach(ctx, revision); err != nil {
+	if err := r.catchUpTo(ctx, revision); err != nil {
 		return nil, err
 	}
-	if settle || r.Revision() != revision {
-		if entry, err := r.settled(ctx, edit.ID); entry != nil || err != nil {
+	if checkEarlier || r.Revision() != revision {
+		if entry, err := r.findEdit(ctx, edit.ID); entry != nil || err != nil {
 			return entry, err
 		}
 	}
 	entry, _, err = r.Snapshot().Prepare(edit, int(time.Now().UnixMilli()))
 	if err != nil {
-		return r.orSettled(ctx, edit.ID, err)
+		return r.findEditOr(ctx, edit.ID, err)
 	}
 	if entry.Revision != revision+1 {
 		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table moved on while the edit was checked"}
 	}
-	if err := r.store.Commit(ctx, txnOf(entry, headVersion)); err != nil {
+	if err := r.store.Commit(ctx, entryTxn(entry, headVersion)); err != nil {
 		return nil, err
 	}
 	return entry, r.Offer([]schema.Entry{*entry})
 }
 
-// orSettled returns the entry when the edit was made before, else err: a
+// findEditOr returns the entry when the edit was made before, else err: a
 // repeated edit finds its own rows changed, by itself.
-func (r *Replica) orSettled(ctx context.Context, id string, err error) (*schema.Entry, error) {
-	entry, settleErr := r.settled(ctx, id)
+func (r *Replica) findEditOr(ctx context.Context, id string, err error) (*schema.Entry, error) {
+	entry, settleErr := r.findEdit(ctx, id)
 	if settleErr != nil {
 		return nil, settleErr
 	}
@@ -115,8 +115,8 @@
 	return nil, err
 }
 
-// settled returns the entry that an edit became, nil when it has not become one.
-func (r *Replica) settled(ctx context.Context, id string) (entry *schema.Entry, err error) {
+// findEdit returns the entry that an edit became, nil when it has not become one.
+func (r *Replica) findEdit(ctx context.Context, id string) (entry *schema.Entry, err error) {
 	item, err := r.store.Get(ctx, editKey(id))
 	if err != nil || item.Version == 0 {
 		return nil, errors.Wrap(err, "settle")
@@ -125,7 +125,7 @@
 	if err := json.Unmarshal(item.Value, &h); err != nil {
 		return nil, errors.Wrapf(err, "decode item %q", item.Key)
 	}
-	if err := r.reach(ctx, h.Revision); err != nil {
+	if err := r.catchUpTo(ctx, h.Revision); err != nil {
 		return nil, err
 	}
 	entries, err := r.History(ctx, h.Revision, 1)
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -8,14 +8,14 @@
 	"github.com/rs/zerolog"
 )
 
-// slowFactor is how much more seldom a replica reads the head when another of its zone reads for it.
-const slowFactor = 8
+// nonReaderSkips is how much more seldom a replica reads the head when another of its zone reads for it.
+const nonReaderSkips = 8
 
 // Follower keeps a replica up with the store.
 type Follower struct {
 	replica  *Replica
 	interval time.Duration
-	reader   func() bool
+	isReader func() bool
 	log      zerolog.Logger
 
 	mu  sync.Mutex
@@ -24,7 +24,7 @@
 
 // NewFollower returns a follower that reads the head at an interval while reader tells it to, else seldom.
 func NewFollower(r *Replica, interval time.Duration, reader func() bool, log zerolog.Logger) *Follower {
-	return &Follower{replica: r, interval: interval, reader: reader, log: log}
+	return &Follower{replica: r, interval: interval, isReader: reader, log: log}
 }
 
 // Err returns the error of the last read, nil when it succeeded.
@@ -51,10 +51,10 @@
 func (f *Follower) Run(ctx context.Context) error {
 	skipped := 0
 	for {
-		if pauseAbout(ctx, f.interval) != nil {
+		if sleepJittered(ctx, f.interval) != nil {
 			return nil
 		}
-		if !f.reader() && skipped < slowFactor {
+		if !f.isReader() && skipped < nonReaderSkips {
 			skipped++
 			continue
 		}
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -11,8 +11,8 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// keptEntries is how many entries a replica keeps to pass on; a peer further behind gets a snapshot.
-const keptEntries = 1024
+// maxLogEntries is how many entries a replica keeps to pass on; a peer further behind gets a snapshot.
+const maxLogEntries = 1024
 
 // Replica is one entry's copy of the table.
 type Replica struct {
@@ -89,7 +89,7 @@
 	}
 	if len(fresh) > 0 {
 		r.log = append(r.log, fresh...)
-		if extra := len(r.log) - keptEntries; extra > 0 {
+		if extra := len(r.log) - maxLogEntries; extra > 0 {
 			r.log = append([]schema.Entry(nil), r.log[extra:]...)
 		}
 		r.publish(snap, fresh)
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -26,30 +26,30 @@
 type outcome string
 
 const (
-	accepted  outcome = "accepted"
-	notMade   outcome = "not made"
-	unsettled outcome = "unsettled"
+	accepted       outcome = "accepted"
+	notMade        outcome = "not made"
+	outcomeUnknown outcome = "unsettled"
 )
 
-// world is several replicas over one store that fails.
-type world struct {
+// harness is several replicas over one store that fails.
+type harness struct {
 	t        *rapid.T
 	store    *fake.Platform
-	plant    plant
+	mutation mutation
 	replicas []*replica.Replica
 	highest  []int
 	mu       sync.Mutex
-	told     map[string]outcome // by edit
+	reported map[string]outcome // by edit
 	next     int
 }
 
-// plant breaks the store in a way that the replicas cannot see.
-type plant func(platform.Table) platform.Table
+// mutation breaks the store in a way that the replicas cannot see.
+type mutation func(platform.Table) platform.Table
 
-func sound(t platform.Table) platform.Table { return t }
+func unmodified(t platform.Table) platform.Table { return t }
 
-func newWorld(t *rapid.T, p plant) *world {
-	w := &world{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), plant: p, told: map[string]outcome{}}
+func newHarness(t *rapid.T, p mutation) *harness {
+	w := &harness{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), mutation: p, reported: map[string]outcome{}}
 	for range 3 {
 		w.replicas = append(w.replicas, w.newReplica())
 		w.highest = append(w.highest, 0)
@@ -57,20 +57,20 @@
 	return w
 }
 
-func (w *world) newReplica() *replica.Replica { return replica.New(w.plant(w.store.View("z"))) }
+func (w *harness) newReplica() *replica.Replica { return replica.New(w.mutation(w.store.View("z"))) }
 
-// forgetful drops the conditions of every transaction.
-type forgetful struct{ platform.Table }
+// unconditional drops the conditions of every transaction.
+type unconditional struct{ platform.Table }
 
-func (f forgetful) Commit(ctx context.Context, txn platform.Txn) error {
+func (f unconditional) Commit(ctx context.Context, txn platform.Txn) error {
 	txn.Conditions = nil
 	return f.Table.Commit(ctx, txn)
 }
 
-// overconfident reports a lost answer as a call that did not happen.
-type overconfident struct{ platform.Table }
+// misreporting reports a lost answer as a call that did not happen.
+type misreporting struct{ platform.Table }
 
-func (o overconfident) Commit(ctx context.Context, txn platform.Txn) error {
+func (o misreporting) Commit(ctx context.Context, txn platform.Txn) error {
 	err := o.Table.Commit(ctx, txn)
 	if platform.IsUnknown(err) {
 		return platform.ErrNotDone{Op: "commit", Cause: err.Error()}
@@ -78,11 +78,11 @@
 	return err
 }
 
-// TestPlanted breaks a promise of the store on purpose: the property must see it.
-func TestPlanted(t *testing.T) {
-	for name, p := range map[string]plant{
-		"no conditions":                 func(t platform.Table) platform.Table { return forgetful{t} },
-		"lost answer taken for nothing": func(t platform.Table) platform.Table { return overconfident{t} },
+// TestMutations breaks a promise of the store on purpose: the property must see it.
+func TestMutations(t *testing.T) {
+	for name, p := range map[string]mutation{
+		"no conditions":                 func(t platform.Table) platform.Table { return unconditional{t} },
+		"lost answer taken for nothing": func(t platform.Table) platform.Table { return misreporting{t} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
@@ -91,7 +91,7 @@
 }
 
 // edit has a replica commit an edit of one of few rows, so that edits meet.
-func (w *world) edit(i int, name, note string) {
+func (w *harness) edit(i int, name, note string) {
 	w.mu.Lock()
 	w.next++
 	id := fmt.Sprintf("edit-%d", w.next)
@@ -108,16 +108,16 @@
 	defer w.mu.Unlock()
 	switch {
 	case err == nil:
-		w.told[id] = accepted
+		w.reported[id] = accepted
 	case errors.As(err, new(replica.ErrOutcomeUnknown)):
-		w.told[id] = unsettled
+		w.reported[id] = outcomeUnknown
 	default:
-		w.told[id] = notMade
+		w.reported[id] = notMade
 	}
 }
 
 // log reads the store's log past all faults.
-func (w *world) log() (entries []schema.Entry) {
+func (w *harness) log() (entries []schema.Entry) {
 	w.store.SetRules()
 	time.Sleep(time.Second) // lets the rate limit recover
 	items, err := w.store.View("z").Scan(context.Background(), "log/", "log/\xff", 100_000)
@@ -135,7 +135,7 @@
 }
 
 // check compares everything with the log, which is the simple truth.
-func (w *world) check() {
+func (w *harness) check() {
 	entries := w.log()
 	at := map[int]*table.Snapshot{0: table.Empty()}
 	made := map[string]int{}
@@ -149,7 +149,7 @@
 		at[snap.Revision] = snap
 		made[entries[i].EditID]++
 	}
-	for id, told := range w.told {
+	for id, told := range w.reported {
 		switch {
 		case made[id] > 1:
 			w.t.Fatalf("%s was made %d times", id, made[id])
@@ -175,12 +175,12 @@
 // TestMachine drives replicas through edits that race, faults of the store,
 // entries handed on late, twice and with gaps, and restarts.
 func TestMachine(t *testing.T) {
-	prop.Check(t, func(rt *rapid.T) { machine(rt, sound) })
+	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
 // machine is the property.
-func machine(t *rapid.T, p plant) {
-	w := newWorld(t, p)
+func machine(t *rapid.T, p mutation) {
+	w := newHarness(t, p)
 	index := rapid.IntRange(0, len(w.replicas)-1)
 	names := rapid.SampledFrom([]string{"a", "b", "c"})
 	t.Repeat(map[string]func(*rapid.T){
--- a/pkg/replica/store.go
+++ b/pkg/replica/store.go
@@ -97,11 +97,11 @@
 	if err != nil {
 		return 0, err
 	}
-	return revision, r.reach(ctx, revision)
+	return revision, r.catchUpTo(ctx, revision)
 }
 
-// reach reads what is missing up to a revision.
-func (r *Replica) reach(ctx context.Context, revision int) error {
+// catchUpTo reads what is missing up to a revision.
+func (r *Replica) catchUpTo(ctx context.Context, revision int) error {
 	if r.Revision() == 0 && revision > 0 {
 		if err := r.loadRows(ctx, revision); err != nil {
 			return err
@@ -183,8 +183,8 @@
 	return nil
 }
 
-// txnOf is the transaction that writes an entry.
-func txnOf(e *schema.Entry, headVersion int64) (txn platform.Txn) {
+// entryTxn is the transaction that writes an entry.
+func entryTxn(e *schema.Entry, headVersion int64) (txn platform.Txn) {
 	txn.Conditions = []platform.Condition{
 		{Key: keyHead, Version: headVersion},
 		{Key: logKey(e.Revision)},
--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// refer reports a reference to a row that does not exist.
-func refer[T any](c *checker, kind schema.Kind, name, column string, rows Rows[T], target string) {
+// checkRef reports a reference to a row that does not exist.
+func checkRef[T any](c *checker, kind schema.Kind, name, column string, rows Rows[T], target string) {
 	if _, ok := rows[target]; !ok {
 		c.add(kind, name, column, "there is no %s %q", column, target)
 	}
@@ -41,14 +41,14 @@
 
 func (c *checker) racks() {
 	for _, name := range c.s.Racks.Names() {
-		refer(c, schema.KindRack, name, "zone", c.s.Zones, c.s.Racks[name].Value.Zone)
+		checkRef(c, schema.KindRack, name, "zone", c.s.Zones, c.s.Racks[name].Value.Zone)
 	}
 }
 
 func (c *checker) pools() {
 	for _, name := range c.s.Pools.Names() {
 		p := c.s.Pools[name].Value
-		refer(c, schema.KindPool, name, "service", c.s.Services, p.Service)
+		checkRef(c, schema.KindPool, name, "service", c.s.Services, p.Service)
 		if p.MaxUnavailable >= p.Size {
 			c.add(schema.KindPool, name, "max_unavailable",
 				"the budget of %d VMs leaves none of the pool's %d in service", p.MaxUnavailable, p.Size)
@@ -61,9 +61,9 @@
 	owner := map[string]string{}
 	for _, name := range c.s.VMs.Names() {
 		vm := c.s.VMs[name].Value
-		refer(c, schema.KindVM, name, "rack", c.s.Racks, vm.Rack)
+		checkRef(c, schema.KindVM, name, "rack", c.s.Racks, vm.Rack)
 		if vm.Pool != "" {
-			refer(c, schema.KindVM, name, "pool", c.s.Pools, vm.Pool)
+			checkRef(c, schema.KindVM, name, "pool", c.s.Pools, vm.Pool)
 		}
 		if other, ok := owner[vm.Address]; ok {
 			c.add(schema.KindVM, name, "address", "%s is the address of VM %q already: one machine would be in two places", vm.Address, other)
@@ -79,7 +79,7 @@
 	owner := map[match]string{}
 	for _, name := range c.s.Routes.Names() {
 		r := c.s.Routes[name].Value
-		refer(c, schema.KindRoute, name, "service", c.s.Services, r.Service)
+		checkRef(c, schema.KindRoute, name, "service", c.s.Services, r.Service)
 		m := match{r.Method, r.PathPrefix}
 		if other, ok := owner[m]; ok {
 			c.add(schema.KindRoute, name, "path_prefix", "route %q takes the same method and path", other)
@@ -91,8 +91,8 @@
 func (c *checker) jobs() {
 	for _, name := range c.s.Jobs.Names() {
 		j := c.s.Jobs[name].Value
-		refer(c, schema.KindJob, name, "pool", c.s.Pools, j.Pool)
-		refer(c, schema.KindJob, name, "team", c.s.Teams, j.Team)
+		checkRef(c, schema.KindJob, name, "pool", c.s.Pools, j.Pool)
+		checkRef(c, schema.KindJob, name, "team", c.s.Teams, j.Team)
 	}
 }
 
--- a/pkg/table/document.go
+++ b/pkg/table/document.go
@@ -14,20 +14,20 @@
 		return nil, err
 	}
 	s := Empty()
-	fill(&s.Zones, doc.Zones)
-	fill(&s.Racks, doc.Racks)
-	fill(&s.VMs, doc.VMs)
-	fill(&s.Services, doc.Services)
-	fill(&s.Pools, doc.Pools)
-	fill(&s.Routes, doc.Routes)
-	fill(&s.Teams, doc.Teams)
-	fill(&s.Jobs, doc.Jobs)
-	fill(&s.Weights, doc.Weights)
-	fill(&s.Waves, doc.Waves)
+	fillRows(&s.Zones, doc.Zones)
+	fillRows(&s.Racks, doc.Racks)
+	fillRows(&s.VMs, doc.VMs)
+	fillRows(&s.Services, doc.Services)
+	fillRows(&s.Pools, doc.Pools)
+	fillRows(&s.Routes, doc.Routes)
+	fillRows(&s.Teams, doc.Teams)
+	fillRows(&s.Jobs, doc.Jobs)
+	fillRows(&s.Weights, doc.Weights)
+	fillRows(&s.Waves, doc.Waves)
 	return s.Stored(), nil
 }
 
-func fill[T any](rows *Rows[T], values map[string]T) {
+func fillRows[T any](rows *Rows[T], values map[string]T) {
 	*rows = make(Rows[T], len(values))
 	for name, v := range values {
 		(*rows)[name] = Row[T]{Value: v}
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -46,7 +46,7 @@
 			return nil, nil, err
 		}
 		before := s.Value(c.Key)
-		if sameJSON(before, after) {
+		if equalJSON(before, after) {
 			continue
 		}
 		entry.Changes = append(entry.Changes, schema.Change{Kind: c.Kind, Name: c.Name, Before: before, After: after})
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	problems := append(next.Check(), checkStep(s, next, entry, e.Operator)...)
+	problems := append(next.Check(), checkTransition(s, next, entry, e.Operator)...)
 	if len(problems) > 0 {
 		return nil, nil, ErrRejected{Problems: problems}
 	}
@@ -112,7 +112,7 @@
 	return op.value(scratch, "row"), nil
 }
 
-func sameJSON(a, b json.RawMessage) bool {
+func equalJSON(a, b json.RawMessage) bool {
 	return Absent(a) && Absent(b) || string(a) == string(b)
 }
 
--- a/pkg/table/errors.go
+++ b/pkg/table/errors.go
@@ -51,12 +51,12 @@
 	lines := make([]string, 0, len(e.Conflicts))
 	for _, c := range e.Conflicts {
 		lines = append(lines, fmt.Sprintf("%s: seen at version %d, now at %d: theirs %s, yours %s",
-			c.Key, c.Seen, c.Version, show(c.Theirs), show(c.Yours)))
+			c.Key, c.Seen, c.Version, formatValue(c.Theirs), formatValue(c.Yours)))
 	}
 	return strings.Join(lines, "\n")
 }
 
-func show(v json.RawMessage) string {
+func formatValue(v json.RawMessage) string {
 	if Absent(v) {
 		return "no row"
 	}
--- a/pkg/table/kinds.go
+++ b/pkg/table/kinds.go
@@ -19,8 +19,8 @@
 	put        func(s *Snapshot, name string, v json.RawMessage) error
 }
 
-// opsOf builds the operations of a kind from the field that holds its rows.
-func opsOf[T any](definition, plural string, field func(*Snapshot) *Rows[T]) kindOps {
+// newKindOps builds the operations of a kind from the field that holds its rows.
+func newKindOps[T any](definition, plural string, field func(*Snapshot) *Rows[T]) kindOps {
 	return kindOps{
 		definition: definition,
 		plural:     plural,
@@ -63,16 +63,16 @@
 }
 
 var kinds = map[schema.Kind]kindOps{
-	schema.KindZone:    opsOf("Zone", "zones", func(s *Snapshot) *Rows[schema.Zone] { return &s.Zones }),
-	schema.KindRack:    opsOf("Rack", "racks", func(s *Snapshot) *Rows[schema.Rack] { return &s.Racks }),
-	schema.KindVM:      opsOf("VM", "vms", func(s *Snapshot) *Rows[schema.VM] { return &s.VMs }),
-	schema.KindService: opsOf("Service", "services", func(s *Snapshot) *Rows[schema.Service] { return &s.Services }),
-	schema.KindPool:    opsOf("Pool", "pools", func(s *Snapshot) *Rows[schema.Pool] { return &s.Pools }),
-	schema.KindRoute:   opsOf("Route", "routes", func(s *Snapshot) *Rows[schema.Route] { return &s.Routes }),
-	schema.KindTeam:    opsOf("Team", "teams", func(s *Snapshot) *Rows[schema.Team] { return &s.Teams }),
-	schema.KindJob:     opsOf("Job", "jobs", func(s *Snapshot) *Rows[schema.Job] { return &s.Jobs }),
-	schema.KindWeights: opsOf("Weights", "weights", func(s *Snapshot) *Rows[schema.Weights] { return &s.Weights }),
-	schema.KindWave:    opsOf("Wave", "waves", func(s *Snapshot) *Rows[schema.Wave] { return &s.Waves }),
+	schema.KindZone:    newKindOps("Zone", "zones", func(s *Snapshot) *Rows[schema.Zone] { return &s.Zones }),
+	schema.KindRack:    newKindOps("Rack", "racks", func(s *Snapshot) *Rows[schema.Rack] { return &s.Racks }),
+	schema.KindVM:      newKindOps("VM", "vms", func(s *Snapshot) *Rows[schema.VM] { return &s.VMs }),
+	schema.KindService: newKindOps("Service", "services", func(s *Snapshot) *Rows[schema.Service] { return &s.Services }),
+	schema.KindPool:    newKindOps("Pool", "pools", func(s *Snapshot) *Rows[schema.Pool] { return &s.Pools }),
+	schema.KindRoute:   newKindOps("Route", "routes", func(s *Snapshot) *Rows[schema.Route] { return &s.Routes }),
+	schema.KindTeam:    newKindOps("Team", "teams", func(s *Snapshot) *Rows[schema.Team] { return &s.Teams }),
+	schema.KindJob:     newKindOps("Job", "jobs", func(s *Snapshot) *Rows[schema.Job] { return &s.Jobs }),
+	schema.KindWeights: newKindOps("Weights", "weights", func(s *Snapshot) *Rows[schema.Weights] { return &s.Weights }),
+	schema.KindWave:    newKindOps("Wave", "waves", func(s *Snapshot) *Rows[schema.Wave] { return &s.Waves }),
 }
 
 // Kinds returns every kind of row, each after the kinds that it refers to.
--- a/pkg/table/step.go
+++ b/pkg/table/step.go
@@ -17,57 +17,57 @@
 	return out
 }
 
-// Maintained tells that a phase is a step of planned maintenance, which a budget must allow.
-func Maintained(p schema.Phase) bool {
+// InMaintenance tells that a phase is a step of planned maintenance, which a budget must allow.
+func InMaintenance(p schema.Phase) bool {
 	return p == schema.PhaseDraining || p == schema.PhaseRebooting || p == schema.PhaseChecking
 }
 
-// checkStep checks what no single snapshot shows: how rows may change.
+// checkTransition checks what no single snapshot shows: how rows may change.
 //
 // Since every edit passes here and edits form one sequence, no two makers can
 // together overspend a budget, whoever they are and whatever they saw: the
 // second one is checked against the first one's result.
-func checkStep(before, after *Snapshot, e *schema.Entry, operator bool) (problems []Problem) {
-	c := &stepChecker{before: before, after: after}
+func checkTransition(before, after *Snapshot, e *schema.Entry, operator bool) (problems []Problem) {
+	c := &transitionChecker{before: before, after: after}
 	for _, change := range e.Changes {
 		if change.Kind != schema.KindVM {
 			continue
 		}
-		c.vm(change.Name, operator)
+		c.checkVM(change.Name, operator)
 	}
-	c.budgets()
+	c.checkBudgets()
 	return c.problems
 }
 
-type stepChecker struct {
+type transitionChecker struct {
 	before, after *Snapshot
-	granted       map[string]string // a VM that goes out of service by plan, by pool
+	takenOut      map[string]string // a VM that goes out of service by plan, by pool
 	problems      []Problem
 }
 
-func (c *stepChecker) add(vm, column, message string) {
+func (c *transitionChecker) add(vm, column, message string) {
 	c.problems = append(c.problems, Problem{Key: Key{Kind: schema.KindVM, Name: vm}, Column: column, Message: message})
 }
 
-func (c *stepChecker) vm(name string, operator bool) {
+func (c *transitionChecker) checkVM(name string, operator bool) {
 	old, existed := c.before.VMs[name]
 	row, exists := c.after.VMs[name]
 	switch {
 	case operator && existed && exists:
-		c.operatorColumns(name, old.Value, row.Value)
+		c.checkOperatorEdit(name, old.Value, row.Value)
 	case operator && exists && row.Value.Phase != schema.PhaseActive:
 		c.add(name, "phase", "control writes this column")
 	case existed && !exists && old.Value.Pool != "" && old.Value.Phase == schema.PhaseActive:
 		c.add(name, "", fmt.Sprintf("the VM serves pool %q: shrink the pool first", old.Value.Pool))
 	}
 	if existed && exists {
-		c.move(name, old.Value, row.Value)
-		c.grant(name, old.Value, row.Value)
+		c.checkPoolMove(name, old.Value, row.Value)
+		c.noteTakenOut(name, old.Value, row.Value)
 	}
 }
 
-// operatorColumns refuses an operator's change of what control writes.
-func (c *stepChecker) operatorColumns(name string, old, row schema.VM) {
+// checkOperatorEdit refuses an operator's change of what control writes.
+func (c *transitionChecker) checkOperatorEdit(name string, old, row schema.VM) {
 	const message = "control writes this column"
 	if old.Pool != row.Pool {
 		c.add(name, "pool", "control decides which pool has a VM: change the pools' sizes")
@@ -92,8 +92,8 @@
 	}
 }
 
-// move lets a VM change pools only while no entry sends it requests.
-func (c *stepChecker) move(name string, old, row schema.VM) {
+// checkPoolMove lets a VM change pools only while no entry sends it requests.
+func (c *transitionChecker) checkPoolMove(name string, old, row schema.VM) {
 	if old.Pool == row.Pool || old.Pool == "" {
 		return
 	}
@@ -105,24 +105,24 @@
 	}
 }
 
-// grant notes that a VM goes out of service by plan.
-func (c *stepChecker) grant(name string, old, row schema.VM) {
-	if old.Phase != schema.PhaseActive || !Maintained(row.Phase) || row.Pool == "" {
+// noteTakenOut notes that a VM goes out of service by plan.
+func (c *transitionChecker) noteTakenOut(name string, old, row schema.VM) {
+	if old.Phase != schema.PhaseActive || !InMaintenance(row.Phase) || row.Pool == "" {
 		return
 	}
-	if c.granted == nil {
-		c.granted = map[string]string{}
+	if c.takenOut == nil {
+		c.takenOut = map[string]string{}
 	}
-	c.granted[row.Pool] = name
+	c.takenOut[row.Pool] = name
 }
 
-func (c *stepChecker) budgets() {
-	if len(c.granted) == 0 {
+func (c *transitionChecker) checkBudgets() {
+	if len(c.takenOut) == 0 {
 		return
 	}
 	unavailable := c.after.Unavailable()
 	for _, pool := range c.after.Pools.Names() {
-		vm, ok := c.granted[pool]
+		vm, ok := c.takenOut[pool]
 		budget := c.after.Pools[pool].Value.MaxUnavailable
 		if ok && unavailable[pool] > budget {
 			c.add(vm, "phase", fmt.Sprintf("pool %q would have %d VMs out of service, its budget is %d", pool, unavailable[pool], budget))
