--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// connTrace follows which connection an attempt uses.
+// connTrace records which connection an attempt uses.
 type connTrace struct {
 	mu            sync.Mutex
 	conn          *sealedConn
-	writtenBefore int64 // bytes written on it before the attempt
+	writtenBefore int64 // bytes written to conn before the attempt
 }
 
 func (t *connTrace) gotConn(info httptrace.GotConnInfo) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// abort seals the connection and tells whether any byte of the request was written.
+// abort seals the connection and reports whether any byte of the request was written to it.
 func (t *connTrace) abort() Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,23 +37,24 @@
 	return OutcomeUnknown
 }
 
-// attempt is the request at one server.
+// attempt is one try of the request at one backend server.
 type attempt struct {
 	x         *exchange
 	server    *Server
 	cancel    context.CancelCauseFunc
 	trace     connTrace
 	resp      *http.Response
-	prefix    *[]byte // the first part of the answer, of n bytes
+	prefix    *[]byte // first part of the response body, prefixLen bytes long
 	prefixLen int
-	complete  bool // there is no more
+	complete  bool // prefix holds the whole body
 	err       error
 }
 
-// errSuperseded ends an attempt when another one has answered.
-var errSuperseded = errors.New("another attempt has answered")
+// errSuperseded cancels an attempt after a hedged attempt has responded.
+var errSuperseded = errors.New("superseded by another attempt")
 
-// newAttempt makes an attempt at a claimed server; ctx outlives it.
+// newAttempt prepares an attempt at a claimed server and returns the function that runs it. ctx
+// must outlive the attempt.
 func (x *exchange) newAttempt(ctx context.Context, server *Server) (a *attempt, run func()) {
 	x.attempts++
 	x.tried = append(x.tried, server)
@@ -67,7 +68,7 @@
 	return a, func() { a.roundTrip(ctx, req) }
 }
 
-// roundTrip sends the request and takes the first part of the answer.
+// roundTrip sends the request and reads the first part of the response.
 func (a *attempt) roundTrip(ctx context.Context, req *http.Request) {
 	began := time.Now()
 	if a.x.isStreaming() {
@@ -85,7 +86,7 @@
 	a.recordResponse(time.Since(began))
 }
 
-// readPrefix reads the first part of the answer.
+// readPrefix reads up to prefixSize bytes of the response body.
 func (a *attempt) readPrefix() {
 	a.prefix = bufferPool.Get().(*[]byte)
 	var err error
@@ -96,13 +97,13 @@
 	}
 }
 
-// errTruncatedResponse is an answer that broke off in its first part.
+// errTruncatedResponse reports a response body that failed within the prefix.
 type errTruncatedResponse struct{ cause error }
 
-// Error gives the cause.
-func (e errTruncatedResponse) Error() string { return "the answer broke off: " + e.cause.Error() }
+// Error returns the cause of the truncation.
+func (e errTruncatedResponse) Error() string { return "response truncated: " + e.cause.Error() }
 
-// isUnavailable tells that the answer is the server's own word that it cannot serve now.
+// isUnavailable reports whether the backend server responded 502, 503 or 504.
 func (a *attempt) isUnavailable() bool {
 	switch a.resp.StatusCode {
 	case http.StatusBadGateway, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -111,7 +112,7 @@
 	return false
 }
 
-// recordResponse takes what the answer tells of the server.
+// recordResponse updates the server's failure count, latency and concurrency limit.
 func (a *attempt) recordResponse(took time.Duration) {
 	if a.isUnavailable() {
 		a.recordFailure()
@@ -119,7 +120,7 @@
 	}
 	a.server.recordSuccess()
 	if a.x.isStreaming() {
-		return // a lesson's length tells nothing of the server
+		return // the duration of a stream says nothing about latency
 	}
 	a.server.observe(took)
 	a.x.route.hedgeDelay.Observe(took)
@@ -129,18 +130,18 @@
 	}
 }
 
-// recordFailure notes that the server failed; without limits, as in the baseline, nothing follows.
+// recordFailure counts a failure of the server, which may eject it, if limits are enabled.
 func (a *attempt) recordFailure() {
 	if a.x.g.settings.Limits {
 		a.server.recordFailure(a.x.route.service.mayEject)
 	}
 }
 
-// classifyFailure sorts the failure of an attempt that got no answer.
+// classifyFailure turns the error of an attempt without a response into an [ErrRequest].
 func (a *attempt) classifyFailure(ctx context.Context) {
 	cause := a.err
 	outcome := a.trace.abort()
-	failure := ErrRequest{Status: http.StatusBadGateway, Outcome: outcome, Reason: ReasonBroken, Detail: "the exchange with the backend server broke: " + cause.Error()}
+	failure := ErrRequest{Status: http.StatusBadGateway, Outcome: outcome, Reason: ReasonBroken, Detail: "exchange with the backend server failed: " + cause.Error()}
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(context.Cause(ctx), errSuperseded):
@@ -148,24 +149,24 @@
 		return
 	case errors.As(cause, &tooLarge):
 		failure.Status, failure.Reason = http.StatusRequestEntityTooLarge, ReasonTooLarge
-		failure.Detail = "the body is larger than the route takes"
+		failure.Detail = "request body exceeds the route's limit"
 		a.err = failure
 		return
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		failure.Status, failure.Reason = http.StatusGatewayTimeout, ReasonDeadline
-		failure.Detail = "no answer within the deadline"
+		failure.Detail = "no response within the deadline"
 		if a.server.limit != nil {
 			a.server.limit.ObserveTimeout(time.Now())
 		}
 	case a.x.r.Context().Err() != nil && ctx.Err() != nil:
-		failure.Reason, failure.Detail = ReasonCallerGone, "the caller went away"
+		failure.Reason, failure.Detail = ReasonCallerGone, "caller closed the connection"
 		a.err = failure
 		return
 	case errors.As(cause, new(errTruncatedResponse)):
 		failure.Reason = ReasonBadAnswer
 	case a.trace.conn == nil:
-		failure.Reason, failure.Detail = ReasonConnect, "no connection to the backend server: "+cause.Error()
-		a.server.failures.Add(failuresToEject) // no second sign is needed
+		failure.Reason, failure.Detail = ReasonConnect, "connect to backend server: "+cause.Error()
+		a.server.failures.Add(failuresToEject) // eject at once: a failed connect is conclusive
 	}
 	a.recordFailure()
 	if outcome == OutcomeNotRun {
@@ -174,7 +175,7 @@
 	a.err = failure
 }
 
-// close ends the attempt and gives its place to the next request.
+// close ends the attempt, releases its buffers and lets the next queued request proceed.
 func (a *attempt) close() {
 	a.cancel(nil)
 	if a.resp != nil {
@@ -188,8 +189,9 @@
 	a.x.route.service.queue.Notify()
 }
 
-// attemptWithHedge makes an attempt and, when the answer of a request that may be repeated
-// is late, another at a second server; it returns the first that is answered.
+// attemptWithHedge makes an attempt. If the request may be repeated and no response has come
+// after the hedging delay, it makes a second attempt at another server and returns the first
+// attempt that succeeds.
 func (x *exchange) attemptWithHedge(ctx context.Context, server *Server) *attempt {
 	a, run := x.newAttempt(ctx, server)
 	late, known := x.route.hedgeDelay.Value()
@@ -215,7 +217,7 @@
 	if winner == a {
 		loser = b
 	}
-	if winner.err != nil { // the other may still answer
+	if winner.err != nil { // the other attempt may still succeed
 		x.recordOutcome(winner)
 		winner, loser = <-done, winner
 		loser.close()
@@ -226,7 +228,7 @@
 	return x.recordOutcome(winner)
 }
 
-// hedge begins a second attempt, within the budget.
+// hedge starts a second attempt if the hedging budget allows it.
 func (x *exchange) hedge(ctx context.Context, done chan<- *attempt) (b *attempt, ok bool) {
 	if x.attempts >= maxAttempts || !x.route.service.hedges.TryWithdraw() {
 		return nil, false
@@ -240,7 +242,7 @@
 	return b, true
 }
 
-// recordOutcome notes what the attempt means for the outcome of the request.
+// recordOutcome notes on the exchange that an attempt may have run.
 func (x *exchange) recordOutcome(a *attempt) *attempt {
 	var failure ErrRequest
 	if errors.As(a.err, &failure) && failure.Outcome != OutcomeNotRun {
@@ -249,7 +251,7 @@
 	return a
 }
 
-// deliver sends an answer to the caller.
+// deliver sends the response of an attempt to the caller.
 func (x *exchange) deliver(a *attempt) error {
 	defer a.close()
 	if a.resp.StatusCode == http.StatusSwitchingProtocols {
@@ -259,7 +261,7 @@
 	return x.relay(a)
 }
 
-// newBackendRequest makes the request to a backend server.
+// newBackendRequest builds the request to a backend server.
 func (x *exchange) newBackendRequest(ctx context.Context, server *Server) (req *http.Request, err error) {
 	u := *x.r.URL
 	u.Scheme = "http"
@@ -273,7 +275,7 @@
 	addForwardedFor(req.Header, x.r.RemoteAddr)
 	req.Header.Set(HeaderRequestID, x.id)
 	if _, ok := req.Header["User-Agent"]; !ok {
-		req.Header["User-Agent"] = nil // net/http adds its own otherwise
+		req.Header["User-Agent"] = nil // suppresses net/http's default
 	}
 	if up := upgradeProtocol(x.r.Header); up != "" && x.isStreaming() {
 		req.Header.Set("Connection", "Upgrade")
@@ -282,7 +284,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left := time.Until(deadline).Milliseconds()
 		if left <= 0 {
-			return nil, notRun(http.StatusGatewayTimeout, ReasonDeadline, "no time is left")
+			return nil, notRun(http.StatusGatewayTimeout, ReasonDeadline, "deadline passed before the request was sent")
 		}
 		req.Header.Set(HeaderDeadline, strconv.FormatInt(left, 10))
 	}
--- a/pkg/gateway/balance/balance.go
+++ b/pkg/gateway/balance/balance.go
@@ -1,7 +1,7 @@
 // Package balance chooses one of several interchangeable targets.
 //
-// A [Policy] sees targets only through the [Target] interface, so that the
-// same code is measured on plain values and used on backend servers.
+// Package gateway uses a [Policy] to choose the backend server of each attempt. A policy sees
+// targets only through the [Target] interface.
 package balance
 
 import (
@@ -9,22 +9,22 @@
 	"sync/atomic"
 )
 
-// Target is something that work can be given to.
+// Target is something that requests can be sent to.
 type Target interface {
 	comparable
-	// Usable tells whether the target takes work now.
+	// Usable reports whether the target accepts requests now.
 	Usable() bool
-	// Cost estimates how long new work would take there; only comparisons count.
+	// Cost estimates the time of a new request at the target, in any unit.
 	Cost() float64
 }
 
 // Policy chooses among targets.
 type Policy[T Target] interface {
-	// Pick returns a usable target that skip does not exclude; ok is false when there is none.
+	// Pick returns a usable target for which skip is false; ok is false if there is none.
 	Pick(targets []T, skip func(T) bool) (target T, ok bool)
 }
 
-// RoundRobin takes the targets in turn; it is the baseline.
+// RoundRobin chooses the targets in turn.
 type RoundRobin[T Target] struct {
 	next atomic.Uint64
 }
@@ -37,7 +37,7 @@
 	return firstUsable(targets, int(p.next.Add(1)%uint64(len(targets))), skip)
 }
 
-// firstUsable goes through all targets once from a start.
+// firstUsable returns the first usable target, going around once from start.
 func firstUsable[T Target](targets []T, start int, skip func(T) bool) (target T, ok bool) {
 	for i := range targets {
 		t := targets[(start+i)%len(targets)]
@@ -48,11 +48,11 @@
 	return target, false
 }
 
-// PowerOfTwo takes the cheaper of two different random targets (Mitzenmacher, "The Power
-// of Two Choices in Randomized Load Balancing", 2001).
+// PowerOfTwo chooses the cheaper of two random targets (Mitzenmacher, "The Power of Two Choices
+// in Randomized Load Balancing", 2001).
 type PowerOfTwo[T Target] struct{}
 
-// maxDraws is how often an unusable draw is repeated before all targets are gone through.
+// maxDraws is the number of random draws before all targets are scanned.
 const maxDraws = 4
 
 // Pick implements Policy.
@@ -72,7 +72,7 @@
 	return a, true
 }
 
-// draw returns a random usable target, starting from a first guess.
+// draw returns a random usable target, beginning with the one at index first.
 func draw[T Target](targets []T, first int, skip func(T) bool) (target T, ok bool) {
 	at := first
 	for range maxDraws {
--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// target is a balance.Target whose cost is its place.
+// target is a balance.Target with a fixed cost.
 type target struct{ cost float64 }
 
 func (t *target) Usable() bool  { return true }
 func (t *target) Cost() float64 { return t.cost }
 
-// BenchmarkPick chooses among 10 to 1,700 targets.
+// BenchmarkPick measures the choice among 10 to 1,700 targets.
 func BenchmarkPick(b *testing.B) {
 	none := func(*target) bool { return false }
 	for _, n := range []int{10, 100, 1700} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkAdmit takes a place that is free.
+// BenchmarkAdmit measures Acquire without waiting.
 func BenchmarkAdmit(b *testing.B) {
 	var q limit.Queue
 	ctx := context.Background()
@@ -50,7 +50,7 @@
 	}
 }
 
-// BenchmarkForward takes one request through the gateway to a server on loopback and back.
+// BenchmarkForward measures one request through the gateway to a server on loopback.
 func BenchmarkForward(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }))
 	defer backend.Close()
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -11,29 +11,33 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// HeaderKey names a request that must run at most once, over all its repetitions.
+// HeaderKey is the request header with the idempotency key. Requests with the same key run at
+// most once.
 const HeaderKey = "Idempotency-Key"
 
-// HeaderReplayed marks an answer that was given before.
+// HeaderReplayed marks the saved response of an earlier request with the same key.
 const HeaderReplayed = "Gannetwell-Replayed"
 
+// maxKeyLen is the longest idempotency key accepted, in bytes.
 const maxKeyLen = 256
 
-// hasKey tells that the request carries a key which the route heeds.
+// hasKey reports whether the request has an idempotency key on a route that requires one run at
+// most.
 func (x *exchange) hasKey() bool {
 	return x.g.claims != nil && x.route.Repeat == schema.RepeatOnce && x.r.Header.Get(HeaderKey) != ""
 }
 
-// claimKey claims the request's key; done tells that the first answer was given again.
+// claimKey claims the idempotency key. If done is true, the saved response of an earlier
+// request has been sent.
 func (x *exchange) claimKey(ctx context.Context) (done bool, err error) {
 	key := x.r.Header.Get(HeaderKey)
 	switch {
 	case len(key) > maxKeyLen:
-		return false, notRun(http.StatusBadRequest, ReasonBadHeader, "the key is longer than 256 bytes")
+		return false, notRun(http.StatusBadRequest, ReasonBadHeader, "idempotency key exceeds 256 bytes")
 	case !x.buffered:
-		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with a key needs a body of known length that the entry can read whole")
+		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with an idempotency key needs a Content-Length and a body small enough to buffer")
 	}
-	t, first, err := x.g.claims.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
+	c, first, err := x.g.claims.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
 	switch {
 	case err != nil:
 		return false, claimError(err)
@@ -41,11 +45,11 @@
 		x.replay(first)
 		return true, nil
 	}
-	x.claim = t
+	x.claim = c
 	return false, nil
 }
 
-// claimError tells the caller why a key was not claimed.
+// claimError converts an error of [once.Claims.Claim] into an [ErrRequest].
 func claimError(err error) error {
 	switch {
 	case errors.As(err, new(once.ErrBodyMismatch)):
@@ -56,9 +60,8 @@
 	return notRun(http.StatusServiceUnavailable, ReasonNoClaim, err.Error()).withRetryAfter(defaultRetryAfter)
 }
 
-// adjustKeyedOutcome takes earlier requests with the same key into account: a
-// repetition that was refused before its key was claimed did not run itself,
-// but one before it may have, and its caller asks about them all.
+// adjustKeyedOutcome reports an unknown outcome for a request that failed before its key was
+// claimed: this request did not run, but an earlier one with the same key may have.
 func (x *exchange) adjustKeyedOutcome(err error) error {
 	var failure ErrRequest
 	if x.route == nil || !x.hasKey() || x.claim != nil || !errors.As(err, &failure) {
@@ -66,22 +69,23 @@
 	}
 	if failure.Outcome == OutcomeNotRun && failure.Reason != ReasonKeyBody {
 		failure.Outcome = OutcomeUnknown
-		failure.Detail += " (this one did not run; an earlier one with its key may have: send it again with the key)"
+		failure.Detail += " (this request did not run, but an earlier one with the same key may have; retry with the same key)"
 	}
 	return failure
 }
 
-// replay gives the first answer again.
+// replay sends the saved response of an earlier request with the same key.
 func (x *exchange) replay(a *once.Response) {
 	h := x.w.Header()
 	maps.Copy(h, a.Header)
 	h.Set(HeaderOutcome, string(OutcomeRan))
 	h.Set(HeaderReplayed, "true")
 	x.w.WriteHeader(a.Status)
-	_, _ = x.w.Write(a.Body) // a caller that is gone needs no answer
+	_, _ = x.w.Write(a.Body) // the caller may be gone
 }
 
-// finishClaim ends the claim by what became of the request.
+// finishClaim records the result of the request, or releases the key if the request did not
+// run.
 func (x *exchange) finishClaim(err error) {
 	if x.claim == nil {
 		return
@@ -93,7 +97,7 @@
 	x.g.claims.Finish(x.claim, x.savedResponse)
 }
 
-// saveResponse holds a whole answer for repetitions.
+// saveResponse keeps a complete response for later requests with the same key.
 func (x *exchange) saveResponse(a *attempt) {
 	if x.claim == nil || !a.complete {
 		return
--- a/pkg/gateway/conn.go
+++ b/pkg/gateway/conn.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/gateway/limit"
 )
 
-// The transport to one backend server.
+// Settings of the transport to a backend server.
 const (
 	dialTimeout            = 500 * time.Millisecond
 	idleConnTimeout        = 30 * time.Second
@@ -21,9 +21,9 @@
 	keepAlivePeriod        = 15 * time.Second
 )
 
-var errSealed = errors.New("the exchange was given up")
+var errSealed = errors.New("connection sealed: attempt was aborted")
 
-// sealedConn counts the bytes written and can be sealed, after which none follow.
+// sealedConn counts the bytes written and rejects writes after it is sealed.
 type sealedConn struct {
 	net.Conn
 
@@ -32,7 +32,7 @@
 	sealed  bool
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It fails once the connection is sealed.
 func (c *sealedConn) Write(p []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -41,22 +41,22 @@
 	}
 	n, err = c.Conn.Write(p)
 	if err != nil && n == 0 && len(p) > 0 {
-		n = 1 // what the kernel took of a failed write is not known: never claim that it was nothing
+		n = 1 // the kernel may have taken some bytes of a failed write: never report zero
 	}
 	c.written += int64(n)
 	return min(n, len(p)), err
 }
 
-// bytesWritten returns the bytes written so far.
+// bytesWritten returns the number of bytes written so far.
 func (c *sealedConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal closes the connection for good and returns the bytes written.
+// seal closes the connection and returns the number of bytes ever written to it.
 func (c *sealedConn) seal() int64 {
-	_ = c.SetWriteDeadline(time.Unix(1, 0)) // frees a writer that holds the lock
+	_ = c.SetWriteDeadline(time.Unix(1, 0)) // unblocks a Write that holds the mutex
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
@@ -64,7 +64,8 @@
 	return c.written
 }
 
-// newServer returns a server with a transport of its own, so that closing it drops only its connections.
+// newServer returns a server with its own transport, so that its connections can be closed
+// separately.
 func (g *Gateway) newServer(name, zone, address string) *Server {
 	s := &Server{
 		Name: name, Zone: zone, Address: address,
@@ -89,7 +90,7 @@
 	return s
 }
 
-// dialTCP opens a TCP connection.
+// dialTCP opens a TCP connection with a timeout and keep-alive.
 func dialTCP(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: keepAlivePeriod}
 	return d.DialContext(ctx, network, addr)
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -16,15 +16,16 @@
 )
 
 const (
-	// maxAttempts bounds the servers that one request is tried at.
+	// maxAttempts is the number of servers at which one request is tried, at most.
 	maxAttempts = 3
-	// responseGrace is what a caller may take to read an answer beyond the deadline.
+	// responseGrace is the time past the deadline in which the caller must have read the
+	// response.
 	responseGrace = 10 * time.Second
-	// defaultRetryAfter is the advice to callers of a busy or short-handed service.
+	// defaultRetryAfter is the Retry-After sent while a service is overloaded or has no server.
 	defaultRetryAfter = time.Second
 )
 
-// exchange is one caller's request and its answer.
+// exchange is one request of a caller and its response.
 type exchange struct {
 	g     *Gateway
 	w     http.ResponseWriter
@@ -34,17 +35,17 @@
 	id    string
 	route *route
 
-	body          []byte // the request's body when it was read whole
-	buffered      bool   // body holds all of it
-	reservedBytes int64  // bytes of the body counted against the memory of all
+	body          []byte // buffered request body
+	buffered      bool   // body holds the whole request body
+	reservedBytes int64  // share of Gateway.bodyMemory held for body
 	tried         []*Server
-	mayHaveRun    bool // some attempt's outcome is unknown: the request can no longer be called not run
+	mayHaveRun    bool // an attempt had an unknown outcome, so the request cannot be reported as not run
 	attempts      int
-	claim         *once.Claim    // of the request's key
-	savedResponse *once.Response // for repetitions of the key
+	claim         *once.Claim    // claim on the idempotency key, if any
+	savedResponse *once.Response // response to save under the idempotency key
 }
 
-// serve takes the request through admission, attempts and the answer.
+// serve runs the request from admission to the final response.
 func (x *exchange) serve() {
 	err := x.admit()
 	if err == nil {
@@ -56,7 +57,7 @@
 	x.finish(err)
 }
 
-// setGatewayHeaders sets what every answer carries.
+// setGatewayHeaders sets the headers that every response carries.
 func (x *exchange) setGatewayHeaders(h http.Header) {
 	h.Set(HeaderRequestID, x.id)
 	h.Set(HeaderEntry, x.g.name)
@@ -66,7 +67,8 @@
 	}
 }
 
-// finish answers a failed request, logs it and counts it.
+// finish updates metrics and, if the request failed, logs the failure and sends the error
+// response.
 func (x *exchange) finish(err error) {
 	name, class := "", ""
 	if x.route != nil {
@@ -93,17 +95,17 @@
 	})
 	var broken errResponseBroken
 	if errors.As(err, &broken) {
-		panic(http.ErrAbortHandler) // the answer has begun: break the connection rather than end it as if whole
+		panic(http.ErrAbortHandler) // part of the response was sent: abort the connection so that it is not taken for complete
 	}
 	if !x.buffered && x.r.ContentLength != 0 {
-		// net/http would read the body before it sends the answer, which a slow
-		// caller could hold up; an answer that ends the connection goes at once.
+		// net/http reads the rest of the body before it responds unless the connection is
+		// closed, so a slow caller could delay the response.
 		x.w.Header().Set("Connection", "close")
 	}
 	failure.write(x.w)
 }
 
-// triedNames are the servers of the attempts.
+// triedNames returns the names of the servers tried, in order.
 func (x *exchange) triedNames() (names []string) {
 	for _, s := range x.tried {
 		names = append(names, s.Name)
@@ -111,10 +113,10 @@
 	return names
 }
 
-// errResponseBroken is an answer that broke off after the caller had been sent a part of it.
+// errResponseBroken reports a response that failed after part of it was sent to the caller.
 type errResponseBroken struct{ cause ErrRequest }
 
-// Error gives the cause.
+// Error returns the cause of the failure.
 func (e errResponseBroken) Error() string { return e.cause.Error() }
 
 func asErrRequest(err error) ErrRequest {
@@ -129,28 +131,29 @@
 	return ErrRequest{Status: http.StatusInternalServerError, Outcome: OutcomeUnknown, Reason: ReasonBroken, Detail: err.Error()}
 }
 
-// admit decides whether the request is taken at all; nothing has been handed on when it fails.
+// admit matches the route, applies rate limits and reads small bodies. Nothing is sent to a
+// backend server before it succeeds.
 func (x *exchange) admit() error {
 	if !x.g.ready.Load() {
-		return notRun(http.StatusServiceUnavailable, ReasonStarting, "this entry is starting").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, ReasonStarting, "entry is starting").withRetryAfter(defaultRetryAfter)
 	}
 	x.route = x.view.match(x.r.Method, x.r.URL.Path)
 	if x.route == nil {
-		return notRun(http.StatusNotFound, ReasonNoRoute, "no route takes "+x.r.Method+" "+x.r.URL.Path)
+		return notRun(http.StatusNotFound, ReasonNoRoute, "no route matches "+x.r.Method+" "+x.r.URL.Path)
 	}
 	if err := x.checkRates(); err != nil {
 		return err
 	}
 	rc := http.NewResponseController(x.w)
 	if x.isStreaming() {
-		_ = rc.EnableFullDuplex() // without it an answer ends the reading of the body
+		_ = rc.EnableFullDuplex() // otherwise the server stops reading the body once a response starts
 	} else {
-		_ = rc.SetWriteDeadline(x.start.Add(x.deadline() + responseGrace)) // a caller that does not read holds nothing for ever
+		_ = rc.SetWriteDeadline(x.start.Add(x.deadline() + responseGrace)) // bounds the time for which a caller that does not read holds resources
 	}
 	limit := int64(x.route.MaxBodyBytes)
 	if limit > 0 && x.r.ContentLength > limit {
 		return notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge,
-			"the route takes bodies of at most "+strconv.FormatInt(limit, 10)+" bytes")
+			"request body exceeds the route's limit of "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if limit > 0 {
 		x.r.Body = http.MaxBytesReader(x.w, x.r.Body, limit)
@@ -158,23 +161,24 @@
 	return x.readBody(rc)
 }
 
-// checkRates refuses what a caller's address or a team sends too fast.
+// checkRates applies the request rate limits of the caller's address and of the team.
 func (x *exchange) checkRates() error {
 	host, _, err := net.SplitHostPort(x.r.RemoteAddr)
 	if err != nil {
 		host = x.r.RemoteAddr
 	}
 	if !x.g.callerRates.Allow(host, x.g.settings.CallerRequestsPerS, x.start) {
-		return notRun(http.StatusTooManyRequests, ReasonRate, "the caller sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusTooManyRequests, ReasonRate, "request rate limit of the caller exceeded").withRetryAfter(defaultRetryAfter)
 	}
 	team := x.r.Header.Get(HeaderTeam)
 	if team != "" && !x.g.teamRates.Allow(team, x.view.teams[team], x.start) {
-		return notRun(http.StatusTooManyRequests, ReasonRate, "the team sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusTooManyRequests, ReasonRate, "request rate limit of the team exceeded").withRetryAfter(defaultRetryAfter)
 	}
 	return nil
 }
 
-// readBody reads a small body whole, so that a slow or broken caller never reaches a backend server.
+// readBody buffers a small request body, so that slow or failing callers do not occupy a
+// backend server.
 func (x *exchange) readBody(rc *http.ResponseController) error {
 	n := x.r.ContentLength
 	if n == 0 {
@@ -185,7 +189,7 @@
 		return nil
 	}
 	if !x.g.bodyMemory.TryAcquire(n) {
-		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the memory for request bodies is used up").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, ReasonBusy, "memory for buffered request bodies is exhausted").withRetryAfter(defaultRetryAfter)
 	}
 	x.reservedBytes = n
 	x.body = make([]byte, n)
@@ -194,28 +198,29 @@
 		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	}
 	if _, err := io.ReadFull(x.r.Body, x.body); err != nil {
-		return notRun(http.StatusBadRequest, ReasonBadBody, "the request's body broke off or came too slowly")
+		return notRun(http.StatusBadRequest, ReasonBadBody, "request body was incomplete or too slow")
 	}
 	x.buffered = true
 	return nil
 }
 
-// isStreaming tells that bodies pass through as they come, both ways.
+// isStreaming reports whether bodies are forwarded unbuffered in both directions.
 func (x *exchange) isStreaming() bool { return x.route.Class == schema.ClassLive }
 
-// isRetrySafe tells that the route allows more than one run and that the body can be sent again.
+// isRetrySafe reports whether the route allows the request to run more than once and its body
+// can be resent.
 func (x *exchange) isRetrySafe() bool {
 	return x.route.Repeat == schema.RepeatSafe && x.buffered && !x.isStreaming()
 }
 
-// run makes attempts until one is answered or none may follow.
+// run makes attempts until one succeeds or no further attempt is allowed.
 func (x *exchange) run() error {
 	slots := x.route.slots
 	select {
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	default:
-		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the route's requests in flight are at their limit").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, ReasonBusy, "too many requests in flight on the route").withRetryAfter(defaultRetryAfter)
 	}
 	ctx, cancel := x.context()
 	defer cancel()
@@ -237,7 +242,7 @@
 		}
 		next, ok := x.nextServer(ctx, a.err)
 		if !ok && a.err == nil {
-			return x.deliver(a) // the server's own refusal is the answer
+			return x.deliver(a) // no server left to try: pass on the 502, 503 or 504
 		}
 		a.close()
 		if !ok {
@@ -248,8 +253,8 @@
 	}
 }
 
-// nextServer claims the server of the next attempt, if one may follow and there is
-// one. A nil error stands for an answer by which the server says that it is not well.
+// nextServer claims a server for the next attempt, if another attempt is allowed. A nil err
+// means that the last server responded 502, 503 or 504.
 func (x *exchange) nextServer(ctx context.Context, err error) (server *Server, ok bool) {
 	if err == nil {
 		x.mayHaveRun = true
@@ -260,7 +265,7 @@
 	return x.claimServer()
 }
 
-// backoff waits a little before another attempt.
+// backoff waits between attempts.
 func (x *exchange) backoff(ctx context.Context) {
 	t := time.NewTimer(retry.Backoff(x.attempts))
 	defer t.Stop()
@@ -270,7 +275,8 @@
 	}
 }
 
-// adjustOutcome takes every attempt into account: the last one may not have run where an earlier one may have.
+// adjustOutcome reports an unknown outcome if an earlier attempt may have run, even if the last
+// one did not.
 func (x *exchange) adjustOutcome(err error) error {
 	var failure ErrRequest
 	if x.mayHaveRun && errors.As(err, &failure) && failure.Outcome == OutcomeNotRun {
@@ -280,7 +286,7 @@
 	return err
 }
 
-// acquireServer claims a server; when all are full it waits in the queue of the service.
+// acquireServer claims a server; while all are full it waits in the service's queue.
 func (x *exchange) acquireServer(ctx context.Context) (server *Server, err error) {
 	svc := x.route.service
 	pick := func() (ok bool) {
@@ -301,20 +307,20 @@
 	return server, nil
 }
 
-// context bounds the exchange. A request that must not be repeated goes on when
-// its caller is gone: what a backend server has begun, it finishes.
+// context returns the context of the exchange. It is independent of the caller's connection if
+// the request must run at most once, so that a request in progress is completed.
 func (x *exchange) context() (context.Context, context.CancelFunc) {
 	ctx := x.r.Context()
 	if x.route.Repeat == schema.RepeatOnce && x.buffered {
 		ctx = context.WithoutCancel(ctx)
 	}
 	if x.isStreaming() {
-		return context.WithCancel(ctx) // only the first byte is bounded, by the attempt
+		return context.WithCancel(ctx) // only the wait for the first byte is bounded, in roundTrip
 	}
 	return context.WithDeadline(ctx, x.start.Add(x.deadline()))
 }
 
-// deadline is the route's, or the caller's when that is sooner.
+// deadline returns the time limit of the request: the route's or, if shorter, the caller's.
 func (x *exchange) deadline() time.Duration {
 	d := time.Duration(x.route.DeadlineMs) * time.Millisecond
 	if ms, err := strconv.Atoi(x.r.Header.Get(HeaderDeadline)); err == nil && ms > 0 {
@@ -323,9 +329,8 @@
 	return d
 }
 
-// mayRetry tells whether an attempt may be followed by another at another
-// server: where that is truthful and allowed, and within the budget. A nil error
-// stands for an answer by which the server says that it is not well.
+// mayRetry reports whether another attempt is allowed by the deadline, the route and the retry
+// budget. A nil err means that the last server responded 502, 503 or 504.
 func (x *exchange) mayRetry(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || x.attempts >= maxAttempts {
 		return false
@@ -336,7 +341,7 @@
 		return false
 	}
 	if notRun && x.g.settings.Retries != schema.GatewaySettingsRetriesNever {
-		return true // a refused connection adds no work anywhere
+		return true // a refused connection costs the backend nothing
 	}
 	switch x.g.settings.Retries {
 	case schema.GatewaySettingsRetriesAlways:
@@ -347,8 +352,8 @@
 	return false
 }
 
-// requestBody returns the body of one attempt. It is never nil and cannot be
-// rewound, so that net/http does not send the request again by itself.
+// requestBody returns the body for one attempt. It is never nil and cannot be rewound, so that
+// net/http does not resend the request by itself.
 func (x *exchange) requestBody() io.ReadCloser {
 	if x.buffered {
 		return io.NopCloser(onlyReader{bytes.NewReader(x.body)})
@@ -356,5 +361,5 @@
 	return io.NopCloser(onlyReader{x.r.Body})
 }
 
-// onlyReader hides every other method of a reader.
+// onlyReader hides all methods of a reader but Read.
 type onlyReader struct{ io.Reader }
--- a/pkg/gateway/failures.go
+++ b/pkg/gateway/failures.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// maxFailures is how many of the last requests that failed an entry remembers.
+// maxFailures is the number of recent failed requests that an entry remembers.
 const maxFailures = 4096
 
-// Failure is a request that failed, as far as the entry knows.
+// Failure describes a request that failed at this entry.
 type Failure struct {
-	At       time.Time
-	Route    string
+	At       time.Time // when the request arrived
+	Route    string    // name of the route, empty if none matched
 	Outcome  Outcome
 	Reason   Reason
 	Detail   string
 	Attempts int
-	Servers  []string // that it was tried at, in order
-	Took     time.Duration
+	Servers  []string      // backend servers tried, in order
+	Took     time.Duration // time from arrival to failure
 }
 
-// Sentences tell what happened to the request.
+// Sentences describes the failure of the request for operators, one sentence per element.
 func (f Failure) Sentences(id, entry string) []string {
 	out := []string{fmt.Sprintf("Request %s failed at entry %s at %s after %s.", id, entry, f.At.UTC().Format(time.RFC3339Nano), f.Took.Round(time.Microsecond))}
 	if f.Route == "" {
-		out = append(out, "No route had been chosen.")
+		out = append(out, "No route matched it.")
 	} else {
 		out = append(out, fmt.Sprintf("Its route was %s; it was tried at %d servers: %v.", f.Route, f.Attempts, f.Servers))
 	}
@@ -34,18 +34,18 @@
 	case OutcomeNotRun:
 		out = append(out, "It did not run: no byte of it reached a backend server, so it is safe to send it again.")
 	case OutcomeRan:
-		out = append(out, "It ran: a backend server answered it.")
+		out = append(out, "It ran: a backend server responded.")
 	case OutcomeUnknown:
-		out = append(out, "It may have run: it was handed to a backend server, or an earlier one with its key was, and no whole answer came.")
+		out = append(out, "It may have run: it, or an earlier request with its key, was sent to a backend server, and no complete response arrived.")
 	}
 	return out
 }
 
-// failures remembers the last requests that failed, by ID.
+// failures holds the most recent failed requests by ID.
 type failures struct {
 	mu    sync.Mutex
 	byID  map[string]Failure
-	order []string // the oldest first, at most keptFailures
+	order []string // request IDs, oldest first
 }
 
 func (f *failures) add(id string, failure Failure) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// Failure returns what the entry remembers of a request that failed.
+// Failure returns the details of a recent failed request; ok is false if it is not remembered.
 func (g *Gateway) Failure(id string) (f Failure, ok bool) {
 	g.failures.mu.Lock()
 	defer g.failures.mu.Unlock()
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -24,28 +24,28 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// behavior is what a backend server does with one attempt of a request.
+// behavior is how a backend server handles one attempt of a request.
 type behavior string
 
 const (
 	answers               behavior = "answers"
 	answersLarge          behavior = "answers big"
 	unavailable           behavior = "unwell"      // 503
-	closesBeforeResponse  behavior = "cuts"        // runs, then closes the connection
-	closesInResponse      behavior = "cuts answer" // closes it inside the answer
-	closesInLargeResponse behavior = "cuts big"    // closes it after the first part
-	sleeps                behavior = "sleeps"      // answers long after the deadline
+	closesBeforeResponse  behavior = "cuts"        // runs the request, then closes the connection
+	closesInResponse      behavior = "cuts answer" // closes the connection within the response
+	closesInLargeResponse behavior = "cuts big"    // closes the connection after the prefix
+	sleeps                behavior = "sleeps"      // responds long after the deadline
 )
 
 var behaviors = []behavior{answers, answers, answersLarge, unavailable, closesBeforeResponse, closesInResponse, closesInLargeResponse, sleeps}
 
 const (
 	headerID   = "X-Id"
-	headerPlan = "X-Plan" // conducts of the attempts, by comma
-	headerCut  = "X-Cut"  // byte of the answer at which it is cut
+	headerPlan = "X-Plan" // comma-separated behaviors, one per attempt
+	headerCut  = "X-Cut"  // length in bytes at which the response is truncated
 )
 
-// oracle knows what each backend server ran.
+// oracle records what the backend servers ran.
 type oracle struct {
 	mu       sync.Mutex
 	attempts map[string]int
@@ -71,7 +71,7 @@
 	o.problems = append(o.problems, fmt.Sprintf(format, args...))
 }
 
-// expectedBody is the one right answer to a request.
+// expectedBody returns the body of the correct response to a request.
 func expectedBody(id string, big bool) []byte {
 	n := 3
 	if big {
@@ -80,7 +80,7 @@
 	return []byte(strings.Repeat(id+";", n))
 }
 
-// ServeHTTP is every backend server.
+// ServeHTTP implements every backend server.
 func (o *oracle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	plan := strings.Split(r.Header.Get(headerPlan), ",")
@@ -110,18 +110,18 @@
 	_, _ = w.Write(body)
 }
 
-// mutation breaks a promise between the gateway and its callers; none is the sound product.
+// mutation breaks one guarantee of the gateway, to check that the property detects it.
 type mutation func(http.Handler) http.Handler
 
 func unmodified(h http.Handler) http.Handler { return h }
 
-// pathHarness is two entries over one store and three backend servers.
+// pathHarness runs two entries over one store with three backend servers.
 type pathHarness struct {
 	*oracle
 	store    *fake.Platform
 	gateways []*gateway.Gateway
 	urls     []string
-	keys     map[string]string // first request of each key
+	keys     map[string]string // ID of the first request of each key
 	next     int
 	close    func()
 }
@@ -157,7 +157,7 @@
 	return w
 }
 
-// send sends one request and judges what its caller is told against what ran.
+// send sends one request and checks the reported outcome against what ran.
 func (w *pathHarness) send(entry int, route, id, plan, key string, cut int) {
 	req, err := http.NewRequest(http.MethodPost, w.urls[entry]+route, bytes.NewReader([]byte("body")))
 	if err != nil {
@@ -183,7 +183,7 @@
 		w.problem("%s ran %d times", id, ran)
 	}
 	if err != nil {
-		return // no word at all claims nothing
+		return // without a response there is no outcome to check
 	}
 	outcome := gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome))
 	want := id
@@ -203,7 +203,8 @@
 	}
 }
 
-// pathMachine is the property of the request path.
+// pathMachine checks outcomes and responses under random requests, server states and store
+// faults.
 func pathMachine(t *rapid.T, s mutation) {
 	w := newPathHarness(s)
 	defer w.close()
@@ -233,7 +234,7 @@
 		},
 		"keyed requests": func(t *rapid.T) {
 			key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
-			if _, ok := w.keys[key]; !ok { // all repetitions are one request
+			if _, ok := w.keys[key]; !ok { // all repetitions of a key are one request
 				w.next++
 				w.keys[key] = fmt.Sprintf("r%d", w.next)
 			}
@@ -255,13 +256,13 @@
 	})
 }
 
-// TestPath proves outcomes, whole and own answers and at most once over real
-// connections; it judges by what ran, never by time.
+// TestPath checks that outcomes are true, responses complete and not mixed up, and requests
+// with one run at most never run twice. It does not depend on timing.
 func TestPath(t *testing.T) {
 	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, unmodified) })
 }
 
-// TestPathMutations breaks each promise once, on purpose: the property must see it.
+// TestPathMutations breaks one guarantee at a time and expects the property to fail.
 func TestPathMutations(t *testing.T) {
 	for name, s := range map[string]mutation{
 		"unknown is told as not run": func(h http.Handler) http.Handler {
@@ -317,7 +318,7 @@
 	}
 }
 
-// rewriteResponse lets f change an answer before its caller gets it.
+// rewriteResponse lets f change each response before it is sent to the caller.
 func rewriteResponse(h http.Handler, f func(*httptest.ResponseRecorder)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -20,7 +20,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Gateway serves callers' requests; it is an http.Handler.
+// Gateway forwards callers' requests to backend servers; it implements http.Handler.
 type Gateway struct {
 	name        string
 	zone        string
@@ -31,36 +31,37 @@
 	dial        func(ctx context.Context, network, addr string) (net.Conn, error)
 	callerRates limit.Rates
 	teamRates   limit.Rates
-	claims      *once.Claims // nil without claims of keys
+	claims      *once.Claims // nil disables idempotency keys
 	failures    failures
-	bodyMemory  *semaphore.Weighted // bytes of bodies that are read whole
+	bodyMemory  *semaphore.Weighted // total size of buffered request bodies, in bytes
 
 	view     atomic.Pointer[view]
 	ready    atomic.Bool
 	stopping atomic.Bool
-	active   atomic.Int64 // requests, upgraded connections included
+	active   atomic.Int64 // requests being served, including upgraded connections
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	servers  map[string]*Server
 	routes   map[string]*routeState
 	services map[string]*serviceState
 }
 
-// Option changes how a Gateway is made.
+// Option configures a Gateway.
 type Option func(*Gateway)
 
-// WithLogger logs one line for each request that fails.
+// WithLogger logs each failed request to l.
 func WithLogger(l zerolog.Logger) Option { return func(g *Gateway) { g.log = l } }
 
-// WithClaims claims the keys of requests that must not be repeated.
+// WithClaims enables idempotency keys, stored in b.
 func WithClaims(b *once.Claims) Option { return func(g *Gateway) { g.claims = b } }
 
-// WithDial opens connections to backend servers by f.
+// WithDial uses f to open connections to backend servers.
 func WithDial(f func(ctx context.Context, network, addr string) (net.Conn, error)) Option {
 	return func(g *Gateway) { g.dial = f }
 }
 
-// New returns a gateway of the named entry that is not ready yet.
+// New returns a gateway for the named entry in a zone. It rejects requests until
+// SetReady(true).
 func New(name, zone string, settings schema.GatewaySettings, opts ...Option) *Gateway {
 	g := &Gateway{
 		name: name, zone: zone, settings: settings,
@@ -84,7 +85,8 @@
 	return balance.PowerOfTwo[*Server]{}
 }
 
-// SetTable puts a snapshot in force; when it returns, closed servers get no new requests.
+// SetTable makes a snapshot current. After it returns, no new request goes to a server that the
+// snapshot closes.
 func (g *Gateway) SetTable(snap *table.Snapshot) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -93,7 +95,8 @@
 	g.metrics.revision.Set(float64(snap.Revision))
 }
 
-// Mark tells what a source knows of a VM's server; a VM that is not in the table is passed over.
+// Mark opens or closes a VM's server on behalf of a source. VMs that are not in the table are
+// ignored.
 func (g *Gateway) Mark(vm string, src Source, closed bool) {
 	g.mu.Lock()
 	server, ok := g.servers[vm]
@@ -103,7 +106,7 @@
 	}
 }
 
-// InFlight returns how many requests the entry has in flight to a VM's server.
+// InFlight returns the number of requests that this entry has in flight to a VM's server.
 func (g *Gateway) InFlight(vm string) int {
 	g.mu.Lock()
 	server, ok := g.servers[vm]
@@ -114,19 +117,20 @@
 	return int(server.inFlight.Load())
 }
 
-// SetReady tells whether requests are taken at all.
+// SetReady sets whether requests are accepted.
 func (g *Gateway) SetReady(ready bool) { g.ready.Store(ready) }
 
-// Ready tells whether the balancer should send requests here.
+// Ready reports whether the load balancer should send requests to this entry.
 func (g *Gateway) Ready() bool { return g.ready.Load() && !g.stopping.Load() }
 
-// Stop begins a planned stop: requests are still served, but callers are told to open other connections.
+// Stop starts a graceful shutdown: requests are still served, but responses ask callers to
+// close the connection.
 func (g *Gateway) Stop() { g.stopping.Store(true) }
 
-// Active returns the number of requests and upgraded connections.
+// Active returns the number of requests being served, including upgraded connections.
 func (g *Gateway) Active() int { return int(g.active.Load()) }
 
-// WaitIdle returns when nothing is active or ctx ends.
+// WaitIdle waits until no request is active. It returns the error of ctx if that ends first.
 func (g *Gateway) WaitIdle(ctx context.Context) error {
 	t := time.NewTicker(10 * time.Millisecond)
 	defer t.Stop()
@@ -140,7 +144,7 @@
 	return nil
 }
 
-// Close drops the connections to backend servers.
+// Close closes the idle connections to backend servers.
 func (g *Gateway) Close() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,7 +167,7 @@
 	maxRequestIDLen = 128
 )
 
-// requestID returns the caller's ID of a request, or a new one.
+// requestID returns the request ID set by the caller, or a random one.
 func requestID(r *http.Request) string {
 	if id := r.Header.Get(HeaderRequestID); id != "" && len(id) <= maxRequestIDLen {
 		return id
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -25,7 +25,8 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// testTable builds a table with one service whose servers stand at the addresses.
+// testTable returns a table with three routes and one service whose VMs have the given
+// addresses.
 func testTable(revision int, addresses ...string) *table.Snapshot {
 	route := func(prefix string, class schema.Class, repeat schema.Repeat) rawJSON {
 		return table.MustValue(schema.Route{PathPrefix: prefix, Service: "s", Class: class, Repeat: repeat, DeadlineMs: 3000, MaxBodyBytes: 100_000, MaxInFlight: 100})
@@ -54,7 +55,7 @@
 
 func key(kind schema.Kind, name string) table.Key { return table.Key{Kind: kind, Name: name} }
 
-// startGateway runs a gateway in front of servers and returns its address.
+// startGateway runs a gateway in front of the servers and returns its URL.
 func startGateway(t *testing.T, addresses ...string) (g *gateway.Gateway, url string) {
 	return startGatewayWith(t, schema.GatewaySettings{BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true}, addresses...)
 }
@@ -71,7 +72,7 @@
 	return g, s.URL
 }
 
-// rawServer answers each connection by f, which gets the request's first bytes.
+// rawServer handles each connection with f, which gets the connection's number, from 1.
 func rawServer(t *testing.T, f func(n int, conn net.Conn)) (address string, conns *atomic.Int64) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -93,7 +94,7 @@
 	return ln.Addr().String(), conns
 }
 
-// readRequest takes one request off a connection.
+// readRequest reads one request with its body.
 func readRequest(r *bufio.Reader) error {
 	req, err := http.ReadRequest(r)
 	if err == nil {
@@ -102,7 +103,7 @@
 	return err
 }
 
-// post sends a request whose body the client cannot send again.
+// post sends a request whose body net/http cannot resend.
 func post(t *testing.T, url, body string, header ...string) (status int, outcome gateway.Outcome, answer string, err error) {
 	req, reqErr := http.NewRequest(http.MethodPost, url, io.NopCloser(strings.NewReader(body)))
 	qt.Assert(t, reqErr, qt.IsNil)
@@ -119,8 +120,8 @@
 	return resp.StatusCode, gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome)), string(raw), err
 }
 
-// TestMalformedResponses puts backend servers behind the gateway that answer anything but HTTP:
-// the caller gets an error that tells what ran, and the gateway lives.
+// TestMalformedResponses checks that a malformed or truncated response gives the caller an
+// error with the right outcome.
 func TestMalformedResponses(t *testing.T) {
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	cases := []struct {
@@ -128,7 +129,7 @@
 		path         string
 		status       int
 		outcome      gateway.Outcome
-		broken       bool // the caller's connection breaks
+		broken       bool // the caller's connection is aborted
 	}{
 		{"whole answer", whole, "/once", 200, gateway.OutcomeRan, false},
 		{"no HTTP", "hello, this is no HTTP\r\n\r\n", "/once", 502, gateway.OutcomeUnknown, false},
@@ -156,12 +157,12 @@
 			c.Check(status, qt.Equals, tc.status)
 			c.Check(outcome, qt.Equals, tc.outcome)
 			c.Check(err != nil, qt.Equals, tc.broken, qt.Commentf("error %v, body %q", err, body))
-			c.Check(conns.Load(), qt.Equals, int64(1), qt.Commentf("a once-request is handed on once"))
+			c.Check(conns.Load(), qt.Equals, int64(1), qt.Commentf("a request that must run once is sent once"))
 		})
 	}
 }
 
-// TestRefusals sends requests that must not reach a backend server.
+// TestRefusals sends requests that must be rejected without reaching a backend server.
 func TestRefusals(t *testing.T) {
 	var ran atomic.Int64
 	backend := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { ran.Add(1) }))
@@ -204,8 +205,8 @@
 	qt.Check(t, ran.Load(), qt.Equals, int64(0))
 }
 
-// TestNoReplay closes kept connections under requests that net/http would send
-// again by itself: with an idempotency key, and without a body.
+// TestNoReplay closes idle connections under requests that net/http would resend by itself:
+// those with an idempotency key or without a body.
 func TestNoReplay(t *testing.T) {
 	for _, tc := range []struct{ name, method, header string }{
 		{"idempotency key", http.MethodPost, "Idempotency-Key"},
@@ -223,7 +224,7 @@
 					}
 					received.Add(1)
 					if n == 1 && i == 1 {
-						return // the kept connection dies under its second request
+						return // closes the reused connection on its second request
 					}
 					_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 				}
@@ -244,8 +245,8 @@
 	}
 }
 
-// TestRetry checks that safe requests go to another server when one breaks, and
-// that requests which no server took are reported as not run.
+// TestRetry checks that a safe request is retried at another server, and that a request is
+// reported as not run if no connection could be opened.
 func TestRetry(t *testing.T) {
 	c := qt.New(t)
 	bad, _ := rawServer(t, func(_ int, conn net.Conn) { _ = readRequest(bufio.NewReader(conn)) })
@@ -272,8 +273,8 @@
 	c.Check(outcome, qt.Equals, gateway.OutcomeNotRun)
 }
 
-// TestOutcomeAfterRetry breaks the first attempt of a safe request after it was
-// handed on and refuses the others: the whole did not certainly not run.
+// TestOutcomeAfterRetry checks that a request whose first attempt may have run is not reported
+// as not run after later attempts were refused.
 func TestOutcomeAfterRetry(t *testing.T) {
 	c := qt.New(t)
 	var received atomic.Int64
@@ -282,7 +283,7 @@
 			return
 		}
 		received.Add(1)
-		if n%2 == 0 { // every other time it answers that it is not well
+		if n%2 == 0 { // every second response is a 503
 			_, _ = io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
@@ -299,8 +300,8 @@
 	}
 }
 
-// TestServerClosed closes servers by each source alone while requests run: after it
-// returned, no new request begins, and the count in flight falls to zero for good.
+// TestServerClosed closes a server by each source while requests run: no request may start
+// there afterwards, and its in-flight count must fall to zero and stay there.
 func TestServerClosed(t *testing.T) {
 	for _, src := range []gateway.Source{gateway.SourceTable, gateway.SourceList, gateway.SourceProbe} {
 		t.Run(fmt.Sprint(src), func(t *testing.T) {
@@ -348,7 +349,7 @@
 			for began[1].Load() < other+200 {
 				time.Sleep(time.Millisecond)
 			}
-			c.Check(began[0].Load(), qt.Equals, last, qt.Commentf("requests began at a closed server"))
+			c.Check(began[0].Load(), qt.Equals, last, qt.Commentf("requests started at a closed server"))
 			c.Check(g.InFlight("w1"), qt.Equals, 0)
 			close(stop)
 			wg.Wait()
@@ -356,7 +357,7 @@
 	}
 }
 
-// TestLive passes a stream through both ways, and an upgrade.
+// TestLive checks bidirectional streaming and protocol upgrades.
 func TestLive(t *testing.T) {
 	echo := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rc := http.NewResponseController(w)
@@ -420,7 +421,7 @@
 		got, err := back.ReadString('\n')
 		c.Assert(err, qt.IsNil)
 		c.Check(got, qt.Equals, "hello\n")
-		c.Check(g.Active(), qt.Equals, 1, qt.Commentf("an upgraded connection counts as in flight"))
+		c.Check(g.Active(), qt.Equals, 1, qt.Commentf("an upgraded connection is active"))
 	})
 	t.Run("upgrade on a route that is not live", func(t *testing.T) {
 		c := qt.New(t)
@@ -430,15 +431,15 @@
 		resp, err := http.DefaultTransport.RoundTrip(req)
 		c.Assert(err, qt.IsNil)
 		_ = resp.Body.Close()
-		c.Check(resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("the request is served without a change of protocol"))
+		c.Check(resp.StatusCode, qt.Equals, http.StatusOK, qt.Commentf("the request is served without an upgrade"))
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	qt.Assert(t, g.WaitIdle(ctx), qt.IsNil)
 }
 
-// TestNoCrossedResponses lets answers come late: a caller whose request was given up
-// never meets the answer to another one on a kept connection.
+// TestNoCrossedResponses delays responses past the deadline: no later request on the same
+// connection may receive them.
 func TestNoCrossedResponses(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -476,8 +477,8 @@
 
 var errStop = errors.New("stop")
 
-// TestCallerGone checks that a once-request which a backend server has begun is
-// finished when its caller goes away.
+// TestCallerGone checks that a request that must run once is completed after its caller
+// disconnects.
 func TestCallerGone(t *testing.T) {
 	c := qt.New(t)
 	began, finished := make(chan struct{}), make(chan error, 1)
@@ -506,8 +507,8 @@
 	c.Check(<-finished, qt.IsNil)
 }
 
-// TestKeys repeats a request with its key at two entries over one store: it runs
-// once, its entry gives the first answer again, the other refuses truthfully.
+// TestKeys repeats a request with an idempotency key at two entries that share a store: it runs
+// once, the first entry replays the response, and the other reports an unknown outcome.
 func TestKeys(t *testing.T) {
 	c := qt.New(t)
 	var ran atomic.Int64
@@ -553,8 +554,8 @@
 	c.Check(ran.Load(), qt.Equals, int64(1))
 }
 
-// TestRooms sends rooms through two entries: each room stays at one server, all
-// servers get some, and closing one moves only its own rooms.
+// TestRooms checks that both entries send a room to the same server, that all servers are used,
+// and that closing a server moves only its own rooms.
 func TestRooms(t *testing.T) {
 	c := qt.New(t)
 	var addresses []string
@@ -597,8 +598,8 @@
 	}
 }
 
-// TestRates refuses what a caller or a team sends too fast, as not run. The rate
-// gives one request in 1,000 s, so that no time that the test takes matters.
+// TestRates checks the limits per caller and per team. The rate of one request in 1,000 s makes
+// the test independent of its own duration.
 func TestRates(t *testing.T) {
 	c := qt.New(t)
 	const rate = 0.001
--- a/pkg/gateway/headers.go
+++ b/pkg/gateway/headers.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection (RFC 9110 section 7.6.1) and are not passed on.
+// hopHeaders are the hop-by-hop headers (RFC 9110 section 7.6.1), which are not forwarded.
 var hopHeaders = map[string]bool{
 	"Connection": true, "Proxy-Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true,
 	"Proxy-Authorization": true, "Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 }
 
-// copyHeaders gives dst the headers that are meant for the other end; values are shared, not copied.
+// copyHeaders copies the end-to-end headers from src to dst. The value slices are shared.
 func copyHeaders(dst, src http.Header) {
 	named := connectionHeaders(src)
 	for name, values := range src {
@@ -23,8 +23,8 @@
 	}
 }
 
-// connectionHeaders returns the headers that a message itself names as belonging to the
-// connection, nil for the usual none.
+// connectionHeaders returns the headers that the Connection header lists as hop-by-hop, nil if
+// none.
 func connectionHeaders(h http.Header) (named map[string]bool) {
 	for _, v := range h["Connection"] {
 		for token := range strings.SplitSeq(v, ",") {
@@ -41,7 +41,7 @@
 	return named
 }
 
-// addForwardedFor tells the backend server whom the request came from.
+// addForwardedFor appends the caller's address to X-Forwarded-For.
 func addForwardedFor(h http.Header, remote string) {
 	host, _, err := net.SplitHostPort(remote)
 	if err != nil {
@@ -53,7 +53,7 @@
 	h.Set("X-Forwarded-For", host)
 }
 
-// upgradeProtocol returns the protocol that a message asks to change to, "" for none.
+// upgradeProtocol returns the protocol that the message asks to upgrade to, empty for none.
 func upgradeProtocol(h http.Header) string {
 	for _, v := range h["Connection"] {
 		for token := range strings.SplitSeq(v, ",") {
--- a/pkg/gateway/limit/adaptive.go
+++ b/pkg/gateway/limit/adaptive.go
@@ -9,61 +9,62 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// The adaptation: additive increase while answers come as fast as they can and
-// the limit is used, multiplicative decreaseFactor when they do not (after Chiu and
-// Jain, "Analysis of the Increase and Decrease Algorithms for Congestion
-// Avoidance", 1989).
+// Parameters of the adaptive limit: additive increase while latency is low and the limit is
+// used, multiplicative decrease when latency rises (after Chiu and Jain, "Analysis of the
+// Increase and Decrease Algorithms for Congestion Avoidance", 1989).
 const (
 	initialLimit = 4
 	minLimit     = 2
-	// congestedRatio is how many times the undisturbed latency is taken for a queue at the server.
+	// congestedRatio is the latency ratio above which requests are assumed to queue at the
+	// server.
 	congestedRatio = 1.35
-	// uncongestedRatio is up to where more may be tried.
+	// uncongestedRatio is the latency ratio below which the limit may rise.
 	uncongestedRatio = 1.15
 	decreaseFactor   = 0.85
-	timeoutFactor    = 0.7 // after a deadline that passed
-	// minUtilization is the part of the limit that must be in flight for it to rise.
+	timeoutFactor    = 0.7 // after a timeout
+	// minUtilization is the share of the limit that must be in flight for it to rise.
 	minUtilization = 0.8
-	// smoothingFactor weighs a new sample.
+	// smoothingFactor is the weight of a new sample in the moving average.
 	smoothingFactor = 0.1
-	// minDecreaseInterval lets a decrease show its effect before the next.
+	// minDecreaseInterval lets one decrease take effect before the next.
 	minDecreaseInterval = 50 * time.Millisecond
 )
 
-// classShare is the part of a server's limit that a class may fill, so that the
-// next request of a higher one finds a place at once.
+// classShare is the share of a server's limit that a class may use, so that higher classes
+// always find capacity.
 var classShare = map[schema.Class]float64{
 	schema.ClassLive: 1, schema.ClassInteractive: 1, schema.ClassClerk: 0.85, schema.ClassBatch: 0.7,
 }
 
-// ClassLimit is how many requests may be in flight for one more of a class to join them.
+// ClassLimit returns how many requests may be in flight, of all classes, for another one of
+// class to be admitted.
 func ClassLimit(limit int64, class schema.Class) int64 {
 	return max(1, int64(float64(limit)*classShare[class]))
 }
 
-// Adaptive is the limit of requests in flight to one server.
+// Adaptive is an adaptive limit of the requests in flight to one server.
 type Adaptive struct {
 	current atomic.Int64
 
 	mu           sync.Mutex
 	limit        float64
 	maxLimit     float64
-	ratio        float64 // smoothed latency over the undisturbed one
+	ratio        float64 // moving average of the latency ratio
 	lastDecrease time.Time
 }
 
-// NewAdaptive returns a limit that never exceeds highest.
+// NewAdaptive returns a limit that never exceeds maxLimit.
 func NewAdaptive(maxLimit int) *Adaptive {
 	a := &Adaptive{limit: min(initialLimit, float64(maxLimit)), maxLimit: float64(maxLimit), ratio: 1}
 	a.current.Store(int64(a.limit))
 	return a
 }
 
-// Limit returns the limit now.
+// Limit returns the current limit.
 func (a *Adaptive) Limit() int64 { return a.current.Load() }
 
-// ObserveResponse takes an answer into account: its latency as a multiple of the
-// undisturbed one, and how many requests were in flight.
+// ObserveResponse updates the limit after a response. ratio is the latency divided by the
+// uncongested latency; inFlight is the number of requests in flight.
 func (a *Adaptive) ObserveResponse(ratio float64, inFlight int64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,14 +77,14 @@
 	}
 }
 
-// ObserveTimeout takes an answer that did not come in time into account.
+// ObserveTimeout lowers the limit after a request without a response in time.
 func (a *Adaptive) ObserveTimeout(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.decrease(timeoutFactor, now)
 }
 
-// decrease lowers the limit; the caller holds the lock.
+// decrease lowers the limit; the caller holds mu.
 func (a *Adaptive) decrease(factor float64, now time.Time) {
 	if now.Sub(a.lastDecrease) < minDecreaseInterval {
 		return
@@ -92,31 +93,30 @@
 	a.set(a.limit * factor)
 }
 
-// set bounds and publishes the limit; the caller holds the lock.
+// set clamps and publishes the limit; the caller holds mu.
 func (a *Adaptive) set(limit float64) {
 	a.limit = max(min(minLimit, a.maxLimit), min(limit, a.maxLimit))
 	a.current.Store(int64(a.limit))
 }
 
-// Baseline follows the undisturbed latency of one kind of request: the lowest
-// mean of a batch in the last one to two windows, so that it can rise again.
-// Means are taken so that kinds whose work varies by itself do not look
-// congested beside their quickest request.
+// Baseline estimates the uncongested latency of one kind of request: the lowest batch mean of
+// the current and the previous window. Means keep normal variation from looking like
+// congestion.
 type Baseline struct {
 	mu                sync.Mutex
 	windowStart       time.Time
-	current, previous time.Duration // lowest means of this window and the one before
+	current, previous time.Duration // lowest mean of this window and of the one before
 	sum               time.Duration
 	n                 int
 }
 
 const (
-	// baselineWindow is how long a lowest mean counts, at least.
+	// baselineWindow is the shortest time for which a lowest mean counts.
 	baselineWindow = 30 * time.Second
 	baselineBatch  = 16
 )
 
-// Observe takes a latency in and returns it as a multiple of the undisturbed one.
+// Observe adds a latency sample and returns its ratio to the uncongested latency.
 func (b *Baseline) Observe(d time.Duration, now time.Time) (ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,12 +131,12 @@
 		lowest = b.previous
 	}
 	if lowest == 0 {
-		return 1 // the first batch
+		return 1 // no complete batch yet
 	}
 	return float64(d) / float64(max(lowest, minBaseline))
 }
 
-// addMean keeps a batch's mean; the caller holds the lock.
+// addMean records the mean of a batch; the caller holds mu.
 func (b *Baseline) addMean(mean time.Duration, now time.Time) {
 	if now.Sub(b.windowStart) > baselineWindow {
 		b.previous, b.current, b.windowStart = b.current, 0, now
@@ -146,5 +146,6 @@
 	}
 }
 
-// minBaseline keeps noise of very quick answers from looking like a queue.
+// minBaseline is the lowest baseline, so that jitter of very short requests does not look like
+// congestion.
 const minBaseline = time.Millisecond
--- a/pkg/gateway/limit/doc.go
+++ b/pkg/gateway/limit/doc.go
@@ -1,4 +1,4 @@
-// Package limit bounds what the request path takes on: how much one backend
-// server is given ([Adaptive]), who goes first when all are full ([Queue]) and
-// how fast one caller or team may send ([Rates]).
+// Package limit implements the admission limits of package gateway: an adaptive concurrency
+// limit per backend server ([Adaptive]), a priority queue of requests for a service whose
+// servers are full ([Queue]), and rate limits per caller and per team ([Rates]).
 package limit
--- a/pkg/gateway/limit/limit_test.go
+++ b/pkg/gateway/limit/limit_test.go
@@ -14,7 +14,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// slots is a service with some free slots, which are taken and freed under a queue.
+// slots is a queue in front of a number of free slots.
 type slots struct {
 	limit.Queue
 	mu   sync.Mutex
@@ -38,8 +38,8 @@
 	p.Notify()
 }
 
-// TestQueueOrder fills a queue and frees places one by one: the highest class
-// goes first, and within it who came first, until the first has waited for long.
+// TestQueueOrder frees slots one by one: higher classes go first, and each class is FIFO until
+// its oldest waiter has waited for half its time, then LIFO.
 func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p slots
@@ -80,7 +80,8 @@
 	})
 }
 
-// TestQueueNeverStarves keeps live requests coming: batch still gets some of the places.
+// TestQueueNeverStarves checks that batch requests are admitted under a constant load of live
+// ones.
 func TestQueueNeverStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p slots
@@ -104,7 +105,8 @@
 	})
 }
 
-// TestQueueTimeoutAndOverflow gives up those whose time is over, and the oldest when too many wait.
+// TestQueueTimeoutAndOverflow checks that requests are shed after their maximum wait, and the
+// oldest when the queue is full.
 func TestQueueTimeoutAndOverflow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -116,7 +118,7 @@
 		defer cancel()
 		began = time.Now()
 		c.Check(p.Acquire(ctx, schema.ClassBatch, p.try), qt.Equals, limit.ErrShed)
-		c.Check(time.Since(began), qt.Equals, 50*time.Millisecond, qt.Commentf("half of the request's own time"))
+		c.Check(time.Since(began), qt.Equals, 50*time.Millisecond, qt.Commentf("half of the time to the request's deadline"))
 		var wg sync.WaitGroup
 		began = time.Now()
 		shedAtOnce := 0
@@ -134,7 +136,8 @@
 	})
 }
 
-// TestAdaptive lowers the limit while answers are late, and raises it again when it is used.
+// TestAdaptive checks that the limit falls with rising latency and rises again only while it is
+// used.
 func TestAdaptive(t *testing.T) {
 	c := qt.New(t)
 	a := limit.NewAdaptive(100)
@@ -149,9 +152,9 @@
 	first := a.Limit()
 	grown := answer(400, 1)
 	c.Check(grown > first, qt.IsTrue)
-	c.Check(answer(400, 4), qt.Equals, int64(2), qt.Commentf("the lowest limit"))
+	c.Check(answer(400, 4), qt.Equals, int64(2), qt.Commentf("the minimum limit"))
 	c.Check(answer(2000, 1) > 10, qt.IsTrue)
-	c.Check(answer(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the highest"))
+	c.Check(answer(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the maximum limit"))
 	now = now.Add(time.Second)
 	a.ObserveTimeout(now)
 	c.Check(a.Limit(), qt.Equals, int64(70))
@@ -160,10 +163,11 @@
 		now = now.Add(10 * time.Millisecond)
 		idle.ObserveResponse(1, 0, now)
 	}
-	c.Check(idle.Limit(), qt.Equals, first, qt.Commentf("a limit that is not used does not grow"))
+	c.Check(idle.Limit(), qt.Equals, first, qt.Commentf("an unused limit does not rise"))
 }
 
-// TestBaseline takes means, so that varied work is not taken for a queue, and forgets.
+// TestBaseline checks that varying latency is not taken for congestion and that the baseline
+// adapts.
 func TestBaseline(t *testing.T) {
 	c := qt.New(t)
 	var b limit.Baseline
@@ -179,10 +183,10 @@
 		now = now.Add(time.Millisecond)
 		b.Observe(60*time.Millisecond, now)
 	}
-	c.Check(b.Observe(60*time.Millisecond, now), qt.Equals, 1.0, qt.Commentf("what is slow for long is undisturbed"))
+	c.Check(b.Observe(60*time.Millisecond, now), qt.Equals, 1.0, qt.Commentf("a lasting latency becomes the baseline"))
 }
 
-// TestRates allows each key its rate, and bounds what it remembers of keys.
+// TestRates checks the rate of each key, and that many keys do not break it.
 func TestRates(t *testing.T) {
 	c := qt.New(t)
 	var r limit.Rates
@@ -196,10 +200,10 @@
 		return ok
 	}
 	c.Check(allowed("a", 100), qt.Equals, 10)
-	c.Check(allowed("b", 100), qt.Equals, 10, qt.Commentf("another key"))
+	c.Check(allowed("b", 100), qt.Equals, 10, qt.Commentf("keys are independent"))
 	now = now.Add(500 * time.Millisecond)
 	c.Check(allowed("a", 100), qt.Equals, 5)
-	c.Check(r.Allow("a", 0, now), qt.IsTrue, qt.Commentf("0 sets no limit"))
+	c.Check(r.Allow("a", 0, now), qt.IsTrue, qt.Commentf("0 means no limit"))
 	for i := range 100_000 {
 		r.Allow(fmt.Sprint(i), 10, now)
 	}
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -10,10 +10,10 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// classOrder is who goes first.
+// classOrder lists the classes by priority, highest first.
 var classOrder = [...]schema.Class{schema.ClassLive, schema.ClassInteractive, schema.ClassClerk, schema.ClassBatch}
 
-// classRank is the place of a class in classOrder.
+// classRank maps a class to its index in classOrder.
 var classRank = func() map[schema.Class]int {
 	ranks := make(map[schema.Class]int, len(classOrder))
 	for rank, class := range classOrder {
@@ -22,31 +22,31 @@
 	return ranks
 }()
 
-// maxWait is how long a class waits for a free server before it is shed.
+// maxWait is how long a request waits for a server before it is shed.
 var maxWait = map[schema.Class]time.Duration{
 	schema.ClassLive: 500 * time.Millisecond, schema.ClassInteractive: 250 * time.Millisecond,
 	schema.ClassClerk: 500 * time.Millisecond, schema.ClassBatch: 2 * time.Second,
 }
 
 const (
-	// maxWaiters bounds the waiters of one class, and so the memory that a burst takes.
+	// maxWaiters bounds the waiters per class, and so the queue's memory.
 	maxWaiters = 256
-	// lowestClassTurn gives every so manieth free place to the last class that waits, so that it is never starved.
+	// lowestClassTurn is the interval, in notifications, at which the lowest class is served
+	// first, which prevents starvation.
 	lowestClassTurn = 16
 )
 
-// ErrShed reports a request that found no free server in its time.
-var ErrShed = errors.New("no backend server had room in time")
+// ErrShed is returned for a request that got no server in time.
+var ErrShed = errors.New("no backend server had capacity in time")
 
-// Queue holds requests of one service while all its servers are full. The
-// highest class goes first, and within a class who came first, until the first
-// has used up half of its time: then the class itself is overloaded, and the
-// newest goes first, so that some are in time rather than all late.
+// Queue is the priority queue of a service whose servers are all full. Higher classes go first.
+// Each class is FIFO until its oldest waiter has used half of its time; then it is LIFO, so
+// that under overload some requests are served in time instead of all too late.
 type Queue struct {
 	waiting atomic.Int64
 
 	mu      sync.Mutex
-	byClass [len(classOrder)][]*waiter // the newest last
+	byClass [len(classOrder)][]*waiter // by rank, oldest first
 	turn    int
 }
 
@@ -55,7 +55,7 @@
 	enqueuedAt time.Time
 }
 
-// HigherWaiting tells whether somebody of a higher class waits.
+// HigherWaiting reports whether a request of a higher class is waiting.
 func (q *Queue) HigherWaiting(class schema.Class) bool {
 	if q.waiting.Load() == 0 {
 		return false
@@ -70,9 +70,9 @@
 	return false
 }
 
-// Acquire calls try until it succeeds: at once, unless a higher class waits, then
-// each time that a place becomes free. It returns ErrShed when the time of the
-// class or half of the request's own is up, or when newer ones push it out.
+// Acquire calls try until it succeeds: at once unless a higher class is waiting, then after
+// each notification. It returns ErrShed after the class's maximum wait, after half of the time
+// to the deadline of ctx, or when newer waiters overflow the queue.
 func (q *Queue) Acquire(ctx context.Context, class schema.Class, try func() bool) error {
 	if !q.HigherWaiting(class) && try() {
 		return nil
@@ -86,14 +86,14 @@
 	began := time.Now()
 	for {
 		w := q.join(class, began)
-		if try() { // a place may have become free before the waiter was seen
+		if try() { // a slot may have become free before the waiter was added
 			q.leave(class, w)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			if !q.leave(class, w) {
-				q.Notify() // it was woken too: the place goes to the next one
+				q.Notify() // pass a notification received meanwhile to the next waiter
 			}
 			return ErrShed
 		case _, woken := <-w.wake:
@@ -107,7 +107,7 @@
 	}
 }
 
-// join adds a waiter; the oldest of its class is pushed out when there are too many.
+// join adds a waiter, shedding the oldest of its class if the queue is full.
 func (q *Queue) join(class schema.Class, since time.Time) *waiter {
 	w := &waiter{wake: make(chan struct{}, 1), enqueuedAt: since}
 	rank := classRank[class]
@@ -123,7 +123,7 @@
 	return w
 }
 
-// leave removes a waiter; it returns false when the waiter is no longer there.
+// leave removes a waiter; it returns false if the waiter is no longer queued.
 func (q *Queue) leave(class schema.Class, w *waiter) bool {
 	rank := classRank[class]
 	q.mu.Lock()
@@ -138,7 +138,7 @@
 	return false
 }
 
-// Notify tells that a place has become free; it wakes the next waiter.
+// Notify wakes the next waiter after a slot became free.
 func (q *Queue) Notify() {
 	if q.waiting.Load() == 0 {
 		return
@@ -160,7 +160,8 @@
 	}
 }
 
-// wakeOne wakes the next waiter of a class; the caller holds the lock.
+// wakeOne wakes the next waiter of a class and reports whether there was one; the caller holds
+// mu.
 func (q *Queue) wakeOne(rank int) bool {
 	waiters := q.byClass[rank]
 	n := len(waiters)
@@ -177,5 +178,5 @@
 	return true
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return int(q.waiting.Load()) }
--- a/pkg/gateway/limit/rates.go
+++ b/pkg/gateway/limit/rates.go
@@ -10,13 +10,13 @@
 
 const (
 	rateShards = 16
-	// keysPerShard bounds the memory that many different callers take.
+	// keysPerShard bounds the memory used for keys.
 	keysPerShard = 1024
-	// rateBurst is how many seconds' worth may come at once.
+	// rateBurst is the burst size, in seconds of the rate.
 	rateBurst = 1.0
 )
 
-// Rates limits requests a second by key, such as a caller's address or a team.
+// Rates limits requests per second by key, such as a caller's address or a team.
 type Rates struct {
 	shards [rateShards]rateShard
 }
@@ -31,7 +31,7 @@
 	lastUsed time.Time
 }
 
-// Allow tells whether one more request of a key is within perSecond; 0 sets no limit.
+// Allow reports whether a request of key at time now is within perSecond; 0 means no limit.
 func (r *Rates) Allow(key string, perSecond float64, now time.Time) bool {
 	if perSecond <= 0 {
 		return true
@@ -52,12 +52,11 @@
 	return k.limiter.AllowN(now, 1)
 }
 
-// evictionSample is how many keys are compared when one must go, so that a flood
-// of keys costs little.
+// evictionSample is the number of keys compared to choose one for eviction.
 const evictionSample = 8
 
-// evict drops the key of a few that was used longest ago, when there are too
-// many; the caller holds the lock.
+// evict removes the least recently used key of a small sample if the shard is full; the caller
+// holds mu.
 func (s *rateShard) evict() {
 	if len(s.byKey) < keysPerShard {
 		return
--- a/pkg/gateway/metrics.go
+++ b/pkg/gateway/metrics.go
@@ -4,7 +4,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metrics are the request path's figures.
+// metrics are the Prometheus metrics of a gateway.
 type metrics struct {
 	requests *prometheus.CounterVec
 	seconds  *prometheus.HistogramVec
@@ -34,7 +34,7 @@
 	}
 }
 
-// Register adds the gateway's metrics to a registry.
+// Register registers the gateway's metrics with reg.
 func (g *Gateway) Register(reg prometheus.Registerer) error {
 	collectors := []prometheus.Collector{
 		g.metrics.requests, g.metrics.seconds, g.metrics.retries, g.metrics.revision,
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -1,18 +1,17 @@
-// Package once makes a request with a caller's key run at most once, whichever
-// entries its repetitions reach.
+// Package once ensures that a request with an idempotency key runs at most once, whichever
+// entry it reaches. Package gateway calls it before it sends such a request to a backend
+// server.
 //
-// A key is claimed in the platform's table before the request is handed on: an
-// item that must not exist yet, written with the digest of the body, the entry
-// and a token of this claim. Claims that come in together are written in one
-// transaction, at most one every [MinCommitInterval], so that the table's write budget holds.
-// A lost answer is settled by reading the item back: the claim is this one's if
-// the token is. Whoever finds the key claimed never runs the request; the entry
-// that ran it answers repetitions with the first answer while it holds it.
+// A key is claimed by creating an item in the platform's table, with a digest of the request
+// body, the entry and a random token. Claims made at about the same time share one transaction,
+// and transactions are at least [MinCommitInterval] apart, which bounds the load on the table.
+// If the response to a transaction is lost, the item is read back: the claim succeeded if the
+// token matches. A request whose key was claimed before is never run; the entry that ran it
+// replays the saved response as long as it holds it.
 //
-// While the store does not answer, nothing new can be claimed and requests with
-// keys are refused: they do not run, though earlier ones with their keys may
-// have, which is what the request path tells their callers. A claim is given back, in one attempt that is
-// never repeated, when its request certainly did not run.
+// While the store is unavailable no key can be claimed, and requests with keys are rejected
+// without running, although earlier requests with the same keys may have run. A claim is
+// released, in one attempt that is never retried, if its request certainly did not run.
 package once
 
 import (
@@ -32,36 +31,35 @@
 
 const (
 	keyPrefix = "claim/"
-	// MinCommitInterval is the least time between two transactions of an entry: 10 a second.
+	// MinCommitInterval is the shortest time between two transactions of an entry.
 	MinCommitInterval = 100 * time.Millisecond
-	// maxBatch bounds the claims of one transaction.
+	// maxBatch is the maximum number of claims in one transaction.
 	maxBatch = 200
-	// maxReadBacks bounds the reads after a lost answer.
+	// maxReadBacks is the maximum number of reads after a lost response.
 	maxReadBacks     = 5
 	readBackInterval = 50 * time.Millisecond
-	// maxSavedResponses bounds the first answers that an entry keeps for repetitions.
+	// maxSavedResponses is the maximum number of responses saved for replay.
 	maxSavedResponses = 4096
-	// Lifetime is how long a claim is kept: a repetition after it runs anew.
+	// Lifetime is how long a claim is kept. A request repeated later runs again.
 	Lifetime = 24 * time.Hour
 )
 
-// Key names a request that runs at most once.
+// Key identifies a request that runs at most once.
 type Key string
 
-// NewKey returns the key of a caller's key on a route; callers with different
-// identities do not meet.
+// NewKey derives a Key from the route, the caller's identity and the caller's idempotency key.
 func NewKey(route, caller, key string) Key {
 	sum := sha256.Sum256([]byte(route + "\x00" + caller + "\x00" + key))
 	return Key(hex.EncodeToString(sum[:16]))
 }
 
-// Digest stands for a body.
+// Digest returns a digest of a request body.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:16])
 }
 
-// claimRecord is an item of the table.
+// claimRecord is a claim as stored in the table.
 type claimRecord struct {
 	Digest string `json:"digest"`
 	Entry  string `json:"entry"`
@@ -69,295 +67,301 @@
 	AtMs   int64  `json:"at_ms"`
 }
 
-// ErrClaimed reports a key that has been claimed before; the request must not run.
+// ErrClaimed reports a key that was claimed before; the request must not run.
 type ErrClaimed struct {
-	Entry string // that claimed it
+	Entry string // entry that claimed it
 }
 
-// Error names the entry.
-func (e ErrClaimed) Error() string { return fmt.Sprintf("the key was taken by entry %s", e.Entry) }
+// Error names the entry that claimed the key.
+func (e ErrClaimed) Error() string {
+	return fmt.Sprintf("idempotency key was already claimed by entry %s", e.Entry)
+}
 
-// ErrBodyMismatch reports a key that was claimed with another body.
+// ErrBodyMismatch reports a key that was claimed with another request body.
 type ErrBodyMismatch struct{}
 
-// Error says so.
-func (ErrBodyMismatch) Error() string { return "the key belongs to a request with another body" }
+// Error states the mismatch.
+func (ErrBodyMismatch) Error() string {
+	return "idempotency key was already used with another request body"
+}
 
-// ErrUnavailable reports a claim that could not be made; the request did not run.
+// ErrUnavailable reports a key that could not be claimed; the request did not run.
 type ErrUnavailable struct {
 	Cause error
 }
 
-// Error gives the cause.
+// Error returns the cause.
 func (e ErrUnavailable) Error() string {
-	return fmt.Sprintf("the key cannot be claimed now: %v", e.Cause)
+	return fmt.Sprintf("cannot claim idempotency key: %v", e.Cause)
 }
 
-// Response is a first answer, kept for repetitions.
+// Response is a response saved for replay.
 type Response struct {
 	Status int
 	Header map[string][]string
 	Body   []byte
 }
 
-// Claims is one entry's claims.
+// Claims manages the claims of one entry.
 type Claims struct {
 	store  platform.Table
 	entry  string
 	wakeup chan struct{}
 
 	mu        sync.Mutex
-	byKey     map[Key]*Claim // claims of this entry, the latest heldAnswers of them
+	byKey     map[Key]*Claim // claims of this entry, the latest maxSavedResponses of them
 	finished  []Key
 	pending   []*Claim
-	toRelease []Key // claims to give back
-	closed    bool  // nobody writes claims any more
+	toRelease []Key // keys of claims to release
+	closed    bool  // Run has ended
 }
 
-// New returns the book of an entry; Run must be running for claims to be made.
+// New returns the claims of the named entry in a store. Run must be running for keys to be
+// claimed.
 func New(store platform.Table, entry string) *Claims {
 	return &Claims{store: store, entry: entry, wakeup: make(chan struct{}, 1), byKey: map[Key]*Claim{}}
 }
 
-// Claim is a claim under way or made.
+// Claim is a claim of one key, pending or committed.
 type Claim struct {
 	key       Key
 	record    claimRecord
 	committed chan struct{} // closed when err is set
 	err       error
-	done      chan struct{} // closed when the request has its outcome
-	response  *Response     // nil when none is held
+	done      chan struct{} // closed when the request has finished
+	response  *Response     // nil if none was saved
 }
 
-// Claim claims a key for a request. It returns a ticket that must be finished
-// when the request is to run; or the first answer when this entry ran it; or an error.
-func (b *Claims) Claim(ctx context.Context, key Key, digest string) (t *Claim, first *Response, err error) {
-	b.mu.Lock()
-	if t, ok := b.byKey[key]; ok {
-		b.mu.Unlock()
-		return b.awaitFirst(ctx, t, digest)
+// Claim claims a key for a request with the given body digest. It returns a claim that the
+// caller must pass to Finish or Release, or the saved response of an earlier request at this
+// entry, or an [ErrClaimed], [ErrBodyMismatch] or [ErrUnavailable].
+func (cs *Claims) Claim(ctx context.Context, key Key, digest string) (c *Claim, first *Response, err error) {
+	cs.mu.Lock()
+	if c, ok := cs.byKey[key]; ok {
+		cs.mu.Unlock()
+		return cs.awaitFirst(ctx, c, digest)
 	}
-	if b.closed {
-		b.mu.Unlock()
-		return nil, nil, ErrUnavailable{Cause: errors.New("the entry is ending")}
+	if cs.closed {
+		cs.mu.Unlock()
+		return nil, nil, ErrUnavailable{Cause: errors.New("entry is stopping")}
 	}
-	t = &Claim{
+	c = &Claim{
 		key: key, committed: make(chan struct{}), done: make(chan struct{}),
-		record: claimRecord{Digest: digest, Entry: b.entry, Token: newToken(), AtMs: time.Now().UnixMilli()},
+		record: claimRecord{Digest: digest, Entry: cs.entry, Token: newToken(), AtMs: time.Now().UnixMilli()},
 	}
-	b.byKey[key] = t
-	b.pending = append(b.pending, t)
-	b.mu.Unlock()
-	b.wake()
-	// The claim goes on when its caller is gone: others may wait for it.
-	<-t.committed
-	if t.err != nil {
-		b.drop(t)
-		return nil, nil, t.err
+	cs.byKey[key] = c
+	cs.pending = append(cs.pending, c)
+	cs.mu.Unlock()
+	cs.wake()
+	// Not cancelled with ctx: other requests may wait for the claim.
+	<-c.committed
+	if c.err != nil {
+		cs.drop(c)
+		return nil, nil, c.err
 	}
-	return t, nil, nil
+	return c, nil, nil
 }
 
-// awaitFirst waits for the first request of a key at this entry.
-func (b *Claims) awaitFirst(ctx context.Context, t *Claim, digest string) (*Claim, *Response, error) {
-	if t.record.Digest != digest {
+// awaitFirst waits for the earlier request with the same key at this entry.
+func (cs *Claims) awaitFirst(ctx context.Context, c *Claim, digest string) (*Claim, *Response, error) {
+	if c.record.Digest != digest {
 		return nil, nil, ErrBodyMismatch{}
 	}
-	for _, event := range []chan struct{}{t.committed, t.done} {
+	for _, event := range []chan struct{}{c.committed, c.done} {
 		select {
 		case <-event:
 		case <-ctx.Done():
-			return nil, nil, ErrClaimed{Entry: b.entry}
+			return nil, nil, ErrClaimed{Entry: cs.entry}
 		}
-		if t.err != nil {
-			return nil, nil, t.err
+		if c.err != nil {
+			return nil, nil, c.err
 		}
 	}
-	if t.response == nil {
-		return nil, nil, ErrClaimed{Entry: b.entry}
+	if c.response == nil {
+		return nil, nil, ErrClaimed{Entry: cs.entry}
 	}
-	return nil, t.response, nil
+	return nil, c.response, nil
 }
 
-// Finish notes that the request of a ticket ran or may have run; answer may be nil.
-func (b *Claims) Finish(t *Claim, answer *Response) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	t.response = answer
-	close(t.done)
-	b.finished = append(b.finished, t.key)
-	if len(b.finished) > maxSavedResponses {
-		delete(b.byKey, b.finished[0])
-		b.finished = b.finished[1:]
+// Finish records that the claim's request ran or may have run. resp is saved for replay and may be nil.
+func (cs *Claims) Finish(c *Claim, resp *Response) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	c.response = resp
+	close(c.done)
+	cs.finished = append(cs.finished, c.key)
+	if len(cs.finished) > maxSavedResponses {
+		delete(cs.byKey, cs.finished[0])
+		cs.finished = cs.finished[1:]
 	}
 }
 
-// Release notes that the request of a ticket certainly did not run.
-func (b *Claims) Release(t *Claim) {
-	b.mu.Lock()
-	close(t.done)
-	delete(b.byKey, t.key)
-	b.toRelease = append(b.toRelease, t.key)
-	b.mu.Unlock()
-	b.wake()
+// Release releases a claim whose request certainly did not run.
+func (cs *Claims) Release(c *Claim) {
+	cs.mu.Lock()
+	close(c.done)
+	delete(cs.byKey, c.key)
+	cs.toRelease = append(cs.toRelease, c.key)
+	cs.mu.Unlock()
+	cs.wake()
 }
 
-// drop drops a ticket whose claim was not made.
-func (b *Claims) drop(t *Claim) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.byKey[t.key] == t {
-		delete(b.byKey, t.key)
+// drop removes a claim that could not be committed.
+func (cs *Claims) drop(c *Claim) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	if cs.byKey[c.key] == c {
+		delete(cs.byKey, c.key)
 	}
 }
 
-func (b *Claims) wake() {
+func (cs *Claims) wake() {
 	select {
-	case b.wakeup <- struct{}{}:
+	case cs.wakeup <- struct{}{}:
 	default:
 	}
 }
 
 func newToken() string {
 	raw := make([]byte, 12)
-	_, _ = rand.Read(raw) // never fails, it ends the process instead
+	_, _ = rand.Read(raw) // never returns an error
 	return hex.EncodeToString(raw)
 }
 
-// Run writes claims until ctx ends; what is pending then is refused.
-func (b *Claims) Run(ctx context.Context) error {
+// Run commits claims until ctx ends, then rejects pending ones.
+func (cs *Claims) Run(ctx context.Context) error {
 	var flushed time.Time
 	for {
 		select {
 		case <-ctx.Done():
-			b.rejectPending(ctx.Err())
+			cs.rejectPending(ctx.Err())
 			return nil
-		case <-b.wakeup:
+		case <-cs.wakeup:
 		}
 		if wait := MinCommitInterval - time.Since(flushed); wait > 0 {
 			select {
 			case <-ctx.Done():
-				b.rejectPending(ctx.Err())
+				cs.rejectPending(ctx.Err())
 				return nil
 			case <-time.After(wait):
 			}
 		}
 		flushed = time.Now()
-		b.flush(ctx)
+		cs.flush(ctx)
 	}
 }
 
-func (b *Claims) rejectPending(cause error) {
-	b.mu.Lock()
-	pending := b.pending
-	b.pending, b.closed = nil, true
-	b.mu.Unlock()
-	for _, t := range pending {
-		t.resolve(ErrUnavailable{Cause: cause})
+func (cs *Claims) rejectPending(cause error) {
+	cs.mu.Lock()
+	pending := cs.pending
+	cs.pending, cs.closed = nil, true
+	cs.mu.Unlock()
+	for _, c := range pending {
+		c.resolve(ErrUnavailable{Cause: cause})
 	}
 }
 
-func (t *Claim) resolve(err error) {
-	t.err = err
-	close(t.committed)
+func (c *Claim) resolve(err error) {
+	c.err = err
+	close(c.committed)
 }
 
-// nextBatch returns the next batch and the claims to give back.
-func (b *Claims) nextBatch() (batch []*Claim, toRelease []Key) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	n := min(maxBatch, len(b.pending))
-	batch, b.pending = b.pending[:n:n], b.pending[n:]
-	toRelease, b.toRelease = b.toRelease, nil
-	if len(b.pending) > 0 {
-		b.wake()
+// nextBatch returns the next claims to commit and the keys to release.
+func (cs *Claims) nextBatch() (batch []*Claim, toRelease []Key) {
+	cs.mu.Lock()
+	defer cs.mu.Unlock()
+	n := min(maxBatch, len(cs.pending))
+	batch, cs.pending = cs.pending[:n:n], cs.pending[n:]
+	toRelease, cs.toRelease = cs.toRelease, nil
+	if len(cs.pending) > 0 {
+		cs.wake()
 	}
 	return batch, toRelease
 }
 
-// flush writes one batch.
-func (b *Claims) flush(ctx context.Context) {
-	batch, toRelease := b.nextBatch()
+// flush commits one batch of claims and releases.
+func (cs *Claims) flush(ctx context.Context) {
+	batch, toRelease := cs.nextBatch()
 	if len(toRelease) > 0 {
-		b.releaseKeys(ctx, toRelease)
+		cs.releaseKeys(ctx, toRelease)
 	}
 	if len(batch) == 0 {
 		return
 	}
-	err := b.store.Commit(ctx, claimTxn(batch))
+	err := cs.store.Commit(ctx, claimTxn(batch))
 	switch {
 	case err == nil:
-		for _, t := range batch {
-			t.resolve(nil)
+		for _, c := range batch {
+			c.resolve(nil)
 		}
 	case platform.IsConflict(err):
-		b.resolveConflicts(ctx, batch)
+		cs.resolveConflicts(ctx, batch)
 	case platform.IsUnknown(err):
-		for _, t := range batch {
-			t.resolve(b.readBack(ctx, t))
+		for _, c := range batch {
+			c.resolve(cs.readBack(ctx, c))
 		}
 	default:
-		for _, t := range batch {
-			t.resolve(ErrUnavailable{Cause: err})
+		for _, c := range batch {
+			c.resolve(ErrUnavailable{Cause: err})
 		}
 	}
 }
 
 func claimTxn(batch []*Claim) (txn platform.Txn) {
-	for _, t := range batch {
-		value, err := json.Marshal(t.record)
+	for _, c := range batch {
+		value, err := json.Marshal(c.record)
 		if err != nil {
-			panic(err) // a claim always encodes
+			panic(err) // a claimRecord always encodes
 		}
-		txn.Conditions = append(txn.Conditions, platform.Condition{Key: keyPrefix + string(t.key)})
-		txn.Writes = append(txn.Writes, platform.Write{Key: keyPrefix + string(t.key), Value: value})
+		txn.Conditions = append(txn.Conditions, platform.Condition{Key: keyPrefix + string(c.key)})
+		txn.Writes = append(txn.Writes, platform.Write{Key: keyPrefix + string(c.key), Value: value})
 	}
 	return txn
 }
 
-// resolveConflicts finds which keys of a batch were claimed before and tries the others again.
-func (b *Claims) resolveConflicts(ctx context.Context, batch []*Claim) {
+// resolveConflicts finds which keys of a batch were claimed before and requeues the others.
+func (cs *Claims) resolveConflicts(ctx context.Context, batch []*Claim) {
 	var again []*Claim
-	for _, t := range batch {
-		held, err := b.read(ctx, t.key)
+	for _, c := range batch {
+		held, err := cs.read(ctx, c.key)
 		switch {
 		case err != nil:
-			t.resolve(ErrUnavailable{Cause: err})
+			c.resolve(ErrUnavailable{Cause: err})
 		case held == nil:
-			again = append(again, t)
+			again = append(again, c)
 		default:
-			t.resolve(checkRecord(held, t))
+			c.resolve(checkRecord(held, c))
 		}
 	}
-	b.mu.Lock()
-	b.pending = append(again, b.pending...)
-	b.mu.Unlock()
+	cs.mu.Lock()
+	cs.pending = append(again, cs.pending...)
+	cs.mu.Unlock()
 	if len(again) > 0 {
-		b.wake()
+		cs.wake()
 	}
 }
 
-// checkRecord judges a claim that is in the table.
-func checkRecord(held *claimRecord, t *Claim) error {
+// checkRecord compares a stored claim with c: nil means that c is the stored claim.
+func checkRecord(held *claimRecord, c *Claim) error {
 	switch {
-	case held.Token == t.record.Token:
+	case held.Token == c.record.Token:
 		return nil
-	case held.Digest != t.record.Digest:
+	case held.Digest != c.record.Digest:
 		return ErrBodyMismatch{}
 	}
 	return ErrClaimed{Entry: held.Entry}
 }
 
-// readBack settles a claim whose answer was lost. A claim that is not there may
-// still arrive; its request is refused, so that it runs nowhere.
-func (b *Claims) readBack(ctx context.Context, t *Claim) error {
+// readBack determines whether a claim was committed. If it is not found it may still be
+// committed later, so its request is rejected.
+func (cs *Claims) readBack(ctx context.Context, c *Claim) error {
 	var last error
 	for range maxReadBacks {
-		held, err := b.read(ctx, t.key)
+		held, err := cs.read(ctx, c.key)
 		if err == nil && held != nil {
-			return checkRecord(held, t)
+			return checkRecord(held, c)
 		}
-		last = errors.New("the answer of the store was lost")
+		last = errors.New("the response of the store was lost")
 		if err != nil {
 			last = err
 		}
@@ -370,9 +374,9 @@
 	return ErrUnavailable{Cause: last}
 }
 
-// read returns a claim, nil when there is none.
-func (b *Claims) read(ctx context.Context, key Key) (held *claimRecord, err error) {
-	item, err := b.store.Get(ctx, keyPrefix+string(key))
+// read returns the stored claim of a key, nil if there is none.
+func (cs *Claims) read(ctx context.Context, key Key) (held *claimRecord, err error) {
+	item, err := cs.store.Get(ctx, keyPrefix+string(key))
 	if err != nil || item.Version == 0 {
 		return nil, err
 	}
@@ -380,33 +384,33 @@
 	return held, errors.Wrap(json.Unmarshal(item.Value, held), "decode claim")
 }
 
-// releaseKeys gives claims back, once: a second try could releaseKeys somebody else's claim.
-func (b *Claims) releaseKeys(ctx context.Context, keys []Key) {
+// releaseKeys deletes claims. It is not retried: a retry could delete another request's claim.
+func (cs *Claims) releaseKeys(ctx context.Context, keys []Key) {
 	var txn platform.Txn
 	for _, key := range keys {
 		txn.Writes = append(txn.Writes, platform.Write{Key: keyPrefix + string(key), Remove: true})
 	}
-	_ = b.store.Commit(ctx, txn) // a claim that stays only refuses repetitions
+	_ = cs.store.Commit(ctx, txn) // a claim that remains only rejects repetitions
 }
 
-// Sweep removes claims older than their lifetime, a page at a time; it returns how many.
-func (b *Claims) Sweep(ctx context.Context, now time.Time) (removed int, err error) {
+// Sweep deletes claims older than Lifetime, page by page, and returns their number.
+func (cs *Claims) Sweep(ctx context.Context, now time.Time) (removed int, err error) {
 	from := keyPrefix
 	for {
-		items, err := b.store.Scan(ctx, from, keyPrefix+"\xff", maxBatch)
+		items, err := cs.store.Scan(ctx, from, keyPrefix+"\xff", maxBatch)
 		if err != nil || len(items) == 0 {
 			return removed, errors.Wrap(err, "sweep claims")
 		}
 		var txn platform.Txn
 		for _, it := range items {
-			var c claimRecord
-			if json.Unmarshal(it.Value, &c) == nil && now.Sub(time.UnixMilli(c.AtMs)) > Lifetime {
+			var rec claimRecord
+			if json.Unmarshal(it.Value, &rec) == nil && now.Sub(time.UnixMilli(rec.AtMs)) > Lifetime {
 				txn.Conditions = append(txn.Conditions, platform.Condition{Key: it.Key, Version: it.Version})
 				txn.Writes = append(txn.Writes, platform.Write{Key: it.Key, Remove: true})
 			}
 		}
 		if len(txn.Writes) > 0 {
-			if err := b.store.Commit(ctx, txn); err != nil {
+			if err := cs.store.Commit(ctx, txn); err != nil {
 				return removed, errors.Wrap(err, "sweep claims")
 			}
 			removed += len(txn.Writes)
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -19,7 +19,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// harness is several entries' books over one store, and a count of what ran.
+// harness runs several entries over one store and counts the requests that ran.
 type harness struct {
 	store  *fake.Platform
 	wrap   func(platform.Table) platform.Table
@@ -28,7 +28,7 @@
 	wg     sync.WaitGroup
 
 	mu       sync.Mutex
-	ran      map[string]int // by key
+	ran      map[string]int // runs by key
 	bodies   map[string]string
 	problems []string
 }
@@ -47,7 +47,7 @@
 	return w
 }
 
-// start begins an entry anew; what it held is lost.
+// start restarts an entry, which loses its state.
 func (w *harness) start(i int) {
 	w.cancel[i]()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -61,11 +61,11 @@
 
 const (
 	answered result = "answered"
-	unknown  result = "unknown" // it runs and no answer comes
-	never    result = "never"   // it certainly does not run
+	unknown  result = "unknown" // runs without a response
+	never    result = "never"   // certainly does not run
 )
 
-// request sends a request with a key to an entry, as the request path does.
+// request sends a request with a key to an entry, as package gateway does.
 func (w *harness) request(b *once.Claims, key, body string, f result, took time.Duration) {
 	t, first, err := b.Claim(context.Background(), once.NewKey("r", "c", key), once.Digest([]byte(body)))
 	switch {
@@ -114,8 +114,8 @@
 	}
 }
 
-// machine is the property: repetitions at any entries, lost answers, outages,
-// crashes; nothing runs twice and no answer is another's.
+// machine checks that under repetitions, lost responses, outages and crashes no request runs
+// twice and no response belongs to another request.
 func machine(t *rapid.T, wrap func(platform.Table) platform.Table) {
 	w := newHarness(wrap)
 	defer func() {
@@ -157,7 +157,7 @@
 
 func unmodified(t platform.Table) platform.Table { return t }
 
-// unconditional drops the conditions of every transaction.
+// unconditional removes the conditions of every transaction.
 type unconditional struct{ platform.Table }
 
 func (f unconditional) Commit(ctx context.Context, txn platform.Txn) error {
@@ -165,19 +165,19 @@
 	return f.Table.Commit(ctx, txn)
 }
 
-// TestMachine proves at most once under races, faults and crashes.
+// TestMachine checks at-most-once execution under races, faults and crashes.
 func TestMachine(t *testing.T) {
 	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
-// TestMutations drops the condition that a key is new: the property must see it.
+// TestMutations removes the condition that a key is new and expects the property to fail.
 func TestMutations(t *testing.T) {
 	qt.Assert(t, prop.Finds(t, func(rt *rapid.T) {
 		machine(rt, func(t platform.Table) platform.Table { return unconditional{t} })
 	}), qt.IsTrue)
 }
 
-// TestGrouping claims 1,000 keys at once: they take few transactions.
+// TestGrouping checks that 1,000 concurrent claims take few transactions.
 func TestGrouping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -202,7 +202,7 @@
 	})
 }
 
-// TestErrors tells apart what a repetition meets, and sweeps old claims.
+// TestErrors checks the errors of repeated requests and the removal of expired claims.
 func TestErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/gateway/pick.go
+++ b/pkg/gateway/pick.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// claimServer claims a server that has not been tried; the caller releases it.
+// claimServer claims a server that has not been tried yet; the caller must release it.
 func (x *exchange) claimServer() (server *Server, ok bool) {
 	svc := x.route.service
 	for _, lenient := range []bool{false, true} {
@@ -25,10 +25,11 @@
 	return nil, false
 }
 
-// crossZoneCost is the extra time of another zone, as a cost in nanoseconds.
+// crossZoneCost is added to the cost of servers in other zones, in nanoseconds.
 const crossZoneCost = float64(time.Millisecond)
 
-// chooseServer returns the best server by the policy, of the own zone unless another one's is better by more than the crossing.
+// chooseServer chooses a server by the policy. A server in another zone is chosen only if it is
+// cheaper by more than crossZoneCost. If lenient is true, advisory sources are ignored.
 func (x *exchange) chooseServer(svc *service, lenient bool) (server *Server, ok bool) {
 	skip := func(s *Server) bool { return x.wasTried(s) || !s.hasCapacity(x.route.Class) }
 	if lenient {
@@ -38,7 +39,7 @@
 		return x.chooseSticky(svc, room)
 	}
 	if x.g.settings.Policy == schema.GatewaySettingsPolicyRoundRobin {
-		return x.g.policy.Pick(svc.all, skip) // the baseline knows neither zones nor costs
+		return x.g.policy.Pick(svc.all, skip) // round robin ignores zones and costs
 	}
 	local, okLocal := x.g.policy.Pick(svc.local, skip)
 	remote, okRemote := x.g.policy.Pick(svc.remote, skip)
@@ -51,10 +52,9 @@
 	return remote, okRemote
 }
 
-// chooseSticky returns the server with the highest hash for a room (rendezvous
-// hashing, Thaler and Ravishankar, "Using Name-Based Mappings to Increase Hit
-// Rates", 1998): all who join a room meet at one server, at whichever entries
-// they come in, and a server that leaves moves only its own rooms.
+// chooseSticky chooses the server for a room by rendezvous hashing (Thaler and Ravishankar,
+// "Using Name-Based Mappings to Increase Hit Rates", 1998). All entries choose the same server,
+// and a server that is removed moves only its own rooms.
 func (x *exchange) chooseSticky(svc *service, room string) (server *Server, ok bool) {
 	var best uint64
 	for _, s := range svc.all {
@@ -68,8 +68,8 @@
 	return server, ok
 }
 
-// chooseLenient returns any server that no hard source closes: when soft sources
-// close a whole service, they are more likely wrong than it is gone.
+// chooseLenient returns any untried server that is open but for advisory sources. If those
+// close every server of a service, they are probably wrong.
 func (x *exchange) chooseLenient(svc *service) (server *Server, ok bool) {
 	for _, servers := range [][]*Server{svc.local, svc.remote} {
 		start := 0
--- a/pkg/gateway/relay.go
+++ b/pkg/gateway/relay.go
@@ -7,14 +7,13 @@
 	"sync"
 )
 
-// prefixSize is how much of an answer is read before the caller is sent any of
-// it, so that one which breaks off there can still be reported or, where that
-// is allowed, asked for again. Most answers are whole by then.
+// prefixSize is how many bytes of a response are read before any is sent to the caller, so that
+// a response that fails early can be reported as an error or retried.
 const prefixSize = 64 << 10
 
 var bufferPool = sync.Pool{New: func() any { b := make([]byte, prefixSize); return &b }}
 
-// relay sends an answer to the caller.
+// relay sends a response to the caller.
 func (x *exchange) relay(a *attempt) error {
 	x.writeHeader(a.resp, a.server)
 	if x.isStreaming() {
@@ -24,7 +23,7 @@
 	}
 	_, err := x.w.Write((*a.prefix)[:a.prefixLen])
 	if a.complete || x.r.Method == http.MethodHead {
-		return nil // that was all; a caller that is gone needs no answer
+		return nil // complete; the caller may be gone
 	}
 	if err != nil {
 		return responseBroken(err)
@@ -33,17 +32,17 @@
 	return responseBroken(err)
 }
 
-// responseBroken is the error of an answer that the caller has been sent a part of.
+// responseBroken wraps the error of a response that was partly sent to the caller.
 func responseBroken(err error) error {
 	if err == nil {
 		return nil
 	}
 	return errResponseBroken{cause: ErrRequest{
-		Outcome: OutcomeUnknown, Reason: ReasonBroken, Detail: "the answer broke off: " + err.Error(),
+		Outcome: OutcomeUnknown, Reason: ReasonBroken, Detail: "response truncated: " + err.Error(),
 	}}
 }
 
-// readFull reads until the buffer is full; io.EOF tells that the source ended as it should.
+// readFull reads until buf is full or r fails; it returns io.EOF if r ended.
 func readFull(r io.Reader, buf []byte) (n int, err error) {
 	for n < len(buf) && err == nil {
 		var m int
@@ -53,20 +52,20 @@
 	return n, err
 }
 
-// onlyWriter hides every other method of a writer.
+// onlyWriter hides all methods of a writer but Write.
 type onlyWriter struct{ io.Writer }
 
-// writeHeader sends the status and the headers of an answer.
+// writeHeader sends the status and headers of a response.
 func (x *exchange) writeHeader(resp *http.Response, server *Server) {
 	h := x.w.Header()
 	copyHeaders(h, resp.Header)
-	x.setGatewayHeaders(h) // ours win over the backend server's
+	x.setGatewayHeaders(h) // overrides headers of the backend server
 	h.Set(HeaderOutcome, string(OutcomeRan))
 	h.Set(HeaderServer, server.Name)
 	x.w.WriteHeader(resp.StatusCode)
 }
 
-// stream copies a body and flushes it as it comes.
+// stream copies a body to the caller and flushes after each read.
 func (x *exchange) stream(body io.Reader, buf []byte) error {
 	rc := http.NewResponseController(x.w)
 	if err := rc.Flush(); err != nil {
@@ -91,11 +90,11 @@
 	}
 }
 
-// relayUpgrade joins the caller's connection and the backend server's after both agreed to change protocol.
+// relayUpgrade copies data between the caller and the backend server after a protocol upgrade.
 func (x *exchange) relayUpgrade(resp *http.Response) error {
 	backend, ok := resp.Body.(io.ReadWriteCloser)
 	if !ok {
-		return ErrRequest{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Reason: ReasonUpgradeFailed, Detail: "the backend server's connection cannot be written to"}
+		return ErrRequest{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Reason: ReasonUpgradeFailed, Detail: "backend server's connection is not writable"}
 	}
 	h := x.w.Header()
 	copyHeaders(h, resp.Header)
@@ -110,7 +109,7 @@
 	defer func() { _ = caller.Close() }()
 	done := make(chan struct{}, 2)
 	go func() {
-		_, _ = io.Copy(backend, buffered) // either end may close; that ends both
+		_, _ = io.Copy(backend, buffered) // ends when either side closes
 		done <- struct{}{}
 	}()
 	go func() {
--- a/pkg/gateway/retry/retry.go
+++ b/pkg/gateway/retry/retry.go
@@ -1,8 +1,6 @@
-// Package retry bounds the work that failures and slowness add: a [Budget] ties
-// second attempts to the traffic, so that a service that is down sees little
-// more than its callers send, and a [Quantile] says when an answer is late
-// enough for a second server to be asked (Dean and Barroso, "The Tail at Scale",
-// 2013).
+// Package retry bounds the load that retries and hedged requests of package gateway add. A
+// [Budget] limits them to a share of the requests, and a [Quantile] estimates the latency after
+// which a request is hedged (Dean and Barroso, "The Tail at Scale", 2013).
 package retry
 
 import (
@@ -13,27 +11,28 @@
 	"time"
 )
 
-// Budget gives out second attempts as a share of the first ones.
+// Budget is a token bucket that is filled by requests and emptied by retries.
+// Every request deposits ratio tokens, every retry withdraws one.
 type Budget struct {
 	ratio  float64
 	mu     sync.Mutex
 	tokens float64
 }
 
-// burstTokens is how many attempts may be saved up.
+// burstTokens is the capacity of the bucket.
 const burstTokens = 10
 
-// NewBudget returns a budget of ratio second attempts for each first one.
+// NewBudget returns a full budget that allows ratio retries per request.
 func NewBudget(ratio float64) *Budget { return &Budget{ratio: ratio, tokens: burstTokens} }
 
-// Deposit notes a first attempt.
+// Deposit records a request.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(burstTokens, b.tokens+b.ratio)
 }
 
-// TryWithdraw takes a second attempt; false when there is none left.
+// TryWithdraw takes a token for a retry; it returns false if none is left.
 func (b *Budget) TryWithdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -44,36 +43,36 @@
 	return true
 }
 
-// The pause before another attempt grows from the first to the longest.
+// Bounds of the exponential backoff.
 const (
 	minBackoff = 2 * time.Millisecond
 	maxBackoff = 50 * time.Millisecond
 )
 
-// Backoff returns how long to wait before the n-th second attempt, from 1, spread
-// over its whole length so that callers do not come back together.
+// Backoff returns a random delay before the n-th retry, n from 1. The jitter covers the whole
+// delay so that callers do not retry together.
 func Backoff(n int) time.Duration {
 	d := min(maxBackoff, minBackoff<<(n-1))
 	return rand.N(d)
 }
 
-// Quantile follows a quantile of a changing distribution by small steps.
+// Quantile estimates a quantile of a changing distribution by stochastic approximation.
 type Quantile struct {
 	q       float64
 	samples atomic.Int64
-	bits    atomic.Uint64 // of the estimate in nanoseconds
+	bits    atomic.Uint64 // the estimate in nanoseconds, as float bits
 }
 
-// NewQuantile returns an estimate of the q-quantile, 0 < q < 1.
+// NewQuantile returns an estimator of the q-quantile, 0 < q < 1.
 func NewQuantile(q float64) *Quantile { return &Quantile{q: q} }
 
 const (
-	stepFraction = 0.05 // of the estimate, for one sample
-	stepScale    = 2    // a rise takes 9.5% of the 0.95-quantile, a fall 0.5%
-	minSamples   = 50   // samples before the estimate is used
+	stepFraction = 0.05 // step size as a share of the estimate
+	stepScale    = 2    // scales the steps up and down, whose ratio is q to 1-q
+	minSamples   = 50   // samples needed before Value is valid
 )
 
-// Observe takes a sample in; samples that race may overwrite each other, which a step of a few percent allows.
+// Observe adds a sample. Concurrent calls may lose samples, which the small steps tolerate.
 func (e *Quantile) Observe(d time.Duration) {
 	old := math.Float64frombits(e.bits.Load())
 	x := float64(d)
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -10,61 +10,62 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Source is one of the places that tell whether a server takes work; each may close it by itself.
+// Source is one source of information about whether a server accepts requests. Each can close
+// the server on its own.
 type Source uint32
 
 // The sources.
 const (
 	SourceTable   Source = 1 << iota // the VM's phase in the table
 	SourceList                       // the platform's VM list
-	SourceProbe                      // the server's own word that it is leaving
-	SourceHealth                     // probes that fail
-	SourcePassive                    // exchanges that fail
+	SourceProbe                      // the server reports that it is leaving
+	SourceHealth                     // failed health probes
+	SourcePassive                    // failed exchanges (outlier ejection)
 )
 
-// advisorySources are the sources that may be wrong about a whole service at once: when
-// they close every server of it, they are not believed.
+// advisorySources can be wrong about a whole service at once, so they are ignored when they
+// close all its servers.
 const advisorySources = SourceHealth | SourcePassive
 
-// The latency estimate.
+// Parameters of the latency estimate.
 const (
-	latencyDecay = 10 * time.Second       // time in which a past peak loses 1-1/e of its weight
-	latencyFloor = 100 * time.Microsecond // assumed of a server that has not answered yet
+	latencyDecay = 10 * time.Second       // time constant of the decay of a latency peak
+	latencyFloor = 100 * time.Microsecond // lowest latency assumed, also before the first response
 )
 
-// Server is one backend server as one entry sees it.
+// Server is one backend server as seen by one entry.
 type Server struct {
-	Name    string // of its VM
+	Name    string // of the VM
 	Zone    string
 	Address string // host:port
 
-	closed      atomic.Uint32 // sources that close it
+	closed      atomic.Uint32 // bit set of the Sources that close the server
 	inFlight    atomic.Int64
 	limit       *limit.Adaptive
-	maxInFlight atomic.Int64  // requests in flight at the most, whatever the limit adapts to
-	openedAt    atomic.Int64  // when it was opened again, Unix nanoseconds
-	ejections   atomic.Int64  // passive closings in a row
-	latency     atomic.Uint64 // peak-sensitive average in nanoseconds, as float bits
-	sampledAt   atomic.Int64  // time of the last sample, Unix nanoseconds
-	failures    atomic.Int64  // exchanges that failed in a row
-	reopenAt    atomic.Int64  // end of a passive closing, Unix nanoseconds
+	maxInFlight atomic.Int64  // upper bound of requests in flight, from the table
+	openedAt    atomic.Int64  // time of the last reopening, Unix nanoseconds
+	ejections   atomic.Int64  // consecutive ejections
+	latency     atomic.Uint64 // peak-sensitive moving average in nanoseconds, as float bits
+	sampledAt   atomic.Int64  // time of the last latency sample, Unix nanoseconds
+	failures    atomic.Int64  // consecutive failed exchanges
+	reopenAt    atomic.Int64  // end of the ejection, Unix nanoseconds
 	transport   *http.Transport
 }
 
-// Usable implements balance.Target: no source closes the server and it has room.
+// Usable implements balance.Target: the server is open and below its limit.
 func (s *Server) Usable() bool { return s.usable(false) }
 
-// usable tells whether the server takes work; lenient leaves soft sources out.
+// usable reports whether the server accepts requests; lenient ignores advisory sources.
 func (s *Server) usable(lenient bool) bool {
 	return s.open(lenient) && s.inFlight.Load() < s.capacity()
 }
 
-// hasCapacity tells whether a request of a class may join those in flight.
+// hasCapacity reports whether the server can take another request of the class.
 func (s *Server) hasCapacity(class schema.Class) bool {
 	return s.limit == nil || s.inFlight.Load() < limit.ClassLimit(s.capacity(), class)
 }
 
-// open tells that no source closes the server.
+// open reports whether no source closes the server; lenient ignores advisory sources.
 func (s *Server) open(lenient bool) bool {
 	closed := Source(s.closed.Load())
 	if lenient {
@@ -76,7 +77,7 @@
 	return closed == 0
 }
 
-// capacity is how many requests the server may have in flight from this entry.
+// capacity returns the current limit of requests in flight from this entry.
 func (s *Server) capacity() int64 {
 	if s.limit == nil {
 		return s.maxInFlight.Load()
@@ -84,9 +85,9 @@
 	return min(s.limit.Limit(), s.maxInFlight.Load())
 }
 
-// Cost implements balance.Target: expected wait, as latency times the queue that
-// a new request would join. What was seen long ago fades, so that a server which
-// was slow is tried again; a server that has just been opened is approached slowly.
+// Cost implements balance.Target. It is the latency times the in-flight count including the new
+// request. The latency decays without samples, so that a slow server is tried again, and a
+// reopened server is ramped up by slow start.
 func (s *Server) Cost() float64 {
 	now := time.Now().UnixNano()
 	latency := math.Float64frombits(s.latency.Load())
@@ -98,15 +99,15 @@
 	return cost
 }
 
-// Slow start: a server that is opened costs this much more at first.
+// Slow start: the cost of a reopened server is raised by slowStartPenalty, falling linearly to
+// zero.
 const (
 	slowStart        = 5 * time.Second
 	slowStartPenalty = 4
 )
 
-// claim counts a request in flight, unless the server has been closed or is full.
-//
-// The count comes first and the look at the sources second; see the package comment.
+// claim counts a request in flight if the server is open and below its limit. The count is
+// incremented before the sources are checked; see the package documentation.
 func (s *Server) claim(class schema.Class, lenient bool) bool {
 	n := s.inFlight.Add(1)
 	capacity := s.capacity()
@@ -122,7 +123,7 @@
 
 func (s *Server) release() { s.inFlight.Add(-1) }
 
-// setClosed sets or clears a source; idle connections of a server that closes are dropped.
+// setClosed sets or clears a source. Closing drops the server's idle connections.
 func (s *Server) setClosed(src Source, closed bool) {
 	if !closed {
 		s.closed.And(^uint32(src))
@@ -133,8 +134,8 @@
 	}
 }
 
-// setTable closes or opens the server by its row. A server that returns starts
-// afresh: what other sources said before is older than the row.
+// setTable opens or closes the server by its table row. Reopening clears all other sources,
+// whose state is older than the row.
 func (s *Server) setTable(closed bool) {
 	if Source(s.closed.Load())&SourceTable != 0 && !closed {
 		s.failures.Store(0)
@@ -146,7 +147,7 @@
 	s.setClosed(SourceTable, closed)
 }
 
-// observe takes a sample into the latency estimate: a rise counts at once, a fall slowly.
+// observe adds a latency sample: increases apply at once, decreases gradually.
 func (s *Server) observe(d time.Duration) {
 	now := time.Now().UnixNano()
 	last := s.sampledAt.Swap(now)
@@ -159,15 +160,15 @@
 	s.latency.Store(math.Float64bits(sample))
 }
 
-// Passive closing: a server is left alone for a while after failures in a row,
-// each time for longer.
+// Outlier ejection: a server is taken out of use after consecutive failures, each time for
+// twice as long.
 const (
 	failuresToEject = 3
 	minEjection     = time.Second
 	maxEjection     = 30 * time.Second
 )
 
-// recordSuccess notes an exchange that was answered.
+// recordSuccess resets the failure count and ends an ejection.
 func (s *Server) recordSuccess() {
 	if s.failures.Swap(0) != 0 {
 		s.ejections.Store(0)
@@ -175,12 +176,12 @@
 	}
 }
 
-// recordFailure notes an exchange that broke; may tells whether the server may be closed for it.
+// recordFailure counts a failed exchange and ejects the server if mayEject allows it.
 func (s *Server) recordFailure(mayEject func() bool) {
 	n := s.failures.Add(1)
 	ejections := s.ejections.Load()
 	if n < failuresToEject && ejections == 0 || !mayEject() {
-		return // the first failure after a closing closes again
+		return // after an ejection a single failure ejects again
 	}
 	ejection := min(maxEjection, minEjection<<min(ejections, 5))
 	s.ejections.Add(1)
@@ -188,7 +189,7 @@
 	s.setClosed(SourcePassive, true)
 }
 
-// ejected tells that passive closing keeps the server from work now.
+// ejected reports whether the server is ejected now.
 func (s *Server) ejected() bool {
 	return Source(s.closed.Load())&SourcePassive != 0 && time.Now().UnixNano() < s.reopenAt.Load()
 }
--- a/pkg/gateway/view.go
+++ b/pkg/gateway/view.go
@@ -10,7 +10,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// route is a row of kind route with what a request needs of it.
+// route is a route of the table with its service and its state.
 type route struct {
 	schema.Route
 	name    string
@@ -18,37 +18,38 @@
 	*routeState
 }
 
-// routeState is what a route learns; it outlives the views.
+// routeState is the state of a route that is kept across views.
 type routeState struct {
-	slots      chan struct{}  // caps the requests in flight
-	baseline   limit.Baseline // undisturbed latency
+	slots      chan struct{}  // one element per request in flight
+	baseline   limit.Baseline // uncongested latency
 	hedgeDelay *retry.Quantile
 }
 
-// service is the servers of a service in the order of preference.
+// service is the backend servers of a service.
 type service struct {
 	name   string
-	local  []*Server // in the entry's own zone
+	local  []*Server // in the entry's zone
 	remote []*Server
 	all    []*Server
 	*serviceState
 }
 
-// serviceState is what a service's requests share; it outlives the views.
+// serviceState is the state of a service that is kept across views.
 type serviceState struct {
 	queue   limit.Queue
 	retries *retry.Budget
 	hedges  *retry.Budget
 }
 
-// The shares of the traffic that may be second attempts.
+// Budgets for retries and hedged attempts, as shares of the requests, and the latency quantile
+// after which a request is hedged.
 const (
 	retryShare    = 0.08
 	hedgeShare    = 0.05
 	hedgeQuantile = 0.95
 )
 
-// each calls f with every server until it returns false.
+// each calls f for every server until f returns false.
 func (s *service) each(f func(*Server) bool) {
 	for _, server := range s.all {
 		if !f(server) {
@@ -57,7 +58,7 @@
 	}
 }
 
-// anyOpen tells whether some server takes work, now or when it has room.
+// anyOpen reports whether any server is open, even if it is full.
 func (s *service) anyOpen() (open bool) {
 	s.each(func(server *Server) bool {
 		open = server.open(true)
@@ -66,8 +67,8 @@
 	return open
 }
 
-// mayEject tells whether less than half of the servers are left alone already:
-// when more seem to fail, the fault is more likely not theirs.
+// mayEject reports whether one more server may be ejected. At most half of them are: if more
+// seem to fail, the servers are probably not the cause.
 func (s *service) mayEject() bool {
 	ejected, all := 0, 0
 	s.each(func(server *Server) bool {
@@ -80,14 +81,14 @@
 	return 2*(ejected+1) <= all
 }
 
-// view is what requests are served by; it is never changed once made.
+// view is the immutable routing state that requests use.
 type view struct {
 	revision int
-	routes   []*route           // longest path first, then those with a method
-	teams    map[string]float64 // requests a second by team
+	routes   []*route           // longest path prefix first, then those with a method
+	teams    map[string]float64 // requests per second by team
 }
 
-// match returns the route of a request, nil when there is none.
+// match returns the route for a request, nil if there is none.
 func (v *view) match(method, path string) *route {
 	for _, r := range v.routes {
 		if strings.HasPrefix(path, r.PathPrefix) && (r.Method == "" || r.Method == method) {
@@ -97,7 +98,7 @@
 	return nil
 }
 
-// newView builds the view of a snapshot; servers and slots are kept from earlier ones.
+// newView builds the view of a snapshot, reusing servers and states.
 func (g *Gateway) newView(snap *table.Snapshot) *view {
 	services := map[string]*service{}
 	for _, name := range snap.Services.Names() {
@@ -137,7 +138,7 @@
 	return v
 }
 
-// routeStateOf returns what a route has learnt; its slots are new when their number has changed.
+// routeStateOf returns the state of a route; it is new if the in-flight limit n has changed.
 func (g *Gateway) routeStateOf(name string, n int) *routeState {
 	s, ok := g.routes[name]
 	if !ok || cap(s.slots) != n {
@@ -156,10 +157,8 @@
 	return s
 }
 
-// updateServers brings the set of servers and their table marks to a snapshot.
-//
-// Marks are set before the view is published, so that a server which drains is
-// closed before the entry says that it holds the revision.
+// updateServers adds, updates and closes servers according to a snapshot. It runs before the
+// view is published, so that a draining server is closed before the entry reports the revision.
 func (g *Gateway) updateServers(snap *table.Snapshot) {
 	for name, row := range snap.VMs {
 		vm := row.Value
