--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs serves TLS certificates from files that may be replaced while
-// they are in use, so that keys are rotated without a connection cut.
+// Package certs provides TLS configurations whose certificates are reloaded when their files
+// change. Package entry uses it for its listeners and its connections to peers.
 package certs
 
 import (
@@ -14,21 +14,21 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// checkInterval is how old what is known of the files may be.
+// checkInterval is the shortest time between checks of the files for changes.
 const checkInterval = time.Second
 
-// Reloader holds the certificate of a listener and, for peers, their authorities.
+// Reloader holds a certificate with its key and, for peers, the certificate authorities.
 type Reloader struct {
 	files schema.TLS
 
 	mu        sync.Mutex
 	checkedAt time.Time
-	modTime   time.Time // newest modification of the files that are loaded
+	modTime   time.Time // latest modification time of the loaded files
 	cert      *tls.Certificate
 	roots     *x509.CertPool
 }
 
-// New loads the files.
+// New loads the files; it fails if they cannot be read or parsed.
 func New(files schema.TLS) (r *Reloader, err error) {
 	r = &Reloader{files: files}
 	if err := r.load(); err != nil {
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// newestModTime returns the newestModTime modification time of the files.
+// newestModTime returns the latest modification time of the files.
 func (r *Reloader) newestModTime() (t time.Time, err error) {
 	for _, f := range []string{r.files.CertFile, r.files.KeyFile, r.files.CAFile} {
 		if f == "" {
@@ -79,17 +79,16 @@
 	return t, nil
 }
 
-// current returns what is loaded, after a look whether the files changed.
-//
-// Files that cannot be loaded, such as a certificate whose key is not there
-// yet, leave what was loaded before in use.
+// current returns the certificate and authorities, reloading them if the files changed. If they
+// cannot be loaded, for example while only one file is replaced, the previous ones remain in
+// use.
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if time.Since(r.checkedAt) >= checkInterval {
 		r.checkedAt = time.Now()
 		if stamp, err := r.newestModTime(); err == nil && !stamp.Equal(r.modTime) {
-			_ = r.load() // tried again at the next check
+			_ = r.load() // retried at the next check
 		}
 	}
 	return r.cert, r.roots
@@ -106,7 +105,8 @@
 	}
 }
 
-// PeerServer returns the configuration of the peer listener, which demands certificates of the authorities.
+// PeerServer returns the configuration of the peer listener, which requires client certificates
+// from the authorities.
 func (r *Reloader) PeerServer() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -122,16 +122,15 @@
 	}
 }
 
-// PeerClient returns the configuration for dialling a peer.
-//
-// Peers are reached by address, which changes when a VM is replaced, so the
-// other side is checked against the authorities and not against a name.
+// PeerClient returns the configuration for connections to peers. The peer's certificate is
+// verified against the authorities but not against a host name, because a peer's address
+// changes when its VM is replaced.
 func (r *Reloader) PeerClient() *tls.Config {
 	cert, roots := r.current()
 	return &tls.Config{
 		MinVersion:         tls.VersionTLS13,
 		Certificates:       []tls.Certificate{*cert},
-		InsecureSkipVerify: true, // VerifyConnection below verifies the chain
+		InsecureSkipVerify: true, // VerifyConnection verifies the chain instead
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			if len(cs.PeerCertificates) == 0 {
 				return errors.New("the peer shows no certificate")
--- a/pkg/config/config.go
+++ b/pkg/config/config.go
@@ -13,17 +13,17 @@
 	schemafiles "github.com/gannetwell/gannetwell/schema"
 )
 
-// Target names a definition in the schemas that a text must satisfy.
+// Target names the schema definition that a document is validated against.
 type Target string
 
-// The definitions that texts are checked against.
+// Targets for whole documents.
 const (
 	TargetSettings Target = "settings.json"
 	TargetDocument Target = "table.json"
 	TargetService  Target = "service.json"
 )
 
-// TargetRow returns the definition of one kind of row, such as "VM" or "Pool".
+// TargetRow returns the target for one kind of row, such as "VM" or "Pool".
 func TargetRow(def string) Target { return Target("table.json#/$defs/" + def) }
 
 const schemaBase = "https://gannetwell.invalid/schema/"
@@ -74,7 +74,7 @@
 	return s, nil
 }
 
-// LoadFile reads the file and decodes it into v; see [Decode].
+// LoadFile reads a file and decodes it into v like [Decode].
 func LoadFile(file string, t Target, v any) (err error) {
 	src, err := os.ReadFile(file)
 	if err != nil {
@@ -83,9 +83,8 @@
 	return Decode(file, src, t, v)
 }
 
-// Decode checks src, JSON with comments, against the target, fills in defaults and decodes it into v.
-//
-// The error is an [ErrInvalid] when the text is at fault; file only labels it.
+// Decode validates src, JSON with comments, against the target, fills in defaults and decodes
+// it into v. It returns an [ErrInvalid] if src is invalid; file is used only in messages.
 func Decode(file string, src []byte, t Target, v any) (err error) {
 	full, err := Complete(file, src, t)
 	if err != nil {
@@ -94,7 +93,7 @@
 	return errors.Wrapf(json.Unmarshal(full, v), "decode %s", file)
 }
 
-// Complete checks src like [Decode] and returns it as plain JSON with defaults filled in.
+// Complete validates src like [Decode] and returns it as plain JSON with defaults filled in.
 func Complete(file string, src []byte, t Target) (full []byte, err error) {
 	s, err := schemaOf(t)
 	if err != nil {
@@ -119,7 +118,7 @@
 	return json.Marshal(fillDefaults(s, doc))
 }
 
-// fillDefaults returns v with every absent property that has a default.
+// fillDefaults sets every absent property of v that has a default, and returns v.
 func fillDefaults(s *jsonschema.Schema, v any) any {
 	for s.Ref != nil {
 		s = s.Ref
@@ -149,7 +148,7 @@
 	return v
 }
 
-// defaultOf returns the default that stands beside a reference or in its target.
+// defaultOf returns the default given next to a reference or, if there is none, in its target.
 func defaultOf(s *jsonschema.Schema) *any {
 	if s.Default != nil {
 		return s.Default
@@ -160,7 +159,7 @@
 	return nil
 }
 
-// cloneDefault copies an object or array, so that documents share nothing.
+// cloneDefault copies an object or array so that documents do not share it.
 func cloneDefault(v any) any {
 	switch v := v.(type) {
 	case map[string]any:
--- a/pkg/config/config_test.go
+++ b/pkg/config/config_test.go
@@ -10,7 +10,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// TestProblems runs testdata/problems: each text with the problems that must be reported.
+// TestProblems checks the problems reported for the documents in testdata/problems.
 func TestProblems(t *testing.T) {
 	datadriven.RunTest(t, "testdata/problems", func(t *testing.T, d *datadriven.TestData) string {
 		target := config.TargetSettings
@@ -25,7 +25,7 @@
 	})
 }
 
-// TestDefaults checks that defaults of nested objects and of references are filled in.
+// TestDefaults checks the defaults of nested objects and of references.
 func TestDefaults(t *testing.T) {
 	c := qt.New(t)
 	var s schema.Settings
@@ -41,7 +41,7 @@
 	c.Check(doc.Services["grades"].MaxInFlight, qt.Equals, 256)
 }
 
-// FuzzDecode feeds the parser any bytes: it must give an error or a value, never panic.
+// FuzzDecode checks that arbitrary input does not cause a panic.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"name": "a", /* c */ "zone": "z",}`))
 	f.Add([]byte("{\"a\":\n[1,2,{\"b\":}]"))
--- a/pkg/config/errors.go
+++ b/pkg/config/errors.go
@@ -16,21 +16,21 @@
 	"golang.org/x/text/message"
 )
 
-// Problem is one fault of a text.
+// Problem is one problem of a document.
 type Problem struct {
 	Line   int    // from 1
 	Column int    // from 1, in bytes
-	Field  string // dotted path, empty for the whole text
+	Field  string // dotted path, empty for the whole document
 	Want   string // what was expected
 }
 
-// ErrInvalid reports every fault found in a text.
+// ErrInvalid reports all problems found in a document.
 type ErrInvalid struct {
 	File     string
 	Problems []Problem
 }
 
-// Error gives one line per problem in the form file:line:column: field: what was expected.
+// Error returns one line per problem: file:line:column: field: what was expected.
 func (e ErrInvalid) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
@@ -43,14 +43,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// positions maps the dotted path of each value to its place.
+// positions maps the dotted path of each value to its byte offset.
 type positions struct {
 	offsets    map[string]int
 	src        []byte
 	duplicates []Problem
 }
 
-// newPositions walks the tree and records where each value begins.
+// newPositions records where each value of the syntax tree begins.
 func newPositions(src []byte, v *hujson.Value) *positions {
 	p := &positions{offsets: map[string]int{}, src: src}
 	p.walk("", v)
@@ -90,7 +90,7 @@
 	return Problem{Line: line, Column: column, Field: field, Want: want}
 }
 
-// lineColumn turns a byte offset into a line and a column from 1.
+// lineColumn converts a byte offset to a line and column, both from 1.
 func lineColumn(src []byte, offset int) (line, column int) {
 	before := string(src[:min(offset, len(src))])
 	line = 1 + strings.Count(before, "\n")
@@ -100,7 +100,7 @@
 
 var syntaxPlace = regexp.MustCompile(`line (\d+), column (\d+): (.*)$`)
 
-// syntaxError turns the parser's error into an ErrInvalid.
+// syntaxError converts a parser error to an ErrInvalid.
 func syntaxError(file string, src []byte, err error) error {
 	m := syntaxPlace.FindStringSubmatch(err.Error())
 	if m == nil {
@@ -112,7 +112,7 @@
 	return ErrInvalid{File: file, Problems: []Problem{{Line: line, Column: column, Want: "expected JSON with comments: " + m[3]}}}
 }
 
-// schemaError turns the validator's tree of errors into a flat ErrInvalid.
+// schemaError converts a validation error with its causes to an ErrInvalid.
 func schemaError(file string, at *positions, err error) error {
 	var ve *jsonschema.ValidationError
 	if !errors.As(err, &ve) {
--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Table is the entry's copy of the table.
+// Table is the entry's replica of the table.
 type Table interface {
 	Snapshot() *table.Snapshot
 	Commit(ctx context.Context, e *table.Edit) (*schema.Entry, error)
@@ -28,7 +28,7 @@
 	commitTimeout = 3 * time.Second
 )
 
-// Loop is one entry's control work.
+// Loop is the control loop of one entry.
 type Loop struct {
 	name       string
 	table      Table
@@ -43,28 +43,28 @@
 	holdsLease atomic.Bool
 }
 
-// HoldsLease tells whether this entry did the control work at its last step.
+// HoldsLease reports whether this entry held the lease at its last step.
 func (l *Loop) HoldsLease() bool { return l.holdsLease.Load() }
 
-// Option changes how a Loop is made.
+// Option configures a Loop.
 type Option func(*Loop)
 
-// WithStep sets the time between two decisions.
+// WithStep sets the interval between decisions.
 func WithStep(d time.Duration) Option { return func(l *Loop) { l.step = d } }
 
-// WithLease sets how long the lease lasts without renewal.
+// WithLease sets how long the lease is valid without renewal.
 func WithLease(d time.Duration) Option { return func(l *Loop) { l.lease.duration = d } }
 
-// WithLimits bounds the decisions.
+// WithLimits sets the limits of fleet decisions.
 func WithLimits(limits fleet.Limits) Option { return func(l *Loop) { l.limits = limits } }
 
-// WithLogger logs one line for each decision.
+// WithLogger logs each action to log.
 func WithLogger(log zerolog.Logger) Option { return func(l *Loop) { l.log = log } }
 
-// WithPaused keeps the loop from taking the lease while f returns true.
+// WithPaused keeps the loop from holding the lease while f returns true.
 func WithPaused(f func() bool) Option { return func(l *Loop) { l.paused = f } }
 
-// New returns the loop of the named entry.
+// New returns the control loop of the named entry.
 func New(name string, t Table, p platform.Platform, o *Observer, opts ...Option) *Loop {
 	l := &Loop{
 		name: name, table: t, platform: p, observer: o,
@@ -81,11 +81,11 @@
 
 func randomID() string {
 	raw := make([]byte, 8)
-	_, _ = rand.Read(raw) // never fails, it ends the process instead
+	_, _ = rand.Read(raw) // never returns an error
 	return hex.EncodeToString(raw)
 }
 
-// Run decides and acts until ctx ends; then it gives the lease up.
+// Run makes a decision at each interval until ctx ends, then releases the lease.
 func (l *Loop) Run(ctx context.Context) error {
 	t := time.NewTicker(l.step)
 	defer t.Stop()
@@ -104,7 +104,7 @@
 	}
 }
 
-// Step makes one decision, if this entry holds the lease, and carries it out.
+// Step makes one decision and executes it, if this entry holds the lease.
 func (l *Loop) Step(ctx context.Context) {
 	if l.paused() {
 		l.holdsLease.Store(false)
@@ -131,7 +131,7 @@
 	}
 }
 
-// execute does one action; what fails is decided anew in the next step.
+// execute executes one action. A failed action is decided again in a later step.
 func (l *Loop) execute(ctx context.Context, a fleet.Action) {
 	var err error
 	if a.IsEffect() {
--- a/pkg/control/doc.go
+++ b/pkg/control/doc.go
@@ -1,10 +1,9 @@
-// Package control carries out the decisions of package fleet.
+// Package control executes the decisions of package fleet. Package entry runs one [Loop] in
+// every entry.
 //
-// Every entry runs a [Loop]. A lease, one item of the table service, keeps them
-// from doing the same work twice; nothing rests on it. What keeps decisions
-// safe is that each edit names the row versions it was decided on and that
-// every edit passes the table's own checks in one sequence: a holder that was
-// paused and wakes up, or two holders at once, can only be refused. Effects on
-// the platform are idempotent and follow from the table, so any entry can go on
-// where another ended.
+// A lease, an item of the table service, keeps entries from duplicating work. Safety does not
+// depend on it: each edit names the row versions it is based on, and every edit is checked by
+// the table in one sequence, so edits of a paused or second lease holder are rejected. Actions
+// on the platform are idempotent and follow from the table, so any entry can continue the work
+// of another.
 package control
--- a/pkg/control/lease.go
+++ b/pkg/control/lease.go
@@ -12,23 +12,22 @@
 
 const leaseKey = "lease/control"
 
-// leaseItem is the lease as the table service holds it.
+// leaseItem is the lease as stored in the table service.
 type leaseItem struct {
 	Holder  string `json:"holder"`
-	UntilMs int64  `json:"until_ms"` // Unix milliseconds by the holder's clock
+	UntilMs int64  `json:"until_ms"` // end of validity in Unix milliseconds, by the holder's clock
 }
 
-// lease is one entry's side of the lease.
+// lease is the state of the lease at one entry.
 type lease struct {
 	store     platform.Table
 	holder    string
 	duration  time.Duration
-	heldUntil time.Time // end of what this entry holds
+	heldUntil time.Time // zero if this entry does not hold it
 }
 
-// acquire takes, keeps or fails to take the lease; it tells whether it is held.
-//
-// It writes only when a third of the time is left, or to take over.
+// acquire acquires or renews the lease and reports whether this entry holds it. The lease is
+// renewed when a third of its duration is left.
 func (l *lease) acquire(ctx context.Context, now time.Time) (held bool, err error) {
 	if l.heldUntil.Sub(now) > l.duration/3 {
 		return true, nil
@@ -71,7 +70,7 @@
 	return now.Before(l.heldUntil), errors.Wrap(err, "write lease")
 }
 
-// release gives the lease up, so that another entry takes over at once.
+// release releases the lease so that another entry can take over at once.
 func (l *lease) release(ctx context.Context, now time.Time) error {
 	if !now.Before(l.heldUntil) {
 		return nil
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -25,25 +25,25 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// mutations are promises that a test variant breaks on purpose.
+// mutations selects guarantees to break, to check that the property detects it.
 type mutations struct {
-	zeroCounts    bool // entries always say that nothing is in flight
-	ignoreBoot    bool // the platform forgets which boot a reboot was meant for
-	skipDrainWait bool // a draining VM reboots without waiting
+	zeroCounts    bool // entries report no requests in flight
+	ignoreBoot    bool // the platform ignores the boot that a reboot is meant for
+	skipDrainWait bool // a draining VM is rebooted without waiting
 }
 
-// node is one entry: its copy of the table, its requests and its control loop.
+// node is an entry with its replica, its requests and its control loop.
 type node struct {
 	replica     *replica.Replica
 	loop        *Loop
-	stepping    atomic.Bool // a loop makes one step at a time; what follows is under the world's lock
+	stepping    atomic.Bool // a step is in progress; harness.mu guards the fields below
 	inFlight    map[string]int
-	unreachable bool             // the other nodes cannot reach it
-	pause       time.Duration    // between its next decision and its writes
-	pauseOn     fleet.ActionKind // the pause waits for a decision with this action, if it is set
+	unreachable bool             // by the other nodes
+	pause       time.Duration    // before the next decision is executed
+	pauseOn     fleet.ActionKind // pause only before this kind of action, empty for any
 }
 
-// harness is several nodes racing on one platform, and the oracle beside them.
+// harness runs several nodes on one platform and checks what they do.
 type harness struct {
 	t         fatalT
 	mutations mutations
@@ -52,15 +52,15 @@
 	pending   sync.WaitGroup
 
 	mu         sync.Mutex
-	rows       map[string]schema.VM // the truth in the store
+	rows       map[string]schema.VM // rows in the store
 	pools      map[string]schema.Pool
 	poweredOff map[string]bool
 	leaving    map[string]bool
-	failing    bool // power goes off by a failure, not by a reboot
+	failing    bool // the power loss is a failure, not a reboot
 	problems   []string
 }
 
-// fatalT ends a test; rapid's and the standard one's T do.
+// fatalT is the part of testing.T and rapid.T that the harness uses.
 type fatalT interface {
 	Fatalf(format string, args ...any)
 }
@@ -81,7 +81,7 @@
 	return w
 }
 
-// populate writes two pools and six VMs.
+// populate creates two pools and six VMs.
 func (w *harness) populate() {
 	value := func(kind schema.Kind, name string, v any) table.Change {
 		return table.Change{Key: table.Key{Kind: kind, Name: name}, Value: table.MustValue(v)}
@@ -125,7 +125,7 @@
 	return n
 }
 
-// pauseOf returns how long a node pauses after a decision; a pause happens once.
+// pauseOf returns how long a node pauses after a decision. Each pause happens once.
 func (w *harness) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,7 +137,7 @@
 	return pause
 }
 
-// bootIgnorer carries out a reboot whatever boot it was meant for.
+// bootIgnorer executes a reboot even if the VM has booted since it was decided.
 type bootIgnorer struct{ platform.Platform }
 
 func (d bootIgnorer) Reboot(ctx context.Context, vm, operation string, _ int) error {
@@ -148,7 +148,7 @@
 	return d.Platform.Reboot(ctx, vm, operation, status.Boot)
 }
 
-// withoutInFlight observes that nothing is in flight, whatever was seen.
+// withoutInFlight removes all requests in flight from the observations of draining VMs.
 func withoutInFlight(s fleet.State) fleet.State {
 	s.Observed = maps.Clone(s.Observed)
 	for name, o := range s.Observed {
@@ -168,7 +168,7 @@
 	w.problems = append(w.problems, fmt.Sprintf(format, args...))
 }
 
-// Wrote implements fake.Observer: budgets are judged by the rows in the store.
+// Wrote implements fake.Observer. It checks budgets against the rows in the store.
 func (w *harness) Wrote(write platform.Write) {
 	key, ok := replica.ParseRowKey(write.Key)
 	if !ok {
@@ -222,7 +222,7 @@
 	w.leaving[vm] = leaving
 }
 
-// Power implements fake.Machine: a reboot must meet an idle VM that the table gave up.
+// Power implements fake.Machine. It checks that a rebooted VM is idle and not active.
 func (w *harness) Power(vm string, on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -252,7 +252,7 @@
 	return w.busy(vm)
 }
 
-// entryCounter answers control's questions to the entries.
+// entryCounter implements Entries for the harness.
 type entryCounter struct{ w *harness }
 
 // InFlight implements Entries.
@@ -273,7 +273,7 @@
 	return out
 }
 
-// prober sees the truth.
+// prober reports the actual state of the VMs.
 type prober struct{ w *harness }
 
 func (p prober) Health(vm string) (membership.Health, time.Time) {
@@ -289,7 +289,7 @@
 }
 
 func (p prober) List() platform.VMList {
-	list, _ := p.w.platform.View("z").ListVMs(context.Background(), "") // an empty list is a list too
+	list, _ := p.w.platform.View("z").ListVMs(context.Background(), "") // the list is empty on error
 	return list
 }
 
@@ -303,7 +303,7 @@
 	n.loop.Step(context.Background())
 }
 
-// request begins a request at a VM that the node holds for active.
+// request starts a request at a VM that is active in the node's replica.
 func (w *harness) request(n *node, vm string) {
 	row := n.replica.Snapshot().VMs[vm].Value
 	w.mu.Lock()
@@ -313,7 +313,7 @@
 	}
 }
 
-// editAsOperator edits a row as an operator does; a refusal is an answer.
+// editAsOperator commits an edit by an operator. It may be rejected.
 func editAsOperator[T any](n *node, kind schema.Kind, name string, f func(*T)) {
 	key := table.Key{Kind: kind, Name: name}
 	snap := n.replica.Snapshot()
@@ -330,7 +330,7 @@
 	})
 }
 
-// checkProblems ends the case when the oracle has seen a promise broken.
+// checkProblems fails the test if a violation was found.
 func (w *harness) checkProblems() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -339,9 +339,9 @@
 	}
 }
 
-// machine is the property: nodes race, pause, crash and are cut off; the store
-// fails; VMs fail; operators steer. Nothing is cut off, budgets hold, and when
-// all is well again every wave ends.
+// machine checks the nodes under concurrency, pauses, crashes, partitions, store faults, VM
+// failures and operator edits: no request is cut off, budgets hold, and every wave ends after
+// all faults end.
 func machine(t *rapid.T, p mutations) {
 	w := newHarness(t, p)
 	defer w.pending.Wait()
@@ -450,7 +450,7 @@
 	}
 }
 
-// recoverAll heals everything and lets the nodes finish.
+// recoverAll ends all faults and lets the nodes finish their work.
 func (w *harness) recoverAll() {
 	w.platform.SetRules()
 	w.pending.Wait()
@@ -460,7 +460,7 @@
 		clear(n.inFlight)
 	}
 	w.mu.Unlock()
-	time.Sleep(10 * time.Second) // reboots under way end
+	time.Sleep(10 * time.Second) // until reboots in progress have ended
 	for _, vm := range w.caughtUp().replica.Snapshot().VMs.Names() {
 		w.recover(vm)
 	}
@@ -481,7 +481,7 @@
 	}
 }
 
-// unsettled says what has not come to its end.
+// unsettled describes what has not finished, empty if everything has.
 func (w *harness) unsettled() string {
 	snap := w.caughtUp().replica.Snapshot()
 	for name, wave := range snap.Waves {
@@ -506,12 +506,12 @@
 	return n
 }
 
-// TestMachine proves budgets, drains and the end of waves under races and faults.
+// TestMachine checks budgets, drains and the end of waves under races and faults.
 func TestMachine(t *testing.T) {
 	prop.Check(t, func(rt *rapid.T) { machine(rt, mutations{}) })
 }
 
-// TestMutations breaks promises on purpose: the property must see each.
+// TestMutations breaks one guarantee at a time and expects the property to fail.
 func TestMutations(t *testing.T) {
 	for name, p := range map[string]mutations{
 		"entries lie":           {zeroCounts: true},
@@ -523,8 +523,8 @@
 	}
 }
 
-// pausedReboot pauses a node between the decision to reboot a VM and the call,
-// until another node has taken two waves to their ends and the VMs serve again.
+// pausedReboot pauses a node between the decision to reboot a VM and the call, while another
+// node completes two waves and the VMs serve again.
 func pausedReboot(t fatalT, p mutations) (problems []string) {
 	w := newHarness(t, p)
 	editAsOperator(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
@@ -539,12 +539,12 @@
 	})
 	next := false
 	for time.Since(began) < paused-10*time.Second {
-		if !next && time.Since(began) > paused/2 { // another wave gives each VM another operation
+		if !next && time.Since(began) > paused/2 { // a second wave gives each VM a new operation
 			next = true
 			editAsOperator(w.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 		}
 		w.step(w.nodes[1])
-		for _, n := range w.nodes { // an entry that lags would hold every drain up
+		for _, n := range w.nodes { // a lagging entry would delay every drain
 			_, _ = n.replica.CatchUp(context.Background())
 		}
 		time.Sleep(time.Second)
@@ -563,8 +563,8 @@
 	return w.problems
 }
 
-// TestPausedReboot wakes a node that was about to reboot a VM long ago: the call
-// meets a VM that has booted since and is refused. Without that fence, it cuts requests off.
+// TestPausedReboot checks that a reboot decided long ago is rejected because the VM has booted
+// since, and that requests would be cut off without this check.
 func TestPausedReboot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		qt.Check(t, pausedReboot(t, mutations{}), qt.HasLen, 0)
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -14,38 +14,39 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// statusWorkers bounds the VMs that are asked at one time.
+// statusWorkers is the number of concurrent status queries to VMs.
 const statusWorkers = 16
 
-// Prober tells what probes say of backend servers.
+// Prober provides the results of health probes and the platform's VM list.
 type Prober interface {
 	Health(vm string) (h membership.Health, at time.Time)
 	List() platform.VMList
 }
 
-// Entries asks every entry about its requests in flight.
+// Entries queries all entries for their requests in flight.
 type Entries interface {
 	InFlight(ctx context.Context, vms []string) []membership.EntryInFlight
 }
 
-// Observer gathers what decisions rest on.
+// Observer collects the observations on which decisions are based.
 type Observer struct {
 	VMs           platform.VMs
 	Prober        Prober
 	Entries       Entries
-	LocalInFlight func(vm string) int // requests in flight at this entry
+	LocalInFlight func(vm string) int // requests in flight from this entry
 
 	mu    sync.Mutex
 	since map[string]healthSince
 }
 
-// healthSince is a state of health and when it was first seen.
+// healthSince is a health state and the time it was first observed.
 type healthSince struct {
 	health fleet.Health
 	since  time.Time
 }
 
-// Observe looks at the VMs of a snapshot; those out of service are asked themselves.
+// Observe returns observations of all VMs of a snapshot. VMs that are out of service are also
+// queried for their status.
 func (o *Observer) Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation {
 	seen := make(map[string]fleet.Observation, len(snap.VMs))
 	listed := map[string]platform.VMState{}
@@ -81,10 +82,9 @@
 	return seen
 }
 
-// trackHealth turns probes into health with the time since when it holds.
-//
-// For a VM that is being checked only the newest probe counts, so that an
-// answer from before the reboot is not taken for one after it.
+// trackHealth converts a probe result to health and the time since when it has lasted. For a VM
+// that is being checked after a reboot only the latest probe counts, so that results from
+// before the reboot are ignored.
 func (o *Observer) trackHealth(name string, h membership.Health, at time.Time, vm schema.VM) (fleet.Health, time.Time) {
 	health := fleet.HealthUnknown
 	switch h {
@@ -116,7 +116,7 @@
 		g.Go(func() error {
 			status, err := o.VMs.VMStatus(ctx, name)
 			if err != nil {
-				return nil // no status is an observation too
+				return nil // a missing status is a valid observation
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/pkg/dial/dial.go
+++ b/pkg/dial/dial.go
@@ -1,4 +1,5 @@
-// Package dial opens TCP connections that notice a silent other side.
+// Package dial opens TCP connections that detect an unresponsive peer within seconds. Package
+// httpc and the platform client use it.
 package dial
 
 import (
@@ -11,14 +12,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// A VM without power or behind a cut answers nothing, so that without these
-// a connection to it would hang for minutes.
+// These bound how long a connection to a VM without power or behind a network partition hangs.
 const (
-	// connectTimeout bounds the opening of a connection; opening packets that are lost are sent again after a second.
+	// connectTimeout leaves time for one retransmission of a lost SYN, after 1 s.
 	connectTimeout = 1200 * time.Millisecond
-	// userTimeout is how long sent bytes may go unacknowledged.
+	// userTimeout is how long sent data may remain unacknowledged.
 	userTimeout = 2 * time.Second
-	// keepAliveIdle, keepAliveInterval and keepAliveCount find a dead connection on which nothing is sent, within 3 s.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount detect a dead idle connection within
+	// 3 s.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
 	keepAliveCount    = 2
@@ -48,15 +49,15 @@
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// Context has the signature that net/http wants.
+// Context is TCP with the signature of http.Transport.DialContext.
 func Context(ctx context.Context, network, address string) (net.Conn, error) {
 	return dialer.DialContext(ctx, network, address)
 }
 
-// Refused tells whether an error says that nothing listens at the address.
+// Refused reports whether nothing listens at the address.
 func Refused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
-// NotSent tells whether an error arose while the connection was being opened, so that nothing was sent.
+// NotSent reports whether the connection could not be opened, so that nothing was sent.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/pkg/entry/doc.go
+++ b/pkg/entry/doc.go
@@ -1,14 +1,14 @@
-// Package entry is one entry daemon as a library: everything that stands
-// between callers and backend servers on one VM.
+// Package entry implements the entry daemon, which forwards callers' requests to backend
+// servers and runs the fleet control loop. The gannetwelld command and tests create entries
+// with it.
 //
-// [New] binds the listeners; [Entry.Run] runs a group of actors until one ends:
-// the caller listener, the operators' interface, the peer listener, the links
-// to peers, the follower of backend servers, the follower of the store and the
-// control loop. Entries are all alike and keep nothing: an entry starts empty,
-// takes the table from the store or from peers, and serves requests only when
-// it holds the highest revision that any of them it can reach knows.
+// [New] binds the listeners. [Entry.Run] runs these components until one of them ends: the
+// callers', operators' and peers' listeners, the connections to peers, the health probes of
+// backend servers, the table replica and the control loop. Entries have no persistent state. An
+// entry starts empty, loads the table from the store or from peers, and accepts requests once
+// it has the highest revision known to the store and the peers that it can reach.
 //
-// [Entry.Stop] begins a planned stop: the entry reports that it is not ready,
-// goes on serving while the balancer takes note, finishes what is in flight,
-// however long that takes, and then ends. Ending the context of Run cuts it short.
+// [Entry.Stop] starts a graceful shutdown: the entry reports that it is not ready, keeps
+// serving until load balancers have noticed, and ends after all requests in flight are done,
+// without a time limit. Cancelling the context of Run ends it immediately.
 package entry
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -27,13 +27,13 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Entry is one entry daemon.
+// Entry is an entry daemon.
 type Entry struct {
 	settings schema.Settings
 	log      zerolog.Logger
 	limits   fleet.Limits
 	platform platform.Platform
-	dial     Dial // nil for the usual one
+	dial     Dial // nil for the defaults of gateway and membership
 	traffic  *controlTraffic
 	registry *prometheus.Registry
 
@@ -53,25 +53,25 @@
 	stop     chan struct{}
 }
 
-// Option changes how an Entry is made.
+// Option configures an Entry.
 type Option func(*Entry)
 
-// WithLogger sets the log.
+// WithLogger sets the logger.
 func WithLogger(l zerolog.Logger) Option { return func(e *Entry) { e.log = l } }
 
-// WithPlatform sets the platform in place of the one that the settings name.
+// WithPlatform uses p instead of the platform from the settings.
 func WithPlatform(p platform.Platform) Option { return func(e *Entry) { e.platform = p } }
 
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WithDial opens connections to backend servers and peers by d.
+// WithDial uses d to open connections to backend servers and peers.
 func WithDial(d Dial) Option { return func(e *Entry) { e.dial = d } }
 
-// WithLimits bounds fleet decisions.
+// WithLimits sets the limits of fleet decisions.
 func WithLimits(l fleet.Limits) Option { return func(e *Entry) { e.limits = l } }
 
-// New makes an entry and binds its listeners; Run must follow.
+// New creates an entry and binds its listeners. The caller must then call Run.
 func New(settings schema.Settings, opts ...Option) (e *Entry, err error) {
 	defer func() { err = errors.Wrapf(err, "make entry %s", settings.Name) }()
 	e = &Entry{
@@ -95,7 +95,7 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// assemble connects the parts.
+// assemble creates and connects the components.
 func (e *Entry) assemble() {
 	s := e.settings
 	e.claims = once.New(e.platform, s.Name)
@@ -145,7 +145,7 @@
 	return e.peerTLS.PeerClient()
 }
 
-// register collects the metrics.
+// register registers the metrics of all components.
 func (e *Entry) register() error {
 	if err := e.gateway.Register(e.registry); err != nil {
 		return err
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Run runs the entry until Stop has done its work or ctx ends.
+// Run runs the entry until a graceful shutdown is complete or ctx ends.
 func (e *Entry) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrapf(err, "run entry %s", e.settings.Name) }()
 	var g run.Group
@@ -184,7 +184,7 @@
 	return err
 }
 
-// addActor adds a part that runs until its context ends.
+// addActor adds a component that runs until its context ends.
 func (e *Entry) addActor(g *run.Group, ctx context.Context, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
@@ -197,7 +197,7 @@
 		if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		<-done // a planned stop closes the server first and ends the group later
+		<-done // Shutdown ends Serve early; wait until the group ends
 		return nil
 	}, func(error) {
 		close(done)
@@ -205,7 +205,8 @@
 	})
 }
 
-// follow brings the table here, reports ready when it is as new as any that is known, and keeps it so.
+// follow loads the table, reports the entry ready once it is up to date, and then keeps
+// following the store.
 func (e *Entry) follow(ctx context.Context) error {
 	const retry = 100 * time.Millisecond
 	for !e.caughtUp(ctx) {
@@ -220,7 +221,7 @@
 	return e.follower.Run(ctx)
 }
 
-// sweepClaims removes claims that are past their lifetime, at the entry that does the control work.
+// sweepClaims deletes expired idempotency keys while this entry holds the control lease.
 func (e *Entry) sweepClaims(ctx context.Context) error {
 	const interval = 10 * time.Minute
 	for {
@@ -237,9 +238,10 @@
 	}
 }
 
-// caughtUp tells that somebody who knows was reached and that nobody reached knows more.
+// caughtUp loads the latest table and reports whether the store or a peer was reached and none
+// of them has a higher revision.
 func (e *Entry) caughtUp(ctx context.Context) bool {
-	e.servers.ReadList(ctx) // names the peers
+	e.servers.ReadList(ctx) // provides the addresses of the peers
 	stored, err := e.follower.CatchUp(ctx)
 	highest, reached := e.peers.SyncAll(ctx)
 	if err != nil && reached == 0 {
@@ -248,7 +250,7 @@
 	return e.replica.Revision() >= max(stored, highest)
 }
 
-// Stop begins a planned stop.
+// Stop starts a graceful shutdown.
 func (e *Entry) Stop() { e.stopOnce.Do(func() { close(e.stop) }) }
 
 func (e *Entry) stopping() bool {
@@ -260,7 +262,7 @@
 	}
 }
 
-// awaitStop carries out a planned stop: notice, no new connections, what is in flight to its end.
+// awaitStop waits for Stop, then for the notice period and for all requests in flight.
 func (e *Entry) awaitStop(ctx context.Context, callers *http.Server) error {
 	select {
 	case <-ctx.Done():
@@ -275,10 +277,10 @@
 	case <-time.After(ms(e.settings.Gateway.StopNoticeMs)):
 	}
 	if err := callers.Shutdown(ctx); err != nil {
-		return nil // cut short by the context
+		return nil // ctx ended
 	}
-	if err := e.gateway.WaitIdle(ctx); err != nil { // upgraded connections, which the server no longer counts
-		return nil // cut short by the context
+	if err := e.gateway.WaitIdle(ctx); err != nil { // upgraded connections, which Shutdown does not wait for
+		return nil // ctx ended
 	}
 	e.peers.Leave(ctx)
 	return nil
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -36,21 +36,21 @@
 
 const token = "test-token"
 
-// cluster is a few entries over one stand-in of the platform.
+// cluster is a group of entries over one fake platform.
 type cluster struct {
 	t     *testing.T
 	store *fake.Platform
 	seeds []string
-	tls   map[string]any // of each listener, nil for none
+	tls   map[string]any // TLS settings of every listener, nil for none
 }
 
-// node is an entry that runs.
+// node is a running entry.
 type node struct {
 	*entry.Entry
 	done chan error
 }
 
-// start runs an entry; it ends with the test.
+// start runs an entry until the test ends.
 func (c *cluster) start(name string) *node {
 	listener := func(extra map[string]any) map[string]any {
 		m := map[string]any{"address": "127.0.0.1:0"}
@@ -88,7 +88,7 @@
 	return n
 }
 
-// await waits for a condition without an end of its own: a test that hangs is ended by go test.
+// await polls a condition without a time limit; go test bounds the test.
 func await(f func() bool) {
 	for !f() {
 		time.Sleep(5 * time.Millisecond)
@@ -104,7 +104,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// fill makes a table with one backend server.
+// fill commits a table with one backend server.
 func fill(t *testing.T, n *node, address string) api.EditResult {
 	row := func(kind, name, value string) api.RowChange {
 		return api.RowChange{Kind: kind, Name: name, Value: json.RawMessage(value)}
@@ -121,8 +121,8 @@
 	return result
 }
 
-// TestOutage restarts an entry while the platform is down: it takes the table
-// from a peer and serves; without any peer it does not report ready.
+// TestOutage starts an entry during a platform outage: with a peer it loads the table and
+// serves, without one it does not become ready.
 func TestOutage(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }))
@@ -161,8 +161,8 @@
 	await(func() bool { return ready(third) })
 }
 
-// TestPlannedStop stops an entry under a lesson: it is not ready at once, the
-// lesson goes on to its own end, and then the entry ends without an error.
+// TestPlannedStop stops an entry while a stream is open: the entry becomes not ready at once,
+// the stream continues to its end, and then Run returns without an error.
 func TestPlannedStop(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -201,11 +201,11 @@
 	await(func() bool { return !ready(n) })
 	for range 10 {
 		time.Sleep(10 * time.Millisecond)
-		say("the lesson goes on")
+		say("the stream goes on")
 	}
 	select {
 	case err := <-n.done:
-		t.Fatalf("the entry ended under a lesson: %v", err)
+		t.Fatalf("the entry ended during a stream: %v", err)
 	default:
 	}
 	_ = pw.Close()
@@ -215,10 +215,10 @@
 	c.Check(<-n.done, qt.IsNil)
 	status, err := client.New("http://"+other.OperatorAddress(), token).Status(context.Background())
 	c.Assert(err, qt.IsNil)
-	c.Check(status.Entries, qt.HasLen, 1, qt.Commentf("the peer was told that the entry ended"))
+	c.Check(status.Entries, qt.HasLen, 1, qt.Commentf("the peer knows that the entry ended"))
 }
 
-// authority signs certificates for a test.
+// authority is a certificate authority for tests.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -238,7 +238,7 @@
 	return &authority{cert: cert, key: key, pem: pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der})}
 }
 
-// issue writes a certificate and its key for loopback.
+// issue writes a certificate for the loopback address and its key.
 func (a *authority) issue(t *testing.T, serial int64, certFile, keyFile string) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	qt.Assert(t, err, qt.IsNil)
@@ -255,8 +255,8 @@
 	qt.Assert(t, os.WriteFile(certFile, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), 0o600), qt.IsNil)
 }
 
-// TestTLS runs two entries with TLS on every listener and replaces the
-// certificate under an open connection: it stays, and new ones get the new certificate.
+// TestTLS replaces the certificate of a running entry: open connections continue, new ones get
+// the new certificate.
 func TestTLS(t *testing.T) {
 	c := qt.New(t)
 	dir := t.TempDir()
@@ -296,9 +296,9 @@
 	c.Check(string(got), qt.Equals, "HTTP/1.1 404")
 
 	_, err = tls.Dial("tcp", first.PeerAddress(), cfg)
-	if err == nil { // TLS 1.3 tells the client of a refusal at its first read
+	if err == nil { // with TLS 1.3, the client sees the rejection at its first read
 		conn, _ := tls.Dial("tcp", first.PeerAddress(), cfg)
 		_, err = conn.Read(make([]byte, 1))
 	}
-	c.Check(err, qt.IsNotNil, qt.Commentf("a peer listener refuses dialers without a certificate"))
+	c.Check(err, qt.IsNotNil, qt.Commentf("a peer listener rejects clients without a certificate"))
 }
--- a/pkg/entry/listen.go
+++ b/pkg/entry/listen.go
@@ -17,7 +17,7 @@
 	"github.com/gannetwell/gannetwell/service/server"
 )
 
-// ReadyPath tells the balancer, on the callers' port, whether to send requests here.
+// ReadyPath is the readiness check for load balancers on the callers' port.
 const ReadyPath = "/.gannetwell/ready"
 
 const (
@@ -49,7 +49,7 @@
 	}
 }
 
-// listenHTTP binds an address; connections above the limit wait to be accepted.
+// listenHTTP binds an address. Connections above the limit wait in the accept queue.
 func listenHTTP(address string, files *schema.TLS, connections int) (ln net.Listener, err error) {
 	var cfg *tls.Config
 	if files != nil {
@@ -86,13 +86,13 @@
 	return err
 }
 
-// CallerAddress returns the host:port that takes callers' requests.
+// CallerAddress returns the host:port on which callers' requests are accepted.
 func (e *Entry) CallerAddress() string { return e.callers.Addr().String() }
 
 // OperatorAddress returns the host:port of the operators' interface.
 func (e *Entry) OperatorAddress() string { return e.operators.Addr().String() }
 
-// PeerAddress returns the host:port at which other entries reach this one.
+// PeerAddress returns the host:port at which peers reach this entry.
 func (e *Entry) PeerAddress() string {
 	if a := e.settings.Peers.Advertise; a != "" {
 		return a
@@ -100,7 +100,8 @@
 	return e.peerListener.Addr().String()
 }
 
-// callerServer serves requests, and readiness under a path that no route can take.
+// callerServer serves requests, and the readiness check under ReadyPath, which takes precedence
+// over routes.
 func (e *Entry) callerServer() *http.Server {
 	g := e.settings.Gateway
 	return &http.Server{
--- a/pkg/entry/parts.go
+++ b/pkg/entry/parts.go
@@ -20,10 +20,10 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// readersPerZone is how many entries of a zone read the store's head for the others.
+// readersPerZone is the number of entries per zone that read the store's head frequently.
 const readersPerZone = 2
 
-// onTable puts a snapshot in force at the request path.
+// onTable makes a snapshot current in the gateway.
 func (e *Entry) onTable(snap *table.Snapshot, entries []schema.Entry) {
 	e.gateway.SetTable(snap)
 	ev := e.log.Info().Str("event", "table_in_force").Int("revision", snap.Revision)
@@ -33,7 +33,7 @@
 	ev.Send()
 }
 
-// onVMList takes the peers' addresses from the platform's list, beside the seeds.
+// onVMList updates the peers' addresses from the seeds and the platform's VM list.
 func (e *Entry) onVMList(list platform.VMList) {
 	addresses := slices.Clone(e.settings.Peers.Seeds)
 	for _, vm := range list.VMs {
@@ -45,8 +45,8 @@
 	e.peers.SetAddresses(slices.Compact(addresses))
 }
 
-// isReader tells whether this entry reads the store's head for its zone: it is
-// one of the first by name among those that were heard of late.
+// isReader reports whether this entry reads the store's head for its zone: it is among the
+// first by name of the entries heard from recently.
 func (e *Entry) isReader() bool {
 	const recent = 10 * time.Second
 	before := 0
@@ -59,7 +59,7 @@
 	return before < readersPerZone
 }
 
-// marker closes servers at the request path.
+// marker adapts the gateway to membership.Marker.
 type marker struct{ g *gateway.Gateway }
 
 // MarkList implements membership.Marker.
@@ -71,10 +71,10 @@
 // MarkHealth implements membership.Marker.
 func (m marker) MarkHealth(vm string, closed bool) { m.g.Mark(vm, gateway.SourceHealth, closed) }
 
-// kindRequest is what operators ask about beside rows: a request by its ID.
+// kindRequest lets operators ask for an explanation of a request by its ID.
 const kindRequest schema.Kind = "request"
 
-// explainer explains rows, and requests that failed here of late.
+// explainer explains rows and recent failed requests.
 type explainer struct {
 	*explain.Explainer
 	entry *Entry
@@ -92,7 +92,7 @@
 	return f.Sentences(name, x.entry.settings.Name), true
 }
 
-// listedEntries asks the entries that may still be there.
+// listedEntries queries the entries that may still exist.
 type listedEntries struct {
 	peers *membership.Peers
 	list  func() platform.VMList
@@ -102,9 +102,9 @@
 	return listedEntries{peers: e.peers, list: func() platform.VMList { return e.servers.List() }}
 }
 
-// InFlight implements control.Entries. An entry that does not answer is left
-// out only if the platform's list, which lags but does not invent, says that
-// its VM is gone, and says so of a later time than it was heard.
+// InFlight implements control.Entries. An entry that does not respond is left out only if a VM
+// list from after its last message says that its VM is gone. The list may be late but never
+// omits a running VM.
 func (l listedEntries) InFlight(ctx context.Context, vms []string) []membership.EntryInFlight {
 	answers := l.peers.InFlight(ctx, vms)
 	list := l.list()
@@ -118,7 +118,7 @@
 	})
 }
 
-// status describes this entry and its peers.
+// status returns the status of this entry and its peers.
 func (e *Entry) status() api.Status {
 	self := e.peers.Self()
 	out := api.Status{
@@ -150,7 +150,7 @@
 	}
 }
 
-// controlTraffic counts the bytes that control costs.
+// controlTraffic counts the bytes exchanged with the platform and with peers.
 type controlTraffic struct{ bytes *prometheus.CounterVec }
 
 func newTraffic() *controlTraffic {
@@ -170,7 +170,7 @@
 
 func (t *controlTraffic) collectors() []prometheus.Collector { return []prometheus.Collector{t.bytes} }
 
-// debugLogger brings what net/http logs into the log, as debug lines.
+// debugLogger forwards the log of net/http to log at debug level.
 func debugLogger(log zerolog.Logger) *stdlog.Logger {
 	return stdlog.New(logWriter{log}, "", 0)
 }
--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -14,39 +14,39 @@
 )
 
 const (
-	// maxBodyBytes bounds the body of an answer that is read, in bytes.
+	// maxBodyBytes is the size limit of a response body, in bytes.
 	maxBodyBytes = 8 << 20
-	// readBufferBytes holds the usual answer of a worker in one read, in bytes.
+	// readBufferBytes holds the usual response of a worker in one read.
 	readBufferBytes = 2 << 10
 )
 
-// Field is a header of a request or an answer.
+// Field is a header of a request or response.
 type Field struct {
 	Name, Value string
 }
 
-// Request is what is sent to a host.
+// Request is a request to a host.
 type Request struct {
 	Method string
 	Host   string // host:port
-	Path   string // with the query
+	Path   string // including the query
 	Header []Field
-	Body   []byte // JSON, none when nil
-	// LongPoll is for how long the host may hold its answer back by agreement; only what goes beyond it is silence.
+	Body   []byte // JSON, nil for none
+	// LongPoll is how long the host may delay its response without counting as idle.
 	LongPoll time.Duration
-	// IdleTimeout is the longest time, beyond Wait for the first byte, in which no byte
-	// of the answer comes; 0 for the whole time that the context leaves.
+	// IdleTimeout is the longest time without a byte of the response, in addition to LongPoll
+	// for the first one; 0 leaves only the deadline of the context.
 	IdleTimeout time.Duration
 }
 
-// Response is what a host answered.
+// Response is the response of a host.
 type Response struct {
 	Status int
-	Header []Field // of answers with a status of 400 and more
+	Header []Field // only if Status is 400 or more
 	Body   []byte
 }
 
-// Get returns the value of a header, empty if it is not there.
+// Get returns the value of a header, empty if it is not present.
 func (r *Response) Get(name string) string {
 	for _, f := range r.Header {
 		if f.Name == name {
@@ -56,19 +56,19 @@
 	return ""
 }
 
-// ErrNotSent reports a request of which the host got nothing.
+// ErrNotSent reports a request of which nothing was sent to the host.
 type ErrNotSent struct{ Cause error }
 
-// Error says why it was not sent.
+// Error returns why the request was not sent.
 func (e ErrNotSent) Error() string { return "request was not sent: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e ErrNotSent) Unwrap() error { return e.Cause }
 
-// ErrNoAnswer reports a request whose answer did not come; the host may have got it.
+// ErrNoAnswer reports a request without a response; the host may have received it.
 type ErrNoAnswer struct{ Cause error }
 
-// Error says how the answer was lost.
+// Error returns why there was no response.
 func (e ErrNoAnswer) Error() string { return "no answer: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
@@ -77,26 +77,26 @@
 // Dial opens a connection to a host:port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client keeps connections to hosts and sends requests over them.
+// Client sends requests to hosts over pooled connections.
 type Client struct {
 	dial    Dial
 	maxIdle int
 
 	mu        sync.Mutex
 	hosts     map[string]*host
-	lastSweep time.Time // when idle connections were last gone through
+	lastSweep time.Time // last removal of closed and old idle connections
 }
 
-// Option changes how a Client is made.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithDial opens connections by f.
+// WithDial uses f to open connections.
 func WithDial(f Dial) Option { return func(c *Client) { c.dial = f } }
 
-// WithMaxIdle keeps at most n connections without a request to a host.
+// WithMaxIdle limits the idle connections kept per host to n.
 func WithMaxIdle(n int) Option { return func(c *Client) { c.maxIdle = n } }
 
-// defaultMaxIdle is how many connections without a request are kept to a host.
+// defaultMaxIdle is the default number of idle connections kept per host.
 const defaultMaxIdle = 12
 
 // New returns a client without connections.
@@ -108,28 +108,27 @@
 	return c
 }
 
-// Do sends a request and returns the answer; its error is an [ErrNotSent] or an
-// [ErrNoAnswer]. It ends with ctx. A request that a kept connection has certainly
-// not carried to the host, and a GET whose kept connection the host has closed,
-// goes out again on another connection.
+// Do sends a request and returns the response or, if ctx ends or the exchange fails, an
+// [ErrNotSent] or [ErrNoAnswer]. It resends a request on another connection only if a reused
+// connection sent none of it, or if it is a GET and the host had closed the reused connection.
 func (c *Client) Do(ctx context.Context, r *Request) (resp Response, err error) {
 	for {
-		k, err := c.getConn(ctx, r.Host)
+		cn, err := c.getConn(ctx, r.Host)
 		if err != nil {
 			return resp, ErrNotSent{Cause: err}
 		}
-		sent, err := k.roundTrip(ctx, r, &resp)
+		sent, err := cn.roundTrip(ctx, r, &resp)
 		if err == nil {
 			return resp, nil
 		}
-		if k.reused && ctx.Err() == nil && (!sent || r.Method == fasthttp.MethodGet && errors.As(err, new(errClosed))) {
+		if cn.reused && ctx.Err() == nil && (!sent || r.Method == fasthttp.MethodGet && errors.As(err, new(errClosed))) {
 			continue
 		}
 		return resp, ErrNoAnswer{Cause: err}
 	}
 }
 
-// errClosed reports a connection that the host closed before it answered anything.
+// errClosed reports a connection closed by the host before any byte of the response.
 type errClosed struct{ cause error }
 
 func (e errClosed) Error() string { return "connection was closed: " + e.cause.Error() }
@@ -140,7 +139,7 @@
 	readers        = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, readBufferBytes) }}
 )
 
-// encode appends the request as it goes over the wire.
+// encode appends the request in wire format to buf.
 func (r *Request) encode(buf []byte) []byte {
 	h := requestHeaders.Get().(*fasthttp.RequestHeader)
 	defer requestHeaders.Put(h)
@@ -158,7 +157,7 @@
 	return append(h.AppendBytes(buf), r.Body...)
 }
 
-// decode reads an answer.
+// decode reads a response; keep reports whether the connection can be reused.
 func decode(r *bufio.Reader, resp *Response) (keep bool, err error) {
 	got := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseResponse(got)
--- a/pkg/httpc/client_test.go
+++ b/pkg/httpc/client_test.go
@@ -18,9 +18,8 @@
 	"github.com/gannetwell/gannetwell/pkg/httpc"
 )
 
-// TestScripts plays each file of testdata against a server whose connections fall
-// silent, close or answer in pieces. It prints what calls come to and how many
-// connections the server has seen.
+// TestScripts runs the scripts of testdata against a server whose connections hang, close or
+// respond in pieces. It prints the result of each call and the number of connections accepted.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		s := newServer(t)
@@ -29,7 +28,7 @@
 	})
 }
 
-// background holds the outcomes of calls that a script goes on beside.
+// background holds the results of calls that run concurrently with a script.
 var background []chan string
 
 func run(t *testing.T, s *server, c *httpc.Client, d *datadriven.TestData) string {
@@ -91,13 +90,13 @@
 	}
 }
 
-// bounds are the times of a call.
+// bounds are the time limits of a call.
 type bounds struct {
 	timeout, cancelAfter time.Duration
-	late                 time.Duration // what takes longer is told, 0 for nothing
+	late                 time.Duration // calls that take longer are reported, 0 for none
 }
 
-// callTogether makes the same call several times at once and prints the outcomes.
+// callTogether makes the same call several times concurrently and prints the results.
 func callTogether(c *httpc.Client, r httpc.Request, times int, b bounds) string {
 	outcomes := make([]string, times)
 	var wg sync.WaitGroup
@@ -120,7 +119,7 @@
 	return strings.Join(outcomes, "")
 }
 
-// outcome prints an answer, or what is known of the request.
+// outcome prints a response, or what is known of the request.
 func outcome(resp *httpc.Response, err error) string {
 	var notSent httpc.ErrNotSent
 	switch {
@@ -133,8 +132,8 @@
 	}
 }
 
-// TestGivenUpIsNotSent gives up a request of which the host has read nothing yet. What
-// the host reads later is not the whole request.
+// TestGivenUpIsNotSent checks that the unsent rest of an aborted request is not delivered
+// later.
 func TestGivenUpIsNotSent(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -157,5 +156,5 @@
 	defer func() { _ = k.Close() }()
 	_ = k.SetReadDeadline(time.Now().Add(10 * time.Second))
 	got, _ := io.Copy(io.Discard, k)
-	c.Check(got < length, qt.IsTrue, qt.Commentf("the host has read %d bytes", got))
+	c.Check(got < length, qt.IsTrue, qt.Commentf("the host read %d bytes", got))
 }
--- a/pkg/httpc/conn.go
+++ b/pkg/httpc/conn.go
@@ -13,98 +13,96 @@
 	"golang.org/x/sys/unix"
 )
 
-// conn is one connection to a host; it carries one request at a time.
+// conn is a connection to a host. It carries one request at a time.
 type conn struct {
 	net.Conn
 	client *Client
 	name   string          // host:port
-	host   *host           // of the request under way
-	raw    syscall.RawConn // nil where the connection is no socket
+	host   *host           // of the current request
+	raw    syscall.RawConn // nil if the connection is not a socket
 
-	reused       bool      // it has carried a request before
-	lastReceived time.Time // when it was opened or last answered
+	reused       bool      // has carried a request before
+	lastReceived time.Time // when it was opened or last had a complete response
 
-	// Of the request under way.
+	// State of the current request.
 	sentAt      time.Time
-	dueAt       time.Time     // from when its answer is overdue
-	deadline    time.Time     // when the request ends, zero for never
-	idleTimeout time.Duration // longest time without a byte, 0 for no such bound
-	received    bool          // a byte of the answer has come
-	readErr     error         // of the last read
+	dueAt       time.Time     // when the response is expected at the latest
+	deadline    time.Time     // end of the request, zero for none
+	idleTimeout time.Duration // longest time without a byte, 0 for none
+	received    bool          // a byte of the response has arrived
+	readErr     error         // of the last Read
 }
 
-// roundTrip sends a request and reads its answer; sent tells whether the host may
-// have got any of it. Afterwards the connection is kept or closed.
-func (k *conn) roundTrip(ctx context.Context, r *Request, resp *Response) (sent bool, err error) {
-	k.setDeadlines(ctx, r)
-	stop := context.AfterFunc(ctx, func() { _ = k.SetDeadline(time.Unix(1, 0)) })
+// roundTrip sends a request and reads its response; sent reports whether the host may have
+// received any of it. The connection is then returned to the pool or closed.
+func (cn *conn) roundTrip(ctx context.Context, r *Request, resp *Response) (sent bool, err error) {
+	cn.setDeadlines(ctx, r)
+	stop := context.AfterFunc(ctx, func() { _ = cn.SetDeadline(time.Unix(1, 0)) })
 	keep := false
 	defer func() {
-		// Once the function for the end of ctx has begun, it may still strike the next request.
+		// If the function for the end of ctx has started, it may still break the next request.
 		keep = stop() && keep
-		k.client.finishRequest(k, keep, err)
+		cn.client.finishRequest(cn, keep, err)
 	}()
-	if sent, err = k.send(r); err != nil {
-		return sent, k.classifyError(ctx, err)
+	if sent, err = cn.send(r); err != nil {
+		return sent, cn.classifyError(ctx, err)
 	}
 	in := readers.Get().(*bufio.Reader)
 	defer readers.Put(in)
-	in.Reset(k)
+	in.Reset(cn)
 	if keep, err = decode(in, resp); err != nil {
-		if k.readErr != nil {
-			err = k.readErr // the decoder does not tell which error it met
+		if cn.readErr != nil {
+			err = cn.readErr // the decoder does not wrap the read error
 		}
-		return true, k.classifyError(ctx, err)
+		return true, cn.classifyError(ctx, err)
 	}
 	return true, nil
 }
 
-// setDeadlines notes the bounds of a request.
-func (k *conn) setDeadlines(ctx context.Context, r *Request) {
-	k.deadline, _ = ctx.Deadline()
-	k.idleTimeout, k.received, k.readErr = r.IdleTimeout, false, nil
-	first := k.deadline
-	if k.idleTimeout > 0 {
-		first = earlier(k.deadline, time.Now().Add(r.LongPoll+k.idleTimeout))
+// setDeadlines sets the time limits of a request.
+func (cn *conn) setDeadlines(ctx context.Context, r *Request) {
+	cn.deadline, _ = ctx.Deadline()
+	cn.idleTimeout, cn.received, cn.readErr = r.IdleTimeout, false, nil
+	first := cn.deadline
+	if cn.idleTimeout > 0 {
+		first = earlier(cn.deadline, time.Now().Add(r.LongPoll+cn.idleTimeout))
 	}
-	_ = k.SetDeadline(first)
-	k.client.startRequest(k, r.LongPoll)
+	_ = cn.SetDeadline(first)
+	cn.client.startRequest(cn, r.LongPoll)
 }
 
-func (k *conn) send(r *Request) (sent bool, err error) {
+func (cn *conn) send(r *Request) (sent bool, err error) {
 	buf := buffers.Get().(*[]byte)
 	defer buffers.Put(buf)
 	*buf = r.encode((*buf)[:0])
-	n, err := k.Write(*buf)
+	n, err := cn.Write(*buf)
 	return n > 0, err
 }
 
-// abort closes the connection and drops what it has not carried yet. After a mere close
-// the system goes on sending: a request that was given up while its zone was cut off
-// would reach its host once the cut is over, seconds later and behind those that a
-// successor sent meanwhile. Of 250 KB that a host did not read before its caller
-// gave up it read all afterwards, none now (TestGivenUpIsNotSent).
-func (k *conn) abort() {
-	if t, ok := k.Conn.(interface{ SetLinger(sec int) error }); ok {
-		_ = t.SetLinger(0) // fails on a connection that is closed already
+// abort closes the connection and discards unsent data. After a plain close the kernel would
+// keep sending: after a network partition, an abandoned request could reach its host later than
+// those of a successor.
+func (cn *conn) abort() {
+	if t, ok := cn.Conn.(interface{ SetLinger(sec int) error }); ok {
+		_ = t.SetLinger(0) // fails if the connection is closed already
 	}
-	_ = k.Close()
+	_ = cn.Close()
 }
 
-// Read implements io.Reader; each byte that comes puts the end of patience off.
-func (k *conn) Read(p []byte) (n int, err error) {
-	n, err = k.Conn.Read(p)
+// Read implements io.Reader. Each read of data restarts the idle timeout.
+func (cn *conn) Read(p []byte) (n int, err error) {
+	n, err = cn.Conn.Read(p)
 	if n > 0 {
-		k.received = true
-		if k.idleTimeout > 0 {
-			_ = k.SetReadDeadline(earlier(k.deadline, time.Now().Add(k.idleTimeout)))
+		cn.received = true
+		if cn.idleTimeout > 0 {
+			_ = cn.SetReadDeadline(earlier(cn.deadline, time.Now().Add(cn.idleTimeout)))
 		}
 	}
-	k.readErr = err
+	cn.readErr = err
 	return n, err
 }
 
-// earlier returns the earlier of a time that may be zero for never and another.
+// earlier returns the earlier of two times; a may be zero for none.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -112,40 +110,39 @@
 	return a
 }
 
-// classifyError tells why a request failed.
-func (k *conn) classifyError(ctx context.Context, err error) error {
+// classifyError converts an I/O error of a request.
+func (cn *conn) classifyError(ctx context.Context, err error) error {
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return errIdleTimeout{since: time.Since(k.sentAt)}
-	case !k.received && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
+		return errIdleTimeout{since: time.Since(cn.sentAt)}
+	case !cn.received && (errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)):
 		return errClosed{cause: err}
 	default:
 		return err
 	}
 }
 
-// errIdleTimeout reports a host of which nothing came for the longest time allowed.
+// errIdleTimeout reports a host that sent nothing within the idle timeout.
 type errIdleTimeout struct{ since time.Duration }
 
 func (e errIdleTimeout) Error() string {
-	return "nothing came for too long, " + e.since.String() + " after sending"
+	return "idle timeout, " + e.since.String() + " after sending"
 }
 
-// isTimeout tells whether a failure says that nothing came, rather than that the caller gave up.
+// isTimeout reports whether the host was silent, as opposed to a cancelled request.
 func isTimeout(err error) bool {
 	return errors.As(err, new(errIdleTimeout)) || errors.Is(err, context.DeadlineExceeded)
 }
 
-// isClosed tells whether the other side has isClosed an idle connection, or has sent
-// something nobody asked for.
-func (k *conn) isClosed() bool {
-	if k.raw == nil {
+// isClosed reports whether the host has closed the idle connection or sent unexpected data.
+func (cn *conn) isClosed() bool {
+	if cn.raw == nil {
 		return false
 	}
 	nothing := false
-	err := k.raw.Read(func(fd uintptr) bool {
+	err := cn.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		nothing = err == unix.EAGAIN
--- a/pkg/httpc/doc.go
+++ b/pkg/httpc/doc.go
@@ -1,9 +1,9 @@
-// Package httpc sends HTTP/1.1 requests over kept connections, each of them once.
+// Package httpc is an HTTP/1.1 client with pooled connections for the many short requests that
+// shard owners send to workers.
 //
-// It exists beside net/http for three reasons. An owner sends thousands of short
-// requests a second: without a pair of goroutines and fresh headers for each
-// connection a request costs a third of the processor time. A request is never
-// repeated behind its caller's back, so that an order is carried out once. And a
-// connection that has fallen silent takes all kept ones of its host that were
-// last heard before out of use, since they tend to fall silent together.
+// It differs from net/http in three ways. It uses no goroutines per connection and reuses
+// header buffers, which lowers the CPU time per request. It does not resend a request that the
+// host may have received, unless it is a GET. And if a connection hangs, idle connections to
+// the same host that have not received data since are no longer used, as they have probably
+// failed too.
 package httpc
--- a/pkg/httpc/host.go
+++ b/pkg/httpc/host.go
@@ -8,43 +8,43 @@
 )
 
 const (
-	// idleConnTimeout is how long a connection without requests is kept.
+	// idleConnTimeout is how long an idle connection is kept.
 	idleConnTimeout = 2 * time.Minute
-	// sweepInterval is the time between two looks for idle connections that are closed or old.
+	// sweepInterval is the time between removals of closed and old idle connections.
 	sweepInterval = 5 * time.Second
-	// overdueAfter is how long after it was due an answer makes the kept connections of
-	// its host suspect that were last heard before its request was sent; hosts
-	// answer in milliseconds. A second try of a transaction, 250 ms after the
-	// first, goes out on a connection that has been heard since, or on a new one.
+	// overdueAfter is the delay after which a missing response makes older idle connections of
+	// the host suspect. It is shorter than the usual time to a retry, which then uses a
+	// connection known to work.
 	overdueAfter = 200 * time.Millisecond
 )
 
-// host is what is kept for one address; the client's lock guards it.
+// host is the connection pool of one address, guarded by Client.mu.
 type host struct {
-	idle   []*conn // the one used last is last
-	active []*conn // with a request under way
-	// suspectUntil is a time up to which nothing heard counts: a request sent then
-	// has had no answer.
+	idle   []*conn // most recently used last
+	active []*conn // with a request in progress
+	// suspectUntil is the send time of a request without a response; connections that have not
+	// received data since are not reused.
 	suspectUntil time.Time
 }
 
-// getConn returns a kept connection to a host, or a new one.
+// getConn returns an idle connection to a host, or a new one.
 func (c *Client) getConn(ctx context.Context, name string) (*conn, error) {
-	if k := c.getIdleConn(name); k != nil {
-		return k, nil
+	if cn := c.getIdleConn(name); cn != nil {
+		return cn, nil
 	}
 	opened, err := c.dial(ctx, "tcp", name)
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{Conn: opened, client: c, name: name, lastReceived: time.Now()}
+	cn := &conn{Conn: opened, client: c, name: name, lastReceived: time.Now()}
 	if s, ok := opened.(syscall.Conn); ok {
-		k.raw, _ = s.SyscallConn() // without it a closed connection is noticed when it is used
+		cn.raw, _ = s.SyscallConn() // without it, a closed connection is noticed only on use
 	}
-	return k, nil
+	return cn, nil
 }
 
-// getIdleConn returns the kept connection of a host that was used last, nil if none is fit for use.
+// getIdleConn returns the most recently used idle connection of a host that is usable, nil if
+// none.
 func (c *Client) getIdleConn(name string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,63 +54,63 @@
 	}
 	h.markSuspect(time.Now())
 	for len(h.idle) > 0 {
-		k := h.idle[len(h.idle)-1]
+		cn := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if k.lastReceived.After(h.suspectUntil) && !k.isClosed() {
-			k.reused = true
-			return k
+		if cn.lastReceived.After(h.suspectUntil) && !cn.isClosed() {
+			cn.reused = true
+			return cn
 		}
-		_ = k.Close()
+		_ = cn.Close()
 	}
 	return nil
 }
 
-// markSuspect puts kept connections in doubt while a request is without the answer that was due.
+// markSuspect makes idle connections suspect if the response to a request is overdue.
 func (h *host) markSuspect(now time.Time) {
-	for _, k := range h.active {
-		if now.Sub(k.dueAt) > overdueAfter && k.sentAt.After(h.suspectUntil) {
-			h.suspectUntil = k.sentAt
+	for _, cn := range h.active {
+		if now.Sub(cn.dueAt) > overdueAfter && cn.sentAt.After(h.suspectUntil) {
+			h.suspectUntil = cn.sentAt
 		}
 	}
 }
 
-// startRequest notes a request that is about to be sent.
-func (c *Client) startRequest(k *conn, wait time.Duration) {
+// startRequest registers a request that is about to be sent.
+func (c *Client) startRequest(cn *conn, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.hosts[k.name]
+	h := c.hosts[cn.name]
 	if h == nil {
 		h = &host{}
-		c.hosts[k.name] = h
+		c.hosts[cn.name] = h
 	}
-	k.host = h
-	k.sentAt = time.Now()
-	k.dueAt = k.sentAt.Add(wait)
-	h.active = append(h.active, k)
+	cn.host = h
+	cn.sentAt = time.Now()
+	cn.dueAt = cn.sentAt.Add(wait)
+	h.active = append(h.active, cn)
 }
 
-// finishRequest notes the end of a request, and keeps its connection or closes it.
-func (c *Client) finishRequest(k *conn, keep bool, err error) {
+// finishRequest unregisters a request and returns its connection to the pool or closes it.
+func (c *Client) finishRequest(cn *conn, keep bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	h := k.host
-	if at := slices.Index(h.active, k); at >= 0 {
+	h := cn.host
+	if at := slices.Index(h.active, cn); at >= 0 {
 		h.active[at] = h.active[len(h.active)-1]
 		h.active = h.active[:len(h.active)-1]
 	}
 	if err == nil {
-		k.lastReceived = now
-	} else if isTimeout(err) && k.sentAt.After(h.suspectUntil) {
-		h.suspectUntil = k.sentAt
+		cn.lastReceived = now
+	} else if isTimeout(err) && cn.sentAt.After(h.suspectUntil) {
+		h.suspectUntil = cn.sentAt
 	}
 	switch {
 	case err != nil:
-		k.abort()
+		cn.abort()
 	case keep && len(h.idle) < c.maxIdle:
-		h.idle = append(h.idle, k)
+		h.idle = append(h.idle, cn)
 	default:
-		_ = k.Close()
+		_ = cn.Close()
 	}
 	if now.Sub(c.lastSweep) > sweepInterval {
 		c.lastSweep = now
@@ -118,14 +118,14 @@
 	}
 }
 
-// sweep closes idle connections that the other side has closed or that are old,
-// so that those of workers that are gone hold no descriptors; the lock is held.
+// sweep closes idle connections that are old, suspect or closed by the host, to free their file
+// descriptors; the caller holds mu.
 func (c *Client) sweep(now time.Time) {
 	for name, h := range c.hosts {
-		h.idle = slices.DeleteFunc(h.idle, func(k *conn) bool {
-			old := now.Sub(k.lastReceived) > idleConnTimeout || !k.lastReceived.After(h.suspectUntil) || k.isClosed()
+		h.idle = slices.DeleteFunc(h.idle, func(cn *conn) bool {
+			old := now.Sub(cn.lastReceived) > idleConnTimeout || !cn.lastReceived.After(h.suspectUntil) || cn.isClosed()
 			if old {
-				_ = k.Close()
+				_ = cn.Close()
 			}
 			return old
 		})
--- a/pkg/httpc/server_test.go
+++ b/pkg/httpc/server_test.go
@@ -15,13 +15,13 @@
 	"github.com/gannetwell/gannetwell/pkg/bench/silence"
 )
 
-// server answers requests by a script.
+// server responds to requests as scripted.
 type server struct {
 	ln *silence.Listener
 
 	mu    sync.Mutex
 	conns map[net.Conn]struct{}
-	lines []string // of the answer; "pause 300ms" waits between two
+	lines []string // of the response; "pause 300ms" waits
 	got   []string
 }
 
@@ -62,10 +62,10 @@
 		_ = c.Close()
 		delete(s.conns, c)
 	}
-	time.Sleep(20 * time.Millisecond) // until the other side has heard of it
+	time.Sleep(20 * time.Millisecond) // until the client has seen the close
 }
 
-// received prints what has come since it was last asked for.
+// received prints the requests received since the last call.
 func (s *server) received() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -15,38 +15,37 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// The wait before another try grows from the first to the longest.
+// Bounds of the exponential backoff between attempts.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = time.Second
 )
 
-// ErrOutcomeUnknown reports an edit whose outcome is not known yet; the edit's ID settles it later.
+// ErrOutcomeUnknown reports an edit that may or may not have been committed; committing it
+// again with the same ID resolves this.
 type ErrOutcomeUnknown struct {
 	EditID string
 	Cause  error
 }
 
-// Error names the edit.
+// Error names the edit and the cause.
 func (e ErrOutcomeUnknown) Error() string {
 	return fmt.Sprintf("it is not known whether edit %s was accepted: %v", e.EditID, e.Cause)
 }
 
-// Commit makes an edit and returns its entry, which is in force here on return.
-//
-// It tries again, until ctx ends, while the edit certainly was not made or its
-// answer was lost; the edit's ID keeps it from being made twice. Errors are
-// those of table.Snapshot.Prepare, platform.ErrRefused, platform.ErrNotDone
-// (nothing was written) and [ErrOutcomeUnknown].
+// Commit commits an edit and returns its log entry, which has been applied to the replica. It
+// retries until ctx ends; the edit's ID prevents a second commit. Errors are those of
+// table.Snapshot.Prepare, platform.ErrRefused, platform.ErrNotDone (nothing was written) and
+// [ErrOutcomeUnknown].
 func (r *Replica) Commit(ctx context.Context, edit *table.Edit) (entry *schema.Entry, err error) {
 	defer func() { err = errors.Wrapf(err, "commit edit %s", edit.ID) }()
 	select {
 	case r.commit <- struct{}{}:
 		defer func() { <-r.commit }()
 	case <-ctx.Done():
-		return nil, platform.ErrNotDone{Op: "commit", Cause: "other edits were under way: " + ctx.Err().Error()}
+		return nil, platform.ErrNotDone{Op: "commit", Cause: "waiting for other edits: " + ctx.Err().Error()}
 	}
-	var lost error // the last answer that was lost
+	var lost error // last error with an unknown outcome
 	for wait := minBackoff; ; wait = min(2*wait, maxBackoff) {
 		entry, err = r.tryCommit(ctx, edit, lost != nil)
 		if platform.IsUnknown(err) {
@@ -65,17 +64,18 @@
 	return nil, err
 }
 
-// isRetryable tells whether a try may be followed by another.
+// isRetryable reports whether the commit may be retried after err.
 func isRetryable(err error) bool {
 	return platform.IsNotDone(err) || platform.IsUnknown(err) || platform.IsConflict(err)
 }
 
-// sleepJittered waits for about d, spread so that processes do not meet again.
+// sleepJittered waits for d plus or minus half of it, or until ctx ends.
 func sleepJittered(ctx context.Context, d time.Duration) error {
 	return pause.For(ctx, d/2+rand.N(d))
 }
 
-// tryCommit makes one attempt; settle demands to look first whether an earlier one took effect.
+// tryCommit makes one attempt. If checkEarlier is set, it first looks whether an earlier
+// attempt succeeded.
 func (r *Replica) tryCommit(ctx context.Context, edit *table.Edit, checkEarlier bool) (entry *schema.Entry, err error) {
 	revision, headVersion, err := r.readHead(ctx)
 	if err != nil {
@@ -94,7 +94,7 @@
 		return r.findEditOr(ctx, edit.ID, err)
 	}
 	if entry.Revision != revision+1 {
-		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table moved on while the edit was checked"}
+		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table changed while the edit was checked"}
 	}
 	if err := r.store.Commit(ctx, entryTxn(entry, headVersion)); err != nil {
 		return nil, err
@@ -102,8 +102,8 @@
 	return entry, r.Offer([]schema.Entry{*entry})
 }
 
-// findEditOr returns the entry when the edit was made before, else err: a
-// repeated edit finds its own rows changed, by itself.
+// findEditOr returns the log entry of the edit if it was committed before, otherwise err. A
+// repeated edit conflicts with its own changes.
 func (r *Replica) findEditOr(ctx context.Context, id string, err error) (*schema.Entry, error) {
 	entry, settleErr := r.findEdit(ctx, id)
 	if settleErr != nil {
@@ -115,7 +115,7 @@
 	return nil, err
 }
 
-// findEdit returns the entry that an edit became, nil when it has not become one.
+// findEdit returns the log entry of a committed edit, nil if there is none.
 func (r *Replica) findEdit(ctx context.Context, id string) (entry *schema.Entry, err error) {
 	item, err := r.store.Get(ctx, editKey(id))
 	if err != nil || item.Version == 0 {
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	if len(entries) == 0 || entries[0].EditID != id {
-		return nil, errors.Errorf("the log lacks revision %d", h.Revision)
+		return nil, errors.Errorf("revision %d is missing from the log", h.Revision)
 	}
 	return &entries[0], nil
 }
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -8,10 +8,10 @@
 	"github.com/rs/zerolog"
 )
 
-// nonReaderSkips is how much more seldom a replica reads the head when another of its zone reads for it.
+// nonReaderSkips is how many intervals a replica skips while others of its zone read the head.
 const nonReaderSkips = 8
 
-// Follower keeps a replica up with the store.
+// Follower keeps a replica up to date with the store.
 type Follower struct {
 	replica  *Replica
 	interval time.Duration
@@ -22,19 +22,20 @@
 	err error
 }
 
-// NewFollower returns a follower that reads the head at an interval while reader tells it to, else seldom.
+// NewFollower returns a follower that reads the head once per interval, or less often while
+// reader returns false.
 func NewFollower(r *Replica, interval time.Duration, reader func() bool, log zerolog.Logger) *Follower {
 	return &Follower{replica: r, interval: interval, isReader: reader, log: log}
 }
 
-// Err returns the error of the last read, nil when it succeeded.
+// Err returns the error of the last read, nil if it succeeded.
 func (f *Follower) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-// CatchUp reads once and keeps the result.
+// CatchUp reads once and records the error for Err. It returns the revision of the head.
 func (f *Follower) CatchUp(ctx context.Context) (revision int, err error) {
 	revision, err = f.replica.CatchUp(ctx)
 	f.mu.Lock()
@@ -47,7 +48,8 @@
 	return revision, err
 }
 
-// Run reads until ctx ends; intervals are spread so that nodes do not read together.
+// Run reads until ctx ends. The intervals are jittered so that entries do not read at the same
+// time.
 func (f *Follower) Run(ctx context.Context) error {
 	skipped := 0
 	for {
@@ -59,6 +61,6 @@
 			continue
 		}
 		skipped = 0
-		_, _ = f.CatchUp(ctx) // kept for Err
+		_, _ = f.CatchUp(ctx) // the error is available from Err
 	}
 }
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -11,28 +11,28 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// maxLogEntries is how many entries a replica keeps to pass on; a peer further behind gets a snapshot.
+// maxLogEntries is how many log entries a replica keeps for its peers; a peer further behind
+// gets a snapshot.
 const maxLogEntries = 1024
 
-// Replica is one entry's copy of the table.
+// Replica is an entry's copy of the table.
 type Replica struct {
 	store  platform.Table
 	notify func(*table.Snapshot, []schema.Entry)
 
-	commit chan struct{} // holds one token while a commit is under way
+	commit chan struct{} // semaphore: one commit at a time
 
-	mu      sync.Mutex // guards the move to a next revision
+	mu      sync.Mutex // serializes changes of the revision
 	snap    atomic.Pointer[table.Snapshot]
-	log     []schema.Entry // the last entries, in order
-	changed chan struct{}  // closed at each change
+	log     []schema.Entry // latest log entries, oldest first
+	changed chan struct{}  // closed at the next change
 }
 
-// Option changes how a Replica is made.
+// Option configures a Replica.
 type Option func(*Replica)
 
-// WithNotify calls f, in order and before any other reader sees it, with each new snapshot.
-//
-// The entries that led to it are empty when a whole snapshot was adopted.
+// WithNotify calls f with each new snapshot before it becomes visible, in order. The log
+// entries that led to it are empty after Adopt.
 func WithNotify(f func(*table.Snapshot, []schema.Entry)) Option {
 	return func(r *Replica) { r.notify = f }
 }
@@ -52,22 +52,21 @@
 	return r
 }
 
-// Snapshot returns the table at the revision in force.
+// Snapshot returns the table at the current revision.
 func (r *Replica) Snapshot() *table.Snapshot { return r.snap.Load() }
 
-// Revision returns the revision in force.
+// Revision returns the current revision.
 func (r *Replica) Revision() int { return r.Snapshot().Revision }
 
-// Changed returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change of the revision.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Offer applies those of the entries that come next; older ones are passed over.
-//
-// It returns table.ErrGap when entries before the first are missing.
+// Offer applies the log entries that follow the current revision and ignores older ones. It
+// returns table.ErrGap if entries in between are missing.
 func (r *Replica) Offer(entries []schema.Entry) (err error) {
 	defer func() { err = errors.Wrap(err, "offer entries") }()
 	r.mu.Lock()
@@ -97,7 +96,7 @@
 	return err
 }
 
-// Adopt takes a whole snapshot when it is newer; it tells whether it did.
+// Adopt replaces the table by a snapshot if that is newer and reports whether it did.
 func (r *Replica) Adopt(snap *table.Snapshot) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,7 +108,7 @@
 	return true
 }
 
-// publish puts a snapshot in force; the caller holds mu.
+// publish makes a snapshot current; the caller holds mu.
 func (r *Replica) publish(snap *table.Snapshot, fresh []schema.Entry) {
 	r.notify(snap, fresh)
 	r.snap.Store(snap)
@@ -117,7 +116,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Since returns up to limit entries after a revision; ok is false when some of them are no longer kept.
+// Since returns up to limit log entries after revision; ok is false if some of them are no
+// longer kept.
 func (r *Replica) Since(revision, limit int) (entries []schema.Entry, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,7 +125,7 @@
 	if revision >= have {
 		return nil, true
 	}
-	first := have - len(r.log) + 1 // revision of the oldest kept entry
+	first := have - len(r.log) + 1 // revision of the oldest entry kept
 	if revision+1 < first {
 		return nil, false
 	}
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -22,7 +22,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// outcome is what the maker of an edit was told.
+// outcome is the result of a commit as reported to its caller.
 type outcome string
 
 const (
@@ -31,7 +31,7 @@
 	outcomeUnknown outcome = "unsettled"
 )
 
-// harness is several replicas over one store that fails.
+// harness runs several replicas over one store with injected faults.
 type harness struct {
 	t        *rapid.T
 	store    *fake.Platform
@@ -39,11 +39,11 @@
 	replicas []*replica.Replica
 	highest  []int
 	mu       sync.Mutex
-	reported map[string]outcome // by edit
+	reported map[string]outcome // by edit ID
 	next     int
 }
 
-// mutation breaks the store in a way that the replicas cannot see.
+// mutation breaks a guarantee of the store, to check that the property detects it.
 type mutation func(platform.Table) platform.Table
 
 func unmodified(t platform.Table) platform.Table { return t }
@@ -59,7 +59,7 @@
 
 func (w *harness) newReplica() *replica.Replica { return replica.New(w.mutation(w.store.View("z"))) }
 
-// unconditional drops the conditions of every transaction.
+// unconditional removes the conditions of every transaction.
 type unconditional struct{ platform.Table }
 
 func (f unconditional) Commit(ctx context.Context, txn platform.Txn) error {
@@ -67,7 +67,7 @@
 	return f.Table.Commit(ctx, txn)
 }
 
-// misreporting reports a lost answer as a call that did not happen.
+// misreporting reports an unknown outcome as not done.
 type misreporting struct{ platform.Table }
 
 func (o misreporting) Commit(ctx context.Context, txn platform.Txn) error {
@@ -78,7 +78,7 @@
 	return err
 }
 
-// TestMutations breaks a promise of the store on purpose: the property must see it.
+// TestMutations breaks one guarantee of the store at a time and expects the property to fail.
 func TestMutations(t *testing.T) {
 	for name, p := range map[string]mutation{
 		"no conditions":                 func(t platform.Table) platform.Table { return unconditional{t} },
@@ -90,7 +90,7 @@
 	}
 }
 
-// edit has a replica commit an edit of one of few rows, so that edits meet.
+// edit commits an edit of one of a few rows through a replica.
 func (w *harness) edit(i int, name, note string) {
 	w.mu.Lock()
 	w.next++
@@ -116,7 +116,7 @@
 	}
 }
 
-// log reads the store's log past all faults.
+// log reads the log from the store without faults.
 func (w *harness) log() (entries []schema.Entry) {
 	w.store.SetRules()
 	time.Sleep(time.Second) // lets the rate limit recover
@@ -134,7 +134,7 @@
 	return entries
 }
 
-// check compares everything with the log, which is the simple truth.
+// check compares the reported outcomes and all replicas with the log.
 func (w *harness) check() {
 	entries := w.log()
 	at := map[int]*table.Snapshot{0: table.Empty()}
@@ -172,13 +172,13 @@
 	}
 }
 
-// TestMachine drives replicas through edits that race, faults of the store,
-// entries handed on late, twice and with gaps, and restarts.
+// TestMachine checks the replicas under concurrent edits, store faults, restarts, and log
+// entries that arrive late, repeatedly or with gaps.
 func TestMachine(t *testing.T) {
 	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
-// machine is the property.
+// machine is the property that TestMachine checks.
 func machine(t *rapid.T, p mutation) {
 	w := newHarness(t, p)
 	index := rapid.IntRange(0, len(w.replicas)-1)
@@ -205,7 +205,7 @@
 		"hand on": func(t *rapid.T) {
 			from, to := w.replicas[index.Draw(t, "from")], w.replicas[index.Draw(t, "to")]
 			entries, _ := from.Since(rapid.IntRange(0, 5).Draw(t, "since"), rapid.IntRange(1, 5).Draw(t, "limit"))
-			_ = to.Offer(entries) // a gap is refused, which the check sees as no change
+			_ = to.Offer(entries) // a gap is rejected and leaves the replica unchanged
 		},
 		"adopt": func(t *rapid.T) {
 			w.replicas[index.Draw(t, "to")].Adopt(w.replicas[index.Draw(t, "from")].Snapshot())
@@ -219,8 +219,8 @@
 	w.check()
 }
 
-// TestEveryFaultAtEveryStep makes one edit with each fault at each call of the
-// store that it makes, alone and twice.
+// TestEveryFaultAtEveryStep injects each fault once and twice at each store call of a commit,
+// which must succeed exactly once.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	count := 0
 	for _, fault := range fake.Faults() {
@@ -242,7 +242,7 @@
 						c.Assert(err, qt.IsNil)
 						c.Check(entry.Revision, qt.Equals, 1)
 						again, err := r.Commit(ctx, edit)
-						c.Assert(err, qt.IsNil, qt.Commentf("the same edit again is settled, not made again"))
+						c.Assert(err, qt.IsNil, qt.Commentf("a repeated edit is not committed again"))
 						c.Check(again.Revision, qt.Equals, 1)
 						c.Check(r.Revision(), qt.Equals, 1)
 					})
@@ -253,7 +253,7 @@
 	t.Logf("%d combinations", count)
 }
 
-// TestConflict shows both values to the second of two editors.
+// TestConflict checks that a conflicting edit is told both values.
 func TestConflict(t *testing.T) {
 	c := qt.New(t)
 	store := fake.New()
--- a/pkg/replica/store.go
+++ b/pkg/replica/store.go
@@ -13,26 +13,26 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// The items in the table service.
+// Items of the table service.
 const (
 	keyHead    = "head"
 	prefixLog  = "log/"
 	prefixEdit = "edit/"
 	prefixRow  = "row/"
 
-	// scanLimit is how many items one read of the log or of rows asks for.
+	// scanLimit is the page size of scans.
 	scanLimit = 500
 )
 
-// prefixEnd is after every key with a prefix: no key has a byte that high.
+// prefixEnd sorts after every key with the same prefix.
 const prefixEnd = "\xff"
 
-// head is the item that names the highest revision.
+// head is the item that holds the highest revision.
 type head struct {
 	Revision int `json:"revision"`
 }
 
-// rowItem is a row as the table service holds it.
+// rowItem is a row as stored in the table service.
 type rowItem struct {
 	Version int             `json:"version"`
 	Value   json.RawMessage `json:"value"`
@@ -44,12 +44,13 @@
 func mustJSON(v any) []byte      { return must(json.Marshal(v)) }
 func must(raw []byte, e error) []byte {
 	if e != nil {
-		panic(e) // only types of this package and generated ones come here, and they encode
+		panic(e) // only types that always encode are passed
 	}
 	return raw
 }
 
-// ParseRowKey returns the key of the row that an item of the table service holds.
+// ParseRowKey returns the row key of a table service item; ok is false if the item is not a
+// row.
 func ParseRowKey(item string) (k table.Key, ok bool) {
 	rest, ok := strings.CutPrefix(item, prefixRow)
 	if !ok {
@@ -59,11 +60,11 @@
 	return table.Key{Kind: schema.Kind(kind), Name: name}, ok
 }
 
-// ParseRow returns the row that an item of the table service holds.
+// ParseRow decodes a row from a table service item.
 func ParseRow(item string, value []byte) (row table.StoredRow, err error) {
 	key, ok := ParseRowKey(item)
 	if !ok {
-		return row, errors.Errorf("item %q is no row", item)
+		return row, errors.Errorf("item %q is not a row", item)
 	}
 	var it rowItem
 	if err := json.Unmarshal(value, &it); err != nil {
@@ -72,7 +73,7 @@
 	return table.StoredRow{Key: key, Version: it.Version, Value: it.Value}, nil
 }
 
-// readHead returns the highest revision and the version of its item.
+// readHead returns the highest revision and the version of the head item.
 func (r *Replica) readHead(ctx context.Context) (revision int, version int64, err error) {
 	item, err := r.store.Get(ctx, keyHead)
 	if err != nil {
@@ -88,9 +89,8 @@
 	return h.Revision, item.Version, nil
 }
 
-// CatchUp reads the head and every entry that the replica lacks.
-//
-// A replica at revision 0 loads the rows first. It returns the revision that the head named.
+// CatchUp reads the head and all missing log entries. A replica at revision 0 loads the rows
+// first. It returns the revision of the head.
 func (r *Replica) CatchUp(ctx context.Context) (revision int, err error) {
 	defer func() { err = errors.Wrap(err, "catch up with the store") }()
 	revision, _, err = r.readHead(ctx)
@@ -100,7 +100,7 @@
 	return revision, r.catchUpTo(ctx, revision)
 }
 
-// catchUpTo reads what is missing up to a revision.
+// catchUpTo reads all missing log entries up to a revision.
 func (r *Replica) catchUpTo(ctx context.Context, revision int) error {
 	if r.Revision() == 0 && revision > 0 {
 		if err := r.loadRows(ctx, revision); err != nil {
@@ -113,7 +113,7 @@
 			return err
 		}
 		if len(entries) == 0 {
-			return errors.Errorf("the head names revision %d, but the log ends at %d", revision, r.Revision())
+			return errors.Errorf("head is at revision %d, but the log ends at %d", revision, r.Revision())
 		}
 		if err := r.Offer(entries); err != nil {
 			return err
@@ -122,7 +122,7 @@
 	return nil
 }
 
-// History reads entries of the log from a revision on.
+// History reads up to limit log entries from the store, beginning at revision from.
 func (r *Replica) History(ctx context.Context, from, limit int) (entries []schema.Entry, err error) {
 	items, err := r.store.Scan(ctx, logKey(from), prefixLog+prefixEnd, limit)
 	if err != nil {
@@ -138,11 +138,9 @@
 	return entries, nil
 }
 
-// loadRows reads all rows and then the log entries that came in while reading.
-//
-// Rows are read page by page, not at one moment: a row may be newer than the
-// revision that the reading began at. Applying the entries after that revision
-// brings every row to one revision, since an entry holds whole rows.
+// loadRows reads all rows, then the log entries added meanwhile. The pages are not read at one
+// revision, so a row may be newer than began; applying the entries after began, which hold
+// whole rows, brings all rows to the same revision.
 func (r *Replica) loadRows(ctx context.Context, began int) error {
 	var rows []table.StoredRow
 	from := prefixRow
@@ -183,7 +181,7 @@
 	return nil
 }
 
-// entryTxn is the transaction that writes an entry.
+// entryTxn returns the transaction that commits a log entry.
 func entryTxn(e *schema.Entry, headVersion int64) (txn platform.Txn) {
 	txn.Conditions = []platform.Condition{
 		{Key: keyHead, Version: headVersion},
--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -6,10 +6,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Check returns every fault of the table as a whole, in order of rows.
-//
-// Single rows have been checked against the schema before; what is checked
-// here needs more than one row.
+// Check returns all violations of constraints that involve several rows, sorted by row. Single
+// rows have been validated against the schema before.
 func (s *Snapshot) Check() (problems []Problem) {
 	c := &checker{s: s}
 	c.racks()
@@ -56,7 +54,7 @@
 	}
 }
 
-// vms checks references and that no machine stands under two names, by which it could be in two pools.
+// vms checks references and that no two VMs have the same address.
 func (c *checker) vms() {
 	owner := map[string]string{}
 	for _, name := range c.s.VMs.Names() {
@@ -73,7 +71,7 @@
 	}
 }
 
-// routes checks references and that no two routes take the same requests.
+// routes checks references and that no two routes match the same method and path prefix.
 func (c *checker) routes() {
 	type match struct{ method, prefix string }
 	owner := map[match]string{}
@@ -82,7 +80,7 @@
 		checkRef(c, schema.KindRoute, name, "service", c.s.Services, r.Service)
 		m := match{r.Method, r.PathPrefix}
 		if other, ok := owner[m]; ok {
-			c.add(schema.KindRoute, name, "path_prefix", "route %q takes the same method and path", other)
+			c.add(schema.KindRoute, name, "path_prefix", "route %q has the same method and path prefix", other)
 		}
 		owner[m] = name
 	}
--- a/pkg/table/doc.go
+++ b/pkg/table/doc.go
@@ -1,11 +1,11 @@
-// Package table is the operators' table: typed rows, edits, checks and
-// immutable snapshots. It does no I/O and never reads a clock.
+// Package table defines the table of operator settings: typed rows, edits, checks and immutable
+// snapshots. It does no I/O and does not read the clock. Package replica commits its edits and
+// distributes its snapshots.
 //
-// A [Snapshot] is the table at one revision. An accepted edit becomes a
-// schema.Entry of the log; applying the entries in order to a snapshot gives
-// every later snapshot, so all entries of a deployment that hold the same
-// revision hold the same rows. An edit names, for each row, the version that
-// its maker saw; [Snapshot.Prepare] refuses it with [ErrConflict] when the row
-// has changed since, and with [ErrRejected] when the table as a whole would no
-// longer be sound. Nothing is ever partly applied.
+// A [Snapshot] is the table at one revision. An accepted edit becomes a schema.Entry of the
+// log. Applying the log entries in order yields all later snapshots, so all replicas at the
+// same revision hold the same rows. An edit names the version of each row on which it is based.
+// [Snapshot.Prepare] rejects it with [ErrConflict] if a row has changed since, and with
+// [ErrRejected] if the resulting table would be invalid. Edits are applied completely or not at
+// all.
 package table
--- a/pkg/table/document.go
+++ b/pkg/table/document.go
@@ -7,7 +7,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// ParseDocument checks a table file and returns its rows, in the order of [Kinds] and of names.
+// ParseDocument validates a table file and returns its rows, sorted by [Kinds] and name.
+// Invalid files yield a config.ErrInvalid.
 func ParseDocument(file string, src []byte) (rows []StoredRow, err error) {
 	var doc schema.Document
 	if err := config.Decode(file, src, config.TargetDocument, &doc); err != nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-// FormatDocument writes rows as a table file.
+// FormatDocument formats rows as a table file.
 func FormatDocument(rows []StoredRow) (src []byte, err error) {
 	doc := map[string]map[string]json.RawMessage{}
 	for _, r := range rows {
--- a/pkg/table/edit.go
+++ b/pkg/table/edit.go
@@ -7,28 +7,26 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Change asks for one row to have a value.
+// Change sets one row to a value or removes it.
 type Change struct {
 	Key
-	Seen  int             `json:"seen"`  // version that the maker saw, 0 for no row
+	Seen  int             `json:"seen"`  // version the change is based on, 0 for no row
 	Value json.RawMessage `json:"value"` // absent or null removes the row
 }
 
-// Edit is a set of changes that are made together or not at all.
+// Edit is a set of changes that are applied together or not at all.
 type Edit struct {
-	ID       string   `json:"id"`       // the same over all tries
-	Actor    string   `json:"actor"`    // operator or part of the system
-	Operator bool     `json:"operator"` // made by an operator, who may not write control's columns
-	Reason   string   `json:"reason"`   // why
+	ID       string   `json:"id"`       // the same for all attempts
+	Actor    string   `json:"actor"`    // operator or component that makes the edit
+	Operator bool     `json:"operator"` // made by an operator, who may not write columns owned by control
+	Reason   string   `json:"reason"`   // for the log
 	Evidence string   `json:"evidence"`
 	Changes  []Change `json:"changes"`
 }
 
-// Prepare turns an edit into the entry that follows the snapshot, and the snapshot after it.
-//
-// It returns [ErrConflict] when a row is no longer as seen, [ErrRejected] when
-// a value or the whole table would be unsound, and [ErrNoChange] when every
-// row already has its value.
+// Prepare checks an edit and returns the log entry and snapshot that result from it. It returns
+// [ErrConflict] if a row is not at the version seen, [ErrRejected] if a value or the resulting
+// table is invalid, and [ErrNoChange] if every row already has its value.
 func (s *Snapshot) Prepare(e *Edit, nowMs int) (entry *schema.Entry, next *Snapshot, err error) {
 	if problems := checkEdit(e); len(problems) > 0 {
 		return nil, nil, ErrRejected{Problems: problems}
@@ -65,7 +63,7 @@
 	return entry, next, nil
 }
 
-// checkEdit reports faults of the edit itself.
+// checkEdit returns the problems of the edit itself.
 func checkEdit(e *Edit) (problems []Problem) {
 	seen := map[Key]bool{}
 	for _, c := range e.Changes {
@@ -82,7 +80,8 @@
 	return problems
 }
 
-// completeRow checks a value against its schema and fills in defaults; an absent value stays absent.
+// completeRow validates a value against its schema and fills in defaults; an absent value stays
+// absent.
 func completeRow(c Change) (full json.RawMessage, err error) {
 	if Absent(c.Value) {
 		return nil, nil
@@ -102,7 +101,8 @@
 	return canonical(op, full)
 }
 
-// canonical re-encodes a row in the order of its type's fields, so that equal rows are equal bytes.
+// canonical re-encodes a row in the field order of its type, so that equal rows have equal
+// bytes.
 func canonical(op kindOps, full json.RawMessage) (out json.RawMessage, err error) {
 	scratch := Empty()
 	op.clone(scratch)
@@ -116,7 +116,7 @@
 	return Absent(a) && Absent(b) || string(a) == string(b)
 }
 
-// conflicts lists the rows of the edit that changed since its maker saw them.
+// conflicts returns the rows of the edit that are not at the version seen.
 func (s *Snapshot) conflicts(e *Edit) (out []Conflict) {
 	for _, c := range e.Changes {
 		if s.Version(c.Key) == c.Seen {
--- a/pkg/table/errors.go
+++ b/pkg/table/errors.go
@@ -8,14 +8,14 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// ErrGap reports an entry that is not the next one.
+// ErrGap reports a log entry that does not follow the current revision.
 type ErrGap struct {
 	Have, Got int
 }
 
 // Error names both revisions.
 func (e ErrGap) Error() string {
-	return fmt.Sprintf("have revision %d, got %d, which is not the next", e.Have, e.Got)
+	return fmt.Sprintf("at revision %d, got entry %d, which is not the next one", e.Have, e.Got)
 }
 
 // ErrUnknownKind reports a row of a kind that this version does not know.
@@ -26,13 +26,13 @@
 // Error names the kind.
 func (e ErrUnknownKind) Error() string { return fmt.Sprintf("unknown kind of row %q", e.Kind) }
 
-// ErrNoChange reports an edit that would leave every row as it is.
+// ErrNoChange reports an edit that would change nothing.
 type ErrNoChange struct{}
 
-// Error says so.
+// Error states that nothing would change.
 func (ErrNoChange) Error() string { return "every row already has its value" }
 
-// Conflict is one row that changed after it was seen.
+// Conflict describes a row that changed after it was read.
 type Conflict struct {
 	Key     Key             `json:"key"`
 	Seen    int             `json:"seen"`
@@ -41,7 +41,7 @@
 	Yours   json.RawMessage `json:"yours"`
 }
 
-// ErrConflict reports rows that changed after they were seen; nothing was written.
+// ErrConflict reports rows that changed after they were read; nothing was written.
 type ErrConflict struct {
 	Conflicts []Conflict
 }
@@ -63,14 +63,14 @@
 	return string(v)
 }
 
-// Problem is one fault of a row or of the table as a whole.
+// Problem is a violation of a constraint by a row or by the table as a whole.
 type Problem struct {
 	Key     Key    `json:"key"`
 	Column  string `json:"column"`
 	Message string `json:"message"`
 }
 
-// String gives row, column and fault.
+// String returns the row, column and message.
 func (p Problem) String() string {
 	if p.Column == "" {
 		return fmt.Sprintf("%s: %s", p.Key, p.Message)
@@ -78,12 +78,12 @@
 	return fmt.Sprintf("%s: %s: %s", p.Key, p.Column, p.Message)
 }
 
-// ErrRejected reports an edit that would make the table unsound; nothing was written.
+// ErrRejected reports an edit that would make the table invalid; nothing was written.
 type ErrRejected struct {
 	Problems []Problem
 }
 
-// Error gives one line per problem.
+// Error returns one line per problem.
 func (e ErrRejected) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
--- a/pkg/table/kinds.go
+++ b/pkg/table/kinds.go
@@ -7,10 +7,10 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// kindOps reaches the rows of one kind in a snapshot without knowing their type.
+// kindOps gives untyped access to the rows of one kind in a snapshot.
 type kindOps struct {
-	definition string // the schema's name for the row
-	plural     string // the field of a document that holds the rows
+	definition string // name of the row's schema definition
+	plural     string // field of a document that holds the rows
 	version    func(s *Snapshot, name string) int
 	value      func(s *Snapshot, name string) json.RawMessage
 	names      func(s *Snapshot) []string
@@ -19,7 +19,7 @@
 	put        func(s *Snapshot, name string, v json.RawMessage) error
 }
 
-// newKindOps builds the operations of a kind from the field that holds its rows.
+// newKindOps returns the operations of a kind; field returns its rows in a snapshot.
 func newKindOps[T any](definition, plural string, field func(*Snapshot) *Rows[T]) kindOps {
 	return kindOps{
 		definition: definition,
@@ -32,7 +32,7 @@
 			}
 			raw, err := json.Marshal(row.Value)
 			if err != nil {
-				panic(err) // a generated row type always encodes
+				panic(err) // generated row types always encode
 			}
 			return raw
 		},
@@ -56,7 +56,7 @@
 	}
 }
 
-// kindOrder is the order of kinds in listings: each kind refers only to earlier ones.
+// kindOrder is the order of kinds in listings. Each kind refers only to earlier ones.
 var kindOrder = []schema.Kind{
 	schema.KindZone, schema.KindRack, schema.KindService, schema.KindPool, schema.KindVM,
 	schema.KindRoute, schema.KindTeam, schema.KindJob, schema.KindWeights, schema.KindWave,
@@ -75,10 +75,10 @@
 	schema.KindWave:    newKindOps("Wave", "waves", func(s *Snapshot) *Rows[schema.Wave] { return &s.Waves }),
 }
 
-// Kinds returns every kind of row, each after the kinds that it refers to.
+// Kinds returns all kinds, each after the kinds it refers to.
 func Kinds() []schema.Kind { return append([]schema.Kind(nil), kindOrder...) }
 
-// KnownKind tells whether there are rows of the kind.
+// KnownKind reports whether k is a kind of row.
 func KnownKind(k schema.Kind) bool {
 	_, ok := kinds[k]
 	return ok
--- a/pkg/table/snapshot.go
+++ b/pkg/table/snapshot.go
@@ -16,7 +16,7 @@
 	Name string      `json:"name"`
 }
 
-// String gives the key as kind/name.
+// String returns the key as kind/name.
 func (k Key) String() string { return string(k.Kind) + "/" + k.Name }
 
 // Row is a typed row with the revision that last changed it.
@@ -28,10 +28,10 @@
 // Rows are the rows of one kind by name.
 type Rows[T any] map[string]Row[T]
 
-// Names returns the names in order.
+// Names returns the row names in sorted order.
 func (r Rows[T]) Names() []string { return slices.Sorted(maps.Keys(r)) }
 
-// Snapshot is the table at one revision; it is never changed once made.
+// Snapshot is the immutable table at one revision.
 type Snapshot struct {
 	Revision int
 	Zones    Rows[schema.Zone]
@@ -46,18 +46,18 @@
 	Waves    Rows[schema.Wave]
 }
 
-// FleetWeights is the name of the weights row in use.
+// FleetWeights is the name of the only weights row that is used.
 const FleetWeights = "fleet"
 
-// Empty returns the table before the first edit.
+// Empty returns the table at revision 0.
 func Empty() *Snapshot { return &Snapshot{} }
 
-// ZoneOf returns the zone of a VM, or "" when its rack is unknown.
+// ZoneOf returns the zone of a VM, empty if its rack is unknown.
 func (s *Snapshot) ZoneOf(vm string) string {
 	return s.Racks[s.VMs[vm].Value.Rack].Value.Zone
 }
 
-// Version returns the version of a row, 0 when there is none.
+// Version returns the version of a row, 0 if it does not exist.
 func (s *Snapshot) Version(k Key) int {
 	op, ok := kinds[k.Kind]
 	if !ok {
@@ -66,7 +66,7 @@
 	return op.version(s, k.Name)
 }
 
-// Value returns a row as JSON, nil when there is none.
+// Value returns a row as JSON, nil if it does not exist.
 func (s *Snapshot) Value(k Key) json.RawMessage {
 	op, ok := kinds[k.Kind]
 	if !ok {
@@ -75,7 +75,7 @@
 	return op.value(s, k.Name)
 }
 
-// Keys returns the keys of all rows of a kind, in order; an empty kind means every row.
+// Keys returns the keys of all rows of a kind in sorted order; an empty kind means all rows.
 func (s *Snapshot) Keys(kind schema.Kind) (keys []Key) {
 	for _, k := range kindOrder {
 		if kind != "" && kind != k {
@@ -88,7 +88,7 @@
 	return keys
 }
 
-// Apply returns the snapshot after an entry, which must be the next one.
+// Apply returns the snapshot after a log entry, or [ErrGap] if the entry is not the next one.
 func (s *Snapshot) Apply(e *schema.Entry) (next *Snapshot, err error) {
 	defer func() {
 		err = errors.Wrapf(err, "apply revision %d", e.Revision)
@@ -106,7 +106,7 @@
 	return w.next, nil
 }
 
-// Load returns a snapshot from stored rows; versions are kept.
+// Load returns a snapshot of stored rows, which keep their versions.
 func Load(revision int, rows []StoredRow) (s *Snapshot, err error) {
 	w := newWriter(Empty(), 0)
 	for _, r := range rows {
@@ -119,14 +119,14 @@
 	return w.next, nil
 }
 
-// StoredRow is a row as the table service keeps it.
+// StoredRow is a row as kept in the table service.
 type StoredRow struct {
 	Key     Key             `json:"key"`
 	Version int             `json:"version"`
 	Value   json.RawMessage `json:"value"`
 }
 
-// Stored returns every row as the table service keeps it.
+// Stored returns all rows as kept in the table service.
 func (s *Snapshot) Stored() []StoredRow {
 	keys := s.Keys("")
 	rows := make([]StoredRow, 0, len(keys))
@@ -136,7 +136,7 @@
 	return rows
 }
 
-// writer makes the next snapshot, copying each kind of rows at its first change.
+// writer builds a snapshot, copying the rows of a kind before the first change to them.
 type writer struct {
 	next   *Snapshot
 	copied map[schema.Kind]bool
@@ -164,10 +164,10 @@
 	return errors.Wrapf(op.put(w.next, k.Name, value), "row %s", k)
 }
 
-// Absent tells that a value stands for no row.
+// Absent reports whether a value stands for a missing row.
 func Absent(v json.RawMessage) bool { return len(v) == 0 || string(v) == "null" }
 
-// MustValue encodes a row of a generated type, which always encodes.
+// MustValue encodes a row of a generated type.
 func MustValue[T any](v T) json.RawMessage {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -176,7 +176,7 @@
 	return raw
 }
 
-// MustParse decodes what MustValue encoded.
+// MustParse decodes a value encoded by MustValue.
 func MustParse[T any](raw json.RawMessage) (v T) {
 	if err := json.Unmarshal(raw, &v); err != nil {
 		panic(err)
--- a/pkg/table/step.go
+++ b/pkg/table/step.go
@@ -6,7 +6,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Unavailable counts the VMs of each pool that are out of service by the table, planned or not.
+// Unavailable returns the number of VMs per pool that are out of service according to the
+// table.
 func (s *Snapshot) Unavailable() map[string]int {
 	out := map[string]int{}
 	for _, row := range s.VMs {
@@ -17,16 +18,14 @@
 	return out
 }
 
-// InMaintenance tells that a phase is a step of planned maintenance, which a budget must allow.
+// InMaintenance reports whether a phase is part of planned maintenance, which counts against
+// the pool's budget.
 func InMaintenance(p schema.Phase) bool {
 	return p == schema.PhaseDraining || p == schema.PhaseRebooting || p == schema.PhaseChecking
 }
 
-// checkTransition checks what no single snapshot shows: how rows may change.
-//
-// Since every edit passes here and edits form one sequence, no two makers can
-// together overspend a budget, whoever they are and whatever they saw: the
-// second one is checked against the first one's result.
+// checkTransition checks constraints on how rows change. Every edit is checked against the
+// result of the one before, so concurrent edits cannot exceed a budget together.
 func checkTransition(before, after *Snapshot, e *schema.Entry, operator bool) (problems []Problem) {
 	c := &transitionChecker{before: before, after: after}
 	for _, change := range e.Changes {
@@ -41,7 +40,7 @@
 
 type transitionChecker struct {
 	before, after *Snapshot
-	takenOut      map[string]string // a VM that goes out of service by plan, by pool
+	takenOut      map[string]string // VM that this edit takes out of service for maintenance, by pool
 	problems      []Problem
 }
 
@@ -66,11 +65,11 @@
 	}
 }
 
-// checkOperatorEdit refuses an operator's change of what control writes.
+// checkOperatorEdit rejects changes by an operator to columns owned by control.
 func (c *transitionChecker) checkOperatorEdit(name string, old, row schema.VM) {
 	const message = "control writes this column"
 	if old.Pool != row.Pool {
-		c.add(name, "pool", "control decides which pool has a VM: change the pools' sizes")
+		c.add(name, "pool", "control assigns VMs to pools: change the pool sizes instead")
 	}
 	if old.Phase != row.Phase {
 		c.add(name, "phase", message)
@@ -92,7 +91,7 @@
 	}
 }
 
-// checkPoolMove lets a VM change pools only while no entry sends it requests.
+// checkPoolMove rejects moving a VM to another pool while entries still send it requests.
 func (c *transitionChecker) checkPoolMove(name string, old, row schema.VM) {
 	if old.Pool == row.Pool || old.Pool == "" {
 		return
@@ -101,11 +100,11 @@
 		c.add(name, "pool", fmt.Sprintf("the VM still serves pool %q: it must drain before it changes pools", old.Pool))
 	}
 	if old.Phase == schema.PhaseDraining && row.Pool != "" {
-		c.add(name, "pool", "a drained VM goes to the buffer first")
+		c.add(name, "pool", "a drained VM must return to the buffer before it joins another pool")
 	}
 }
 
-// noteTakenOut notes that a VM goes out of service by plan.
+// noteTakenOut records a VM that goes out of service for maintenance.
 func (c *transitionChecker) noteTakenOut(name string, old, row schema.VM) {
 	if old.Phase != schema.PhaseActive || !InMaintenance(row.Phase) || row.Pool == "" {
 		return
