--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -39,7 +39,7 @@
 
 func (r *Reloader) load() (err error) {
 	defer func() { err = errors.Wrap(err, "load certificate") }()
-	stamp, err := r.newestModTime()
+	modTime, err := r.newestModTime()
 	if err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 			return errors.Errorf("%s holds no certificate", r.files.CAFile)
 		}
 	}
-	r.cert, r.roots, r.modTime, r.checkedAt = &cert, roots, stamp, time.Now()
+	r.cert, r.roots, r.modTime, r.checkedAt = &cert, roots, modTime, time.Now()
 	return nil
 }
 
@@ -87,7 +87,7 @@
 	defer r.mu.Unlock()
 	if time.Since(r.checkedAt) >= checkInterval {
 		r.checkedAt = time.Now()
-		if stamp, err := r.newestModTime(); err == nil && !stamp.Equal(r.modTime) {
+		if modTime, err := r.newestModTime(); err == nil && !modTime.Equal(r.modTime) {
 			_ = r.load() // retried at the next check
 		}
 	}
--- a/pkg/dial/dial.go
+++ b/pkg/dial/dial.go
@@ -1,5 +1,5 @@
-// Package dial opens TCP connections that detect an unresponsive peer within seconds. Package
-// httpc and the platform client use it.
+// Package dial opens TCP connections that detect an unresponsive peer within seconds. Packages
+// httpc and peer use it.
 package dial
 
 import (
--- a/pkg/entry/parts.go
+++ b/pkg/entry/parts.go
@@ -104,7 +104,7 @@
 
 // InFlight implements control.Entries. An entry that does not respond is left out only if a VM
 // list from after its last message says that its VM is gone. The list may be late but never
-// omits a running VM.
+// reports a running VM as gone.
 func (l listedEntries) InFlight(ctx context.Context, vms []string) []membership.EntryInFlight {
 	answers := l.peers.InFlight(ctx, vms)
 	list := l.list()
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -194,14 +194,14 @@
 // attempt that succeeds.
 func (x *exchange) attemptWithHedge(ctx context.Context, server *Server) *attempt {
 	a, run := x.newAttempt(ctx, server)
-	late, known := x.route.hedgeDelay.Value()
+	delay, known := x.route.hedgeDelay.Value()
 	if !known || !x.g.settings.Hedging || !x.isRetrySafe() {
 		run()
 		return x.recordOutcome(a)
 	}
 	done := make(chan *attempt, 2)
 	go func() { run(); done <- a }()
-	timer := time.NewTimer(late)
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case first := <-done:
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -336,11 +336,11 @@
 		return false
 	}
 	var failure ErrRequest
-	notRun := errors.As(err, &failure) && failure.Outcome == OutcomeNotRun && failure.Reason == ReasonConnect && x.buffered
-	if !notRun && !x.isRetrySafe() {
+	safeToResend := errors.As(err, &failure) && failure.Outcome == OutcomeNotRun && failure.Reason == ReasonConnect && x.buffered
+	if !safeToResend && !x.isRetrySafe() {
 		return false
 	}
-	if notRun && x.g.settings.Retries != schema.GatewaySettingsRetriesNever {
+	if safeToResend && x.g.settings.Retries != schema.GatewaySettingsRetriesNever {
 		return true // a refused connection costs the backend nothing
 	}
 	switch x.g.settings.Retries {
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -122,7 +122,7 @@
 	gateways []*gateway.Gateway
 	urls     []string
 	keys     map[string]string // ID of the first request of each key
-	next     int
+	nextID   int
 	close    func()
 }
 
@@ -137,11 +137,11 @@
 		addresses = append(addresses, strings.TrimPrefix(b.URL, "http://"))
 	}
 	for i := range 2 {
-		book := once.New(w.store.View("z"), fmt.Sprint("entry-", i))
-		go func() { _ = book.Run(ctx) }()
+		claims := once.New(w.store.View("z"), fmt.Sprint("entry-", i))
+		go func() { _ = claims.Run(ctx) }()
 		g := gateway.New(fmt.Sprint("entry-", i), "z", schema.GatewaySettings{
 			BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesAlways, Hedging: true,
-		}, gateway.WithClaims(book))
+		}, gateway.WithClaims(claims))
 		g.SetTable(testTable(1, addresses...))
 		g.SetReady(true)
 		srv := httptest.NewServer(s(g))
@@ -219,8 +219,8 @@
 		"requests": func(t *rapid.T) {
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 6).Draw(t, "n") {
-				w.next++
-				id := fmt.Sprintf("r%d", w.next)
+				w.nextID++
+				id := fmt.Sprintf("r%d", w.nextID)
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
 				route := rapid.SampledFrom([]string{"/safe", "/once"}).Draw(t, "route")
 				var plan []string
@@ -235,8 +235,8 @@
 		"keyed requests": func(t *rapid.T) {
 			key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
 			if _, ok := w.keys[key]; !ok { // all repetitions of a key are one request
-				w.next++
-				w.keys[key] = fmt.Sprintf("r%d", w.next)
+				w.nextID++
+				w.keys[key] = fmt.Sprintf("r%d", w.nextID)
 			}
 			plan := string(rapid.SampledFrom(behaviors).Draw(t, "conduct"))
 			var wg sync.WaitGroup
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -522,9 +522,9 @@
 	defer cancel()
 	var urls []string
 	for i := range 2 {
-		book := once.New(store.View("z"), fmt.Sprintf("entry-%d", i))
-		go func() { _ = book.Run(ctx) }()
-		g := gateway.New(fmt.Sprintf("entry-%d", i), "z", schema.GatewaySettings{BufferBodyBytes: 1 << 16}, gateway.WithClaims(book))
+		claims := once.New(store.View("z"), fmt.Sprintf("entry-%d", i))
+		go func() { _ = claims.Run(ctx) }()
+		g := gateway.New(fmt.Sprintf("entry-%d", i), "z", schema.GatewaySettings{BufferBodyBytes: 1 << 16}, gateway.WithClaims(claims))
 		g.SetTable(testTable(1, strings.TrimPrefix(backend.URL, "http://")))
 		g.SetReady(true)
 		s := httptest.NewServer(g)
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -73,17 +73,13 @@
 }
 
 // Error names the entry that claimed the key.
-func (e ErrClaimed) Error() string {
-	return fmt.Sprintf("idempotency key was already claimed by entry %s", e.Entry)
-}
+func (e ErrClaimed) Error() string { return fmt.Sprintf("key already claimed by entry %s", e.Entry) }
 
 // ErrBodyMismatch reports a key that was claimed with another request body.
 type ErrBodyMismatch struct{}
 
 // Error states the mismatch.
-func (ErrBodyMismatch) Error() string {
-	return "idempotency key was already used with another request body"
-}
+func (ErrBodyMismatch) Error() string { return "key already used with another request body" }
 
 // ErrUnavailable reports a key that could not be claimed; the request did not run.
 type ErrUnavailable struct {
@@ -92,7 +88,7 @@
 
 // Error returns the cause.
 func (e ErrUnavailable) Error() string {
-	return fmt.Sprintf("cannot claim idempotency key: %v", e.Cause)
+	return fmt.Sprintf("cannot claim key: %v", e.Cause)
 }
 
 // Response is a response saved for replay.
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -28,7 +28,7 @@
 	wg     sync.WaitGroup
 
 	mu       sync.Mutex
-	ran      map[string]int // runs by key
+	runs     map[string]int // runs by key
 	bodies   map[string]string
 	problems []string
 }
@@ -36,7 +36,7 @@
 const entries = 3
 
 func newHarness(wrap func(platform.Table) platform.Table) *harness {
-	w := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, ran: map[string]int{}, bodies: map[string]string{}}
+	w := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, runs: map[string]int{}, bodies: map[string]string{}}
 	for range entries {
 		w.books = append(w.books, nil)
 		w.cancel = append(w.cancel, func() {})
@@ -79,7 +79,7 @@
 		return
 	}
 	w.mu.Lock()
-	w.ran[key]++
+	w.runs[key]++
 	if other, ok := w.bodies[key]; ok && other != body {
 		w.problems = append(w.problems, "two bodies ran under "+key)
 	}
@@ -104,7 +104,7 @@
 func (w *harness) check(t *rapid.T) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for key, n := range w.ran {
+	for key, n := range w.runs {
 		if n > 1 {
 			t.Fatalf("%s ran %d times", key, n)
 		}
@@ -213,9 +213,9 @@
 		wg.Go(func() { _ = a.Run(ctx) })
 		wg.Go(func() { _ = b.Run(ctx) })
 		key := once.NewKey("r", "c", "k")
-		ticket, _, err := a.Claim(ctx, key, "d")
+		claim, _, err := a.Claim(ctx, key, "d")
 		c.Assert(err, qt.IsNil)
-		a.Finish(ticket, &once.Response{Status: 201})
+		a.Finish(claim, &once.Response{Status: 201})
 		_, first, err := a.Claim(ctx, key, "d")
 		c.Assert(err, qt.IsNil)
 		c.Check(first.Status, qt.Equals, 201)
--- a/pkg/httpc/host.go
+++ b/pkg/httpc/host.go
@@ -32,12 +32,12 @@
 	if cn := c.getIdleConn(name); cn != nil {
 		return cn, nil
 	}
-	opened, err := c.dial(ctx, "tcp", name)
+	netConn, err := c.dial(ctx, "tcp", name)
 	if err != nil {
 		return nil, err
 	}
-	cn := &conn{Conn: opened, client: c, name: name, lastReceived: time.Now()}
-	if s, ok := opened.(syscall.Conn); ok {
+	cn := &conn{Conn: netConn, client: c, name: name, lastReceived: time.Now()}
+	if s, ok := netConn.(syscall.Conn); ok {
 		cn.raw, _ = s.SyscallConn() // without it, a closed connection is noticed only on use
 	}
 	return cn, nil
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -40,7 +40,7 @@
 	highest  []int
 	mu       sync.Mutex
 	reported map[string]outcome // by edit ID
-	next     int
+	nextID   int
 }
 
 // mutation breaks a guarantee of the store, to check that the property detects it.
@@ -93,8 +93,8 @@
 // edit commits an edit of one of a few rows through a replica.
 func (w *harness) edit(i int, name, note string) {
 	w.mu.Lock()
-	w.next++
-	id := fmt.Sprintf("edit-%d", w.next)
+	w.nextID++
+	id := fmt.Sprintf("edit-%d", w.nextID)
 	w.mu.Unlock()
 	r := w.replicas[i]
 	key := table.Key{Kind: schema.KindZone, Name: name}
