--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -68,21 +68,21 @@
 const harnessNodes = 3
 
 func newHarness(t fatalT, p mutations) *harness {
-	w := &harness{
+	h := &harness{
 		t: t, mutations: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
 		poweredOff: map[string]bool{}, leaving: map[string]bool{},
 	}
-	w.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(w), fake.WithObserver(w),
+	h.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(h), fake.WithObserver(h),
 		fake.WithListLag(2*time.Second), fake.WithRebootTime(2*time.Second), fake.WithLimits(10_000, 100_000))
 	for range harnessNodes {
-		w.nodes = append(w.nodes, w.newNode())
+		h.nodes = append(h.nodes, h.newNode())
 	}
-	w.populate()
-	return w
+	h.populate()
+	return h
 }
 
 // populate creates two pools and six VMs.
-func (w *harness) populate() {
+func (h *harness) populate() {
 	value := func(kind schema.Kind, name string, v any) table.Change {
 		return table.Change{Key: table.Key{Kind: kind, Name: name}, Value: table.MustValue(v)}
 	}
@@ -97,38 +97,38 @@
 		name := fmt.Sprintf("w%d", i)
 		pool := []string{"a", "a", "a", "b", "b", ""}[i]
 		edit.Changes = append(edit.Changes, value(schema.KindVM, name, schema.VM{Rack: "r", Address: fmt.Sprintf("x:%d", i+1), Pool: pool, Phase: schema.PhaseActive}))
-		w.platform.AddVM(platform.ListedVM{Name: name, Zone: "z", Role: platform.RoleWorker})
+		h.platform.AddVM(platform.ListedVM{Name: name, Zone: "z", Role: platform.RoleWorker})
 	}
-	if _, err := w.nodes[0].replica.Commit(context.Background(), edit); err != nil {
-		w.t.Fatalf("fill: %v", err)
+	if _, err := h.nodes[0].replica.Commit(context.Background(), edit); err != nil {
+		h.t.Fatalf("populate: %v", err)
 	}
 }
 
-func (w *harness) newNode() *node {
-	view := w.platform.View("z")
-	if w.mutations.ignoreBoot {
+func (h *harness) newNode() *node {
+	view := h.platform.View("z")
+	if h.mutations.ignoreBoot {
 		view = bootIgnorer{view}
 	}
 	n := &node{replica: replica.New(view), inFlight: map[string]int{}}
-	o := &Observer{VMs: view, Prober: prober{w}, Entries: entryCounter{w}, LocalInFlight: func(string) int { return 0 }}
+	o := &Observer{VMs: view, Prober: prober{h}, Entries: entryCounter{h}, LocalInFlight: func(string) int { return 0 }}
 	n.loop = New("node", n.replica, view, o, WithLimits(fleet.Limits{
 		DownAfter: 3 * time.Second, RepairAfter: 5 * time.Second, ReplaceAfter: 20 * time.Second, MaxActions: 8,
 	}))
 	n.loop.decide = func(s fleet.State, l fleet.Limits) []fleet.Action {
-		if w.mutations.skipDrainWait {
+		if h.mutations.skipDrainWait {
 			s = withoutInFlight(s)
 		}
 		actions := fleet.Decide(s, l)
-		time.Sleep(w.pauseOf(n, actions))
+		time.Sleep(h.pauseOf(n, actions))
 		return actions
 	}
 	return n
 }
 
 // pauseOf returns how long a node pauses after a decision. Each pause happens once.
-func (w *harness) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	decided := slices.ContainsFunc(actions, func(a fleet.Action) bool { return a.Kind == n.pauseOn })
 	if n.pauseOn == "" || decided {
 		pause = n.pause
@@ -164,12 +164,12 @@
 	return s
 }
 
-func (w *harness) problem(format string, args ...any) {
-	w.problems = append(w.problems, fmt.Sprintf(format, args...))
+func (h *harness) problem(format string, args ...any) {
+	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
 // Wrote implements fake.Observer. It checks budgets against the rows in the store.
-func (w *harness) Wrote(write platform.Write) {
+func (h *harness) Wrote(write platform.Write) {
 	key, ok := replica.ParseRowKey(write.Key)
 	if !ok {
 		return
@@ -178,93 +178,93 @@
 	if err != nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	switch key.Kind {
 	case schema.KindPool:
-		w.pools[key.Name] = table.MustParse[schema.Pool](row.Value)
+		h.pools[key.Name] = table.MustParse[schema.Pool](row.Value)
 	case schema.KindVM:
-		old := w.rows[key.Name]
+		old := h.rows[key.Name]
 		vm := table.MustParse[schema.VM](row.Value)
-		w.rows[key.Name] = vm
+		h.rows[key.Name] = vm
 		if old.Phase == schema.PhaseActive && vm.Phase == schema.PhaseDraining && vm.Pool != "" {
-			w.checkBudget(key.Name, vm.Pool)
+			h.checkBudget(key.Name, vm.Pool)
 		}
-		if old.Pool != "" && vm.Pool != old.Pool && w.busy(key.Name) > 0 && !w.poweredOff[key.Name] {
-			w.problem("%s left pool %s with requests in flight", key.Name, old.Pool)
+		if old.Pool != "" && vm.Pool != old.Pool && h.busy(key.Name) > 0 && !h.poweredOff[key.Name] {
+			h.problem("%s left pool %s with requests in flight", key.Name, old.Pool)
 		}
 	}
 }
 
-func (w *harness) checkBudget(name, pool string) {
+func (h *harness) checkBudget(name, pool string) {
 	out := 0
-	for _, vm := range w.rows {
+	for _, vm := range h.rows {
 		if vm.Pool == pool && vm.Phase != schema.PhaseActive {
 			out++
 		}
 	}
-	if out > w.pools[pool].MaxUnavailable {
-		w.problem("%s was taken out of pool %s, which makes %d of a budget of %d", name, pool, out, w.pools[pool].MaxUnavailable)
+	if out > h.pools[pool].MaxUnavailable {
+		h.problem("%s was taken out of pool %s: %d VMs out of service, budget %d", name, pool, out, h.pools[pool].MaxUnavailable)
 	}
 }
 
-func (w *harness) busy(vm string) (n int) {
-	for _, node := range w.nodes {
+func (h *harness) busy(vm string) (n int) {
+	for _, node := range h.nodes {
 		n += node.inFlight[vm]
 	}
 	return n
 }
 
 // Leaving implements fake.Machine.
-func (w *harness) Leaving(vm string, leaving bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leaving[vm] = leaving
+func (h *harness) Leaving(vm string, leaving bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leaving[vm] = leaving
 }
 
 // Power implements fake.Machine. It checks that a rebooted VM is idle and not active.
-func (w *harness) Power(vm string, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.poweredOff[vm] = !on
-	w.leaving[vm] = false
+func (h *harness) Power(vm string, on bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.poweredOff[vm] = !on
+	h.leaving[vm] = false
 	if on {
 		return
 	}
-	if !w.failing && w.busy(vm) > 0 {
-		w.problem("%s was rebooted with %d requests in flight", vm, w.busy(vm))
+	if !h.failing && h.busy(vm) > 0 {
+		h.problem("%s was rebooted with %d requests in flight", vm, h.busy(vm))
 	}
-	if !w.failing && w.rows[vm].Phase == schema.PhaseActive {
-		w.problem("%s was rebooted while it is active", vm)
+	if !h.failing && h.rows[vm].Phase == schema.PhaseActive {
+		h.problem("%s was rebooted while it is active", vm)
 	}
-	for _, n := range w.nodes {
+	for _, n := range h.nodes {
 		delete(n.inFlight, vm)
 	}
 }
 
 // InFlight implements fake.Machine.
-func (w *harness) InFlight(vm string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.mutations.zeroCounts {
+func (h *harness) InFlight(vm string) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.mutations.zeroCounts {
 		return 0
 	}
-	return w.busy(vm)
+	return h.busy(vm)
 }
 
 // entryCounter implements Entries for the harness.
-type entryCounter struct{ w *harness }
+type entryCounter struct{ h *harness }
 
 // InFlight implements Entries.
 func (a entryCounter) InFlight(_ context.Context, vms []string) (out []membership.EntryInFlight) {
-	w := a.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, n := range w.nodes {
+	h := a.h
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, n := range h.nodes {
 		e := membership.EntryInFlight{Entry: fmt.Sprint(i), Reached: !n.unreachable, Revision: n.replica.Revision(), Counts: map[string]int{}}
 		for _, vm := range vms {
 			e.Counts[vm] = n.inFlight[vm]
-			if w.mutations.zeroCounts {
+			if h.mutations.zeroCounts {
 				e.Counts[vm] = 0
 			}
 		}
@@ -274,27 +274,27 @@
 }
 
 // prober reports the actual state of the VMs.
-type prober struct{ w *harness }
+type prober struct{ h *harness }
 
 func (p prober) Health(vm string) (membership.Health, time.Time) {
-	p.w.mu.Lock()
-	defer p.w.mu.Unlock()
+	p.h.mu.Lock()
+	defer p.h.mu.Unlock()
 	switch {
-	case p.w.poweredOff[vm]:
+	case p.h.poweredOff[vm]:
 		return membership.HealthBad, time.Now()
-	case p.w.leaving[vm]:
+	case p.h.leaving[vm]:
 		return membership.HealthLeaving, time.Now()
 	}
 	return membership.HealthGood, time.Now()
 }
 
 func (p prober) List() platform.VMList {
-	list, _ := p.w.platform.View("z").ListVMs(context.Background(), "") // the list is empty on error
+	list, _ := p.h.platform.View("z").ListVMs(context.Background(), "") // the list is empty on error
 	return list
 }
 
 // step makes one control step of a node.
-func (w *harness) step(n *node) {
+func (h *harness) step(n *node) {
 	if n.stepping.Swap(true) {
 		return
 	}
@@ -304,11 +304,11 @@
 }
 
 // request starts a request at a VM that is active in the node's replica.
-func (w *harness) request(n *node, vm string) {
+func (h *harness) request(n *node, vm string) {
 	row := n.replica.Snapshot().VMs[vm].Value
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if row.Phase == schema.PhaseActive && row.Pool != "" && !w.poweredOff[vm] {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if row.Phase == schema.PhaseActive && row.Pool != "" && !h.poweredOff[vm] {
 		n.inFlight[vm]++
 	}
 }
@@ -331,11 +331,11 @@
 }
 
 // checkProblems fails the test if a violation was found.
-func (w *harness) checkProblems() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.problems) > 0 {
-		w.t.Fatalf("%s", w.problems[0])
+func (h *harness) checkProblems() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.problems) > 0 {
+		h.t.Fatalf("%s", h.problems[0])
 	}
 }
 
@@ -343,56 +343,56 @@
 // failures and operator edits: no request is cut off, budgets hold, and every wave ends after
 // all faults end.
 func machine(t *rapid.T, p mutations) {
-	w := newHarness(t, p)
-	defer w.pending.Wait()
-	node := rapid.Custom(func(t *rapid.T) *node { return w.nodes[rapid.IntRange(0, harnessNodes-1).Draw(t, "node")] })
+	h := newHarness(t, p)
+	defer h.pending.Wait()
+	node := rapid.Custom(func(t *rapid.T) *node { return h.nodes[rapid.IntRange(0, harnessNodes-1).Draw(t, "node")] })
 	vm := rapid.SampledFrom([]string{"w0", "w1", "w2", "w3", "w4", "w5"})
 	if rapid.Bool().Draw(t, "wave from the start") {
-		editAsOperator(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+		editAsOperator(h.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	}
 	t.Repeat(map[string]func(*rapid.T){
-		"":     func(*rapid.T) { w.checkProblems() },
-		"step": func(t *rapid.T) { w.step(node.Draw(t, "n")) },
+		"":     func(*rapid.T) { h.checkProblems() },
+		"step": func(t *rapid.T) { h.step(node.Draw(t, "n")) },
 		"work": func(t *rapid.T) {
 			for range rapid.IntRange(1, 5).Draw(t, "rounds") {
 				time.Sleep(time.Second)
-				w.step(node.Draw(t, "n"))
+				h.step(node.Draw(t, "n"))
 			}
 		},
 		"requests everywhere": func(t *rapid.T) {
 			n := node.Draw(t, "n")
 			for _, name := range slices.Sorted(maps.Keys(n.replica.Snapshot().VMs)) {
-				w.request(n, name)
+				h.request(n, name)
 			}
 		},
 		"end all requests": func(t *rapid.T) {
-			for _, n := range w.nodes {
-				for _, name := range w.nodes[0].replica.Snapshot().VMs.Names() {
-					w.endRequests(n, name)
+			for _, n := range h.nodes {
+				for _, name := range h.nodes[0].replica.Snapshot().VMs.Names() {
+					h.endRequests(n, name)
 				}
 			}
 		},
 		"paused step": func(t *rapid.T) {
 			n := node.Draw(t, "n")
-			w.setPause(n, time.Duration(rapid.IntRange(1, 90).Draw(t, "s"))*time.Second, "")
-			w.pending.Go(func() { w.step(n) })
+			h.setPause(n, time.Duration(rapid.IntRange(1, 90).Draw(t, "s"))*time.Second, "")
+			h.pending.Go(func() { h.step(n) })
 			time.Sleep(100 * time.Millisecond)
 		},
 		"time":        func(t *rapid.T) { time.Sleep(time.Duration(rapid.IntRange(1, 12).Draw(t, "s")) * time.Second) },
 		"catch up":    func(t *rapid.T) { _, _ = node.Draw(t, "n").replica.CatchUp(context.Background()) },
-		"request":     func(t *rapid.T) { w.request(node.Draw(t, "n"), vm.Draw(t, "vm")) },
-		"end request": func(t *rapid.T) { w.endRequests(node.Draw(t, "n"), vm.Draw(t, "vm")) },
-		"cut":         func(t *rapid.T) { w.setUnreachable(node.Draw(t, "n"), rapid.Bool().Draw(t, "cut")) },
+		"request":     func(t *rapid.T) { h.request(node.Draw(t, "n"), vm.Draw(t, "vm")) },
+		"end request": func(t *rapid.T) { h.endRequests(node.Draw(t, "n"), vm.Draw(t, "vm")) },
+		"cut":         func(t *rapid.T) { h.setUnreachable(node.Draw(t, "n"), rapid.Bool().Draw(t, "cut")) },
 		"crash": func(t *rapid.T) {
 			i := rapid.IntRange(0, harnessNodes-1).Draw(t, "i")
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.nodes[i] = w.newNode()
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.nodes[i] = h.newNode()
 		},
-		"fail":    func(t *rapid.T) { w.fail(vm.Draw(t, "vm")) },
-		"recover": func(t *rapid.T) { w.recover(vm.Draw(t, "vm")) },
+		"fail":    func(t *rapid.T) { h.fail(vm.Draw(t, "vm")) },
+		"recover": func(t *rapid.T) { h.recover(vm.Draw(t, "vm")) },
 		"fault": func(t *rapid.T) {
-			w.platform.SetRules(fake.Rule{
+			h.platform.SetRules(fake.Rule{
 				Op:    rapid.SampledFrom([]rest.Operation{"", rest.OpCommit, rest.OpGet, rest.OpReboot, rest.OpDrain, rest.OpVMStatus}).Draw(t, "op"),
 				Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 1500,
 				Chance: 0.5, Count: rapid.IntRange(1, 6).Draw(t, "count"),
@@ -410,80 +410,80 @@
 			editAsOperator(node.Draw(t, "n"), schema.KindPool, "b", func(v *schema.Pool) { v.Size = rapid.IntRange(2, 3).Draw(t, "size") })
 		},
 	})
-	w.recoverAll()
+	h.recoverAll()
 }
 
-func (w *harness) endRequests(n *node, vm string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) endRequests(n *node, vm string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	delete(n.inFlight, vm)
 }
 
-func (w *harness) setPause(n *node, d time.Duration, on fleet.ActionKind) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) setPause(n *node, d time.Duration, on fleet.ActionKind) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	n.pause, n.pauseOn = d, on
 }
 
-func (w *harness) setUnreachable(n *node, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) setUnreachable(n *node, cut bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	n.unreachable = cut
 }
 
-func (w *harness) fail(vm string) {
-	w.mu.Lock()
-	w.failing = true
-	w.mu.Unlock()
-	w.platform.Fail(vm)
-	w.mu.Lock()
-	w.failing = false
-	w.mu.Unlock()
+func (h *harness) fail(vm string) {
+	h.mu.Lock()
+	h.failing = true
+	h.mu.Unlock()
+	h.platform.Fail(vm)
+	h.mu.Lock()
+	h.failing = false
+	h.mu.Unlock()
 }
 
-func (w *harness) recover(vm string) {
-	w.mu.Lock()
-	off := w.poweredOff[vm]
-	w.mu.Unlock()
+func (h *harness) recover(vm string) {
+	h.mu.Lock()
+	off := h.poweredOff[vm]
+	h.mu.Unlock()
 	if off {
-		w.platform.Recover(vm)
+		h.platform.Recover(vm)
 	}
 }
 
 // recoverAll ends all faults and lets the nodes finish their work.
-func (w *harness) recoverAll() {
-	w.platform.SetRules()
-	w.pending.Wait()
-	w.mu.Lock()
-	for _, n := range w.nodes {
+func (h *harness) recoverAll() {
+	h.platform.SetRules()
+	h.pending.Wait()
+	h.mu.Lock()
+	for _, n := range h.nodes {
 		n.unreachable = false
 		clear(n.inFlight)
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 	time.Sleep(10 * time.Second) // until reboots in progress have ended
-	for _, vm := range w.caughtUp().replica.Snapshot().VMs.Names() {
-		w.recover(vm)
+	for _, vm := range h.caughtUp().replica.Snapshot().VMs.Names() {
+		h.recover(vm)
 	}
-	editAsOperator(w.caughtUp(), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = 1 })
+	editAsOperator(h.caughtUp(), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = 1 })
 	const rounds = 400
 	for range rounds {
 		time.Sleep(500 * time.Millisecond)
-		for _, n := range w.nodes {
-			w.step(n)
+		for _, n := range h.nodes {
+			h.step(n)
 		}
-		if w.unsettled() == "" {
+		if h.unsettled() == "" {
 			break
 		}
 	}
-	w.checkProblems()
-	if what := w.unsettled(); what != "" {
-		w.t.Fatalf("%s", what)
+	h.checkProblems()
+	if what := h.unsettled(); what != "" {
+		h.t.Fatalf("%s", what)
 	}
 }
 
 // unsettled describes what has not finished, empty if everything has.
-func (w *harness) unsettled() string {
-	snap := w.caughtUp().replica.Snapshot()
+func (h *harness) unsettled() string {
+	snap := h.caughtUp().replica.Snapshot()
 	for name, wave := range snap.Waves {
 		if wave.Value.State == schema.WaveStateRunning {
 			return fmt.Sprintf("wave %s does not end: %+v, %+v", name, fleet.ProgressOf(snap, name), snap.VMs)
@@ -491,17 +491,17 @@
 	}
 	for name, vm := range snap.VMs {
 		if vm.Value.Phase != schema.PhaseActive {
-			status, err := w.platform.View("z").VMStatus(context.Background(), name)
+			status, err := h.platform.View("z").VMStatus(context.Background(), name)
 			return fmt.Sprintf("%s stays %+v; status %+v %v", name, vm.Value, status, err)
 		}
 	}
 	return ""
 }
 
-func (w *harness) caughtUp() *node {
-	n := w.nodes[0]
+func (h *harness) caughtUp() *node {
+	n := h.nodes[0]
 	if _, err := n.replica.CatchUp(context.Background()); err != nil {
-		w.t.Fatalf("catch up: %v", err)
+		h.t.Fatalf("catch up: %v", err)
 	}
 	return n
 }
@@ -514,8 +514,8 @@
 // TestMutations breaks one guarantee at a time and expects the property to fail.
 func TestMutations(t *testing.T) {
 	for name, p := range map[string]mutations{
-		"entries lie":           {zeroCounts: true},
-		"drains are not waited": {skipDrainWait: true},
+		"entries report no requests": {zeroCounts: true},
+		"drains are not awaited":     {skipDrainWait: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
@@ -526,14 +526,14 @@
 // pausedReboot pauses a node between the decision to reboot a VM and the call, while another
 // node completes two waves and the VMs serve again.
 func pausedReboot(t fatalT, p mutations) (problems []string) {
-	w := newHarness(t, p)
-	editAsOperator(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+	h := newHarness(t, p)
+	editAsOperator(h.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	const paused = 5 * time.Minute
-	w.setPause(w.nodes[0], paused, fleet.EffectReboot)
+	h.setPause(h.nodes[0], paused, fleet.EffectReboot)
 	began := time.Now()
-	w.pending.Go(func() {
+	h.pending.Go(func() {
 		for time.Since(began) < paused {
-			w.step(w.nodes[0])
+			h.step(h.nodes[0])
 			time.Sleep(time.Second)
 		}
 	})
@@ -541,26 +541,26 @@
 	for time.Since(began) < paused-10*time.Second {
 		if !next && time.Since(began) > paused/2 { // a second wave gives each VM a new operation
 			next = true
-			editAsOperator(w.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+			editAsOperator(h.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 		}
-		w.step(w.nodes[1])
-		for _, n := range w.nodes { // a lagging entry would delay every drain
+		h.step(h.nodes[1])
+		for _, n := range h.nodes { // a lagging entry would delay every drain
 			_, _ = n.replica.CatchUp(context.Background())
 		}
 		time.Sleep(time.Second)
 	}
-	if what := w.unsettled(); what != "" {
+	if what := h.unsettled(); what != "" {
 		t.Fatalf("the other node does not take over: %s", what)
 	}
-	n := w.caughtUp()
+	n := h.caughtUp()
 	for _, vm := range n.replica.Snapshot().VMs.Names() {
-		w.request(n, vm)
+		h.request(n, vm)
 	}
-	w.pending.Wait()
+	h.pending.Wait()
 	time.Sleep(10 * time.Second)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.problems
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.problems
 }
 
 // TestPausedReboot checks that a reboot decided long ago is rejected because the VM has booted
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -126,40 +126,40 @@
 	close    func()
 }
 
-func newPathHarness(s mutation) *pathHarness {
-	w := &pathHarness{oracle: &oracle{attempts: map[string]int{}}, store: fake.New(fake.WithLimits(10_000, 10_000)), keys: map[string]string{}}
+func newPathHarness(mutate mutation) *pathHarness {
+	h := &pathHarness{oracle: &oracle{attempts: map[string]int{}}, store: fake.New(fake.WithLimits(10_000, 10_000)), keys: map[string]string{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	closers := []func(){cancel}
 	var addresses []string
 	for range 3 {
-		b := httptest.NewServer(w.oracle)
+		b := httptest.NewServer(h.oracle)
 		closers = append(closers, b.Close)
 		addresses = append(addresses, strings.TrimPrefix(b.URL, "http://"))
 	}
 	for i := range 2 {
-		claims := once.New(w.store.View("z"), fmt.Sprint("entry-", i))
+		claims := once.New(h.store.View("z"), fmt.Sprint("entry-", i))
 		go func() { _ = claims.Run(ctx) }()
 		g := gateway.New(fmt.Sprint("entry-", i), "z", schema.GatewaySettings{
 			BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesAlways, Hedging: true,
 		}, gateway.WithClaims(claims))
 		g.SetTable(testTable(1, addresses...))
 		g.SetReady(true)
-		srv := httptest.NewServer(s(g))
+		srv := httptest.NewServer(mutate(g))
 		closers = append(closers, srv.Close, g.Close)
-		w.gateways = append(w.gateways, g)
-		w.urls = append(w.urls, srv.URL)
+		h.gateways = append(h.gateways, g)
+		h.urls = append(h.urls, srv.URL)
 	}
-	w.close = func() {
+	h.close = func() {
 		for _, c := range closers {
 			c()
 		}
 	}
-	return w
+	return h
 }
 
 // send sends one request and checks the reported outcome against what ran.
-func (w *pathHarness) send(entry int, route, id, plan, key string, cut int) {
-	req, err := http.NewRequest(http.MethodPost, w.urls[entry]+route, bytes.NewReader([]byte("body")))
+func (h *pathHarness) send(entry int, route, id, plan, key string, cut int) {
+	req, err := http.NewRequest(http.MethodPost, h.urls[entry]+route, bytes.NewReader([]byte("body")))
 	if err != nil {
 		panic(err)
 	}
@@ -178,49 +178,49 @@
 		body, readErr = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 	}
-	ran := w.ran(id)
+	ran := h.ran(id)
 	if route == "/once" && ran > 1 {
-		w.problem("%s ran %d times", id, ran)
+		h.problem("%s ran %d times", id, ran)
 	}
 	if err != nil {
 		return // without a response there is no outcome to check
 	}
 	outcome := gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome))
 	want := id
-	if first, ok := w.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
+	if first, ok := h.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
 		want = first
 	}
 	whole := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
 	switch {
 	case outcome == gateway.OutcomeNotRun && ran > 0:
-		w.problem("%s is reported as not run but ran", id)
+		h.problem("%s is reported as not run but ran", id)
 	case outcome == "":
-		w.problem("%s has no outcome, status %d", id, resp.StatusCode)
+		h.problem("%s has no outcome, status %d", id, resp.StatusCode)
 	case resp.StatusCode == http.StatusOK && readErr == nil && !whole:
-		w.problem("%s got %d bytes that are not its whole answer", id, len(body))
+		h.problem("%s got %d bytes that are not the complete response", id, len(body))
 	case resp.StatusCode == http.StatusOK && outcome != gateway.OutcomeRan:
-		w.problem("%s is answered but its outcome is %s", id, outcome)
+		h.problem("%s got a response but its outcome is %s", id, outcome)
 	}
 }
 
 // pathMachine checks outcomes and responses under random requests, server states and store
 // faults.
-func pathMachine(t *rapid.T, s mutation) {
-	w := newPathHarness(s)
-	defer w.close()
+func pathMachine(t *rapid.T, mutate mutation) {
+	h := newPathHarness(mutate)
+	defer h.close()
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if len(w.problems) > 0 {
-				t.Fatalf("%s", w.problems[0])
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			if len(h.problems) > 0 {
+				t.Fatalf("%s", h.problems[0])
 			}
 		},
 		"requests": func(t *rapid.T) {
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 6).Draw(t, "n") {
-				w.nextID++
-				id := fmt.Sprintf("r%d", w.nextID)
+				h.nextID++
+				id := fmt.Sprintf("r%d", h.nextID)
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
 				route := rapid.SampledFrom([]string{"/safe", "/once"}).Draw(t, "route")
 				var plan []string
@@ -228,30 +228,30 @@
 					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "conduct")))
 				}
 				cut := rapid.SampledFrom([]int{0, 1, 8, 9, 65_535, 65_536, 65_537, 100_000}).Draw(t, "cut")
-				wg.Go(func() { w.send(entry, route, id, strings.Join(plan, ","), "", cut) })
+				wg.Go(func() { h.send(entry, route, id, strings.Join(plan, ","), "", cut) })
 			}
 			wg.Wait()
 		},
 		"keyed requests": func(t *rapid.T) {
 			key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
-			if _, ok := w.keys[key]; !ok { // all repetitions of a key are one request
-				w.nextID++
-				w.keys[key] = fmt.Sprintf("r%d", w.nextID)
+			if _, ok := h.keys[key]; !ok { // all repetitions of a key are one request
+				h.nextID++
+				h.keys[key] = fmt.Sprintf("r%d", h.nextID)
 			}
 			plan := string(rapid.SampledFrom(behaviors).Draw(t, "conduct"))
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
-				wg.Go(func() { w.send(entry, "/once", w.keys[key], plan, key, 5) })
+				wg.Go(func() { h.send(entry, "/once", h.keys[key], plan, key, 5) })
 			}
 			wg.Wait()
 		},
 		"mark": func(t *rapid.T) {
 			src := rapid.SampledFrom([]gateway.Source{gateway.SourceList, gateway.SourceProbe, gateway.SourceHealth}).Draw(t, "source")
-			w.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].Mark(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
+			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].Mark(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
 		},
 		"store": func(t *rapid.T) {
-			w.store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 30, Count: rapid.IntRange(1, 3).Draw(t, "count")})
+			h.store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 30, Count: rapid.IntRange(1, 3).Draw(t, "count")})
 		},
 	})
 }
@@ -265,14 +265,14 @@
 // TestPathMutations breaks one guarantee at a time and expects the property to fail.
 func TestPathMutations(t *testing.T) {
 	for name, s := range map[string]mutation{
-		"unknown is told as not run": func(h http.Handler) http.Handler {
+		"unknown outcome reported as not run": func(h http.Handler) http.Handler {
 			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				if rec.Header().Get(gateway.HeaderOutcome) == string(gateway.OutcomeUnknown) {
 					rec.Header().Set(gateway.HeaderOutcome, string(gateway.OutcomeNotRun))
 				}
 			})
 		},
-		"answers lose their end": func(h http.Handler) http.Handler {
+		"truncated responses": func(h http.Handler) http.Handler {
 			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				if rec.Code == http.StatusOK {
 					rec.Body.Truncate(rec.Body.Len() - 1)
@@ -280,7 +280,7 @@
 				}
 			})
 		},
-		"answers are swapped": func(h http.Handler) http.Handler {
+		"swapped responses": func(h http.Handler) http.Handler {
 			var mu sync.Mutex
 			var last []byte
 			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -36,24 +36,24 @@
 const entries = 3
 
 func newHarness(wrap func(platform.Table) platform.Table) *harness {
-	w := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, runs: map[string]int{}, bodies: map[string]string{}}
+	h := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, runs: map[string]int{}, bodies: map[string]string{}}
 	for range entries {
-		w.books = append(w.books, nil)
-		w.cancel = append(w.cancel, func() {})
+		h.books = append(h.books, nil)
+		h.cancel = append(h.cancel, func() {})
 	}
 	for i := range entries {
-		w.start(i)
+		h.start(i)
 	}
-	return w
+	return h
 }
 
 // start restarts an entry, which loses its state.
-func (w *harness) start(i int) {
-	w.cancel[i]()
+func (h *harness) start(i int) {
+	h.cancel[i]()
 	ctx, cancel := context.WithCancel(context.Background())
-	b := once.New(w.wrap(w.store.View("z")), fmt.Sprintf("entry-%d", i))
-	w.books[i], w.cancel[i] = b, cancel
-	w.wg.Go(func() { _ = b.Run(ctx) })
+	b := once.New(h.wrap(h.store.View("z")), fmt.Sprintf("entry-%d", i))
+	h.books[i], h.cancel[i] = b, cancel
+	h.wg.Go(func() { _ = b.Run(ctx) })
 }
 
 // result is what becomes of a request that may run.
@@ -66,25 +66,25 @@
 )
 
 // request sends a request with a key to an entry, as package gateway does.
-func (w *harness) request(b *once.Claims, key, body string, f result, took time.Duration) {
+func (h *harness) request(b *once.Claims, key, body string, f result, took time.Duration) {
 	t, first, err := b.Claim(context.Background(), once.NewKey("r", "c", key), once.Digest([]byte(body)))
 	switch {
 	case err != nil:
 		return
 	case first != nil:
-		w.checkResponse(key, body, string(first.Body) == key+body)
+		h.checkResponse(key, body, string(first.Body) == key+body)
 		return
 	case f == never:
 		b.Release(t)
 		return
 	}
-	w.mu.Lock()
-	w.runs[key]++
-	if other, ok := w.bodies[key]; ok && other != body {
-		w.problems = append(w.problems, "two bodies ran under "+key)
+	h.mu.Lock()
+	h.runs[key]++
+	if other, ok := h.bodies[key]; ok && other != body {
+		h.problems = append(h.problems, "two bodies ran for key "+key)
 	}
-	w.bodies[key] = body
-	w.mu.Unlock()
+	h.bodies[key] = body
+	h.mu.Unlock()
 	time.Sleep(took)
 	var answer *once.Response
 	if f == answered {
@@ -93,66 +93,66 @@
 	b.Finish(t, answer)
 }
 
-func (w *harness) checkResponse(key, body string, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) checkResponse(key, body string, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if !ok {
-		w.problems = append(w.problems, "another answer for "+key+body)
+		h.problems = append(h.problems, "wrong response for "+key+body)
 	}
 }
 
-func (w *harness) check(t *rapid.T) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for key, n := range w.runs {
+func (h *harness) check(t *rapid.T) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for key, n := range h.runs {
 		if n > 1 {
 			t.Fatalf("%s ran %d times", key, n)
 		}
 	}
-	if len(w.problems) > 0 {
-		t.Fatalf("%s", w.problems[0])
+	if len(h.problems) > 0 {
+		t.Fatalf("%s", h.problems[0])
 	}
 }
 
 // machine checks that under repetitions, lost responses, outages and crashes no request runs
 // twice and no response belongs to another request.
 func machine(t *rapid.T, wrap func(platform.Table) platform.Table) {
-	w := newHarness(wrap)
+	h := newHarness(wrap)
 	defer func() {
-		w.store.SetRules()
-		for _, cancel := range w.cancel {
+		h.store.SetRules()
+		for _, cancel := range h.cancel {
 			cancel()
 		}
-		w.wg.Wait()
+		h.wg.Wait()
 	}()
 	index := rapid.IntRange(0, entries-1)
 	t.Repeat(map[string]func(*rapid.T){
-		"": func(t *rapid.T) { w.check(t) },
+		"": func(t *rapid.T) { h.check(t) },
 		"requests": func(t *rapid.T) {
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				i, key := index.Draw(t, "entry"), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				body := rapid.SampledFrom([]string{"x", "x", "y"}).Draw(t, "body")
 				f := rapid.SampledFrom([]result{answered, unknown, never}).Draw(t, "fate")
 				took := time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
-				b := w.books[i]
-				w.wg.Go(func() { w.request(b, key, body, f, took) })
+				b := h.books[i]
+				h.wg.Go(func() { h.request(b, key, body, f, took) })
 			}
 		},
 		"time": func(t *rapid.T) {
 			time.Sleep(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 		},
-		"crash": func(t *rapid.T) { w.start(index.Draw(t, "entry")) },
+		"crash": func(t *rapid.T) { h.start(index.Draw(t, "entry")) },
 		"fault": func(t *rapid.T) {
-			w.store.SetRules(fake.Rule{
+			h.store.SetRules(fake.Rule{
 				Op:    rapid.SampledFrom([]rest.Operation{"", rest.OpCommit, rest.OpGet}).Draw(t, "op"),
 				Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 200,
 				Chance: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "chance"), Count: rapid.IntRange(0, 5).Draw(t, "count"),
 			})
 		},
-		"well": func(*rapid.T) { w.store.SetRules() },
+		"well": func(*rapid.T) { h.store.SetRules() },
 	})
 	time.Sleep(5 * time.Second)
-	w.check(t)
+	h.check(t)
 }
 
 func unmodified(t platform.Table) platform.Table { return t }
--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -105,9 +105,9 @@
 // findEditOr returns the log entry of the edit if it was committed before, otherwise err. A
 // repeated edit conflicts with its own changes.
 func (r *Replica) findEditOr(ctx context.Context, id string, err error) (*schema.Entry, error) {
-	entry, settleErr := r.findEdit(ctx, id)
-	if settleErr != nil {
-		return nil, settleErr
+	entry, findErr := r.findEdit(ctx, id)
+	if findErr != nil {
+		return nil, findErr
 	}
 	if entry != nil {
 		return entry, nil
@@ -119,7 +119,7 @@
 func (r *Replica) findEdit(ctx context.Context, id string) (entry *schema.Entry, err error) {
 	item, err := r.store.Get(ctx, editKey(id))
 	if err != nil || item.Version == 0 {
-		return nil, errors.Wrap(err, "settle")
+		return nil, errors.Wrap(err, "find edit")
 	}
 	var h head
 	if err := json.Unmarshal(item.Value, &h); err != nil {
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -49,15 +49,15 @@
 func unmodified(t platform.Table) platform.Table { return t }
 
 func newHarness(t *rapid.T, p mutation) *harness {
-	w := &harness{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), mutation: p, reported: map[string]outcome{}}
+	h := &harness{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), mutation: p, reported: map[string]outcome{}}
 	for range 3 {
-		w.replicas = append(w.replicas, w.newReplica())
-		w.highest = append(w.highest, 0)
+		h.replicas = append(h.replicas, h.newReplica())
+		h.highest = append(h.highest, 0)
 	}
-	return w
+	return h
 }
 
-func (w *harness) newReplica() *replica.Replica { return replica.New(w.mutation(w.store.View("z"))) }
+func (h *harness) newReplica() *replica.Replica { return replica.New(h.mutation(h.store.View("z"))) }
 
 // unconditional removes the conditions of every transaction.
 type unconditional struct{ platform.Table }
@@ -81,8 +81,8 @@
 // TestMutations breaks one guarantee of the store at a time and expects the property to fail.
 func TestMutations(t *testing.T) {
 	for name, p := range map[string]mutation{
-		"no conditions":                 func(t platform.Table) platform.Table { return unconditional{t} },
-		"lost answer taken for nothing": func(t platform.Table) platform.Table { return misreporting{t} },
+		"no conditions":                        func(t platform.Table) platform.Table { return unconditional{t} },
+		"unknown outcome reported as not done": func(t platform.Table) platform.Table { return misreporting{t} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
@@ -91,12 +91,12 @@
 }
 
 // edit commits an edit of one of a few rows through a replica.
-func (w *harness) edit(i int, name, note string) {
-	w.mu.Lock()
-	w.nextID++
-	id := fmt.Sprintf("edit-%d", w.nextID)
-	w.mu.Unlock()
-	r := w.replicas[i]
+func (h *harness) edit(i int, name, note string) {
+	h.mu.Lock()
+	h.nextID++
+	id := fmt.Sprintf("edit-%d", h.nextID)
+	h.mu.Unlock()
+	r := h.replicas[i]
 	key := table.Key{Kind: schema.KindZone, Name: name}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -104,30 +104,30 @@
 		ID: id, Actor: "test", Reason: note,
 		Changes: []table.Change{{Key: key, Seen: r.Snapshot().Version(key), Value: table.MustValue(schema.Zone{Note: note + id})}},
 	})
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	switch {
 	case err == nil:
-		w.reported[id] = accepted
+		h.reported[id] = accepted
 	case errors.As(err, new(replica.ErrOutcomeUnknown)):
-		w.reported[id] = outcomeUnknown
+		h.reported[id] = outcomeUnknown
 	default:
-		w.reported[id] = notMade
+		h.reported[id] = notMade
 	}
 }
 
 // log reads the log from the store without faults.
-func (w *harness) log() (entries []schema.Entry) {
-	w.store.SetRules()
+func (h *harness) log() (entries []schema.Entry) {
+	h.store.SetRules()
 	time.Sleep(time.Second) // lets the rate limit recover
-	items, err := w.store.View("z").Scan(context.Background(), "log/", "log/\xff", 100_000)
+	items, err := h.store.View("z").Scan(context.Background(), "log/", "log/\xff", 100_000)
 	if err != nil {
-		w.t.Fatalf("read log: %v", err)
+		h.t.Fatalf("read log: %v", err)
 	}
 	for _, it := range items {
 		var e schema.Entry
 		if err := json.Unmarshal(it.Value, &e); err != nil {
-			w.t.Fatalf("decode log: %v", err)
+			h.t.Fatalf("decode log: %v", err)
 		}
 		entries = append(entries, e)
 	}
@@ -135,39 +135,39 @@
 }
 
 // check compares the reported outcomes and all replicas with the log.
-func (w *harness) check() {
-	entries := w.log()
+func (h *harness) check() {
+	entries := h.log()
 	at := map[int]*table.Snapshot{0: table.Empty()}
 	made := map[string]int{}
 	snap := table.Empty()
 	for i := range entries {
 		next, err := snap.Apply(&entries[i])
 		if err != nil {
-			w.t.Fatalf("the log has a gap: %v", err)
+			h.t.Fatalf("the log has a gap: %v", err)
 		}
 		snap = next
 		at[snap.Revision] = snap
 		made[entries[i].EditID]++
 	}
-	for id, told := range w.reported {
+	for id, told := range h.reported {
 		switch {
 		case made[id] > 1:
-			w.t.Fatalf("%s was made %d times", id, made[id])
+			h.t.Fatalf("%s was made %d times", id, made[id])
 		case told == accepted && made[id] != 1:
-			w.t.Fatalf("%s was accepted but is not in the log", id)
+			h.t.Fatalf("%s was accepted but is not in the log", id)
 		case told == notMade && made[id] != 0:
-			w.t.Fatalf("%s was reported as not made but is in the log", id)
+			h.t.Fatalf("%s was reported as not made but is in the log", id)
 		}
 	}
-	for i, r := range w.replicas {
+	for i, r := range h.replicas {
 		got := r.Snapshot()
-		if got.Revision < w.highest[i] {
-			w.t.Fatalf("replica %d went back from %d to %d", i, w.highest[i], got.Revision)
+		if got.Revision < h.highest[i] {
+			h.t.Fatalf("replica %d went back from %d to %d", i, h.highest[i], got.Revision)
 		}
-		w.highest[i] = got.Revision
+		h.highest[i] = got.Revision
 		want, ok := at[got.Revision]
 		if !ok || fmt.Sprint(got.Stored()) != fmt.Sprint(want.Stored()) {
-			w.t.Fatalf("replica %d holds other rows at revision %d than the log gives", i, got.Revision)
+			h.t.Fatalf("replica %d holds other rows at revision %d than the log gives", i, got.Revision)
 		}
 	}
 }
@@ -180,8 +180,8 @@
 
 // machine is the property that TestMachine checks.
 func machine(t *rapid.T, p mutation) {
-	w := newHarness(t, p)
-	index := rapid.IntRange(0, len(w.replicas)-1)
+	h := newHarness(t, p)
+	index := rapid.IntRange(0, len(h.replicas)-1)
 	names := rapid.SampledFrom([]string{"a", "b", "c"})
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(*rapid.T) {},
@@ -189,34 +189,34 @@
 			i, j := index.Draw(t, "i"), index.Draw(t, "j")
 			a, b := names.Draw(t, "a"), names.Draw(t, "b")
 			var wg sync.WaitGroup
-			wg.Go(func() { w.edit(i, a, "first") })
-			wg.Go(func() { w.edit(j, b, "second") })
+			wg.Go(func() { h.edit(i, a, "first") })
+			wg.Go(func() { h.edit(j, b, "second") })
 			wg.Wait()
 		},
 		"fault": func(t *rapid.T) {
-			w.store.SetRules(fake.Rule{
+			h.store.SetRules(fake.Rule{
 				Op:    rapid.SampledFrom([]rest.Operation{"", rest.OpCommit, rest.OpGet, rest.OpScan}).Draw(t, "op"),
 				Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 100,
 				Chance: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "chance"),
 				Skip:   rapid.IntRange(0, 3).Draw(t, "skip"), Count: rapid.IntRange(0, 4).Draw(t, "count"),
 			})
 		},
-		"catch up": func(t *rapid.T) { _, _ = w.replicas[index.Draw(t, "i")].CatchUp(context.Background()) },
+		"catch up": func(t *rapid.T) { _, _ = h.replicas[index.Draw(t, "i")].CatchUp(context.Background()) },
 		"hand on": func(t *rapid.T) {
-			from, to := w.replicas[index.Draw(t, "from")], w.replicas[index.Draw(t, "to")]
+			from, to := h.replicas[index.Draw(t, "from")], h.replicas[index.Draw(t, "to")]
 			entries, _ := from.Since(rapid.IntRange(0, 5).Draw(t, "since"), rapid.IntRange(1, 5).Draw(t, "limit"))
 			_ = to.Offer(entries) // a gap is rejected and leaves the replica unchanged
 		},
 		"adopt": func(t *rapid.T) {
-			w.replicas[index.Draw(t, "to")].Adopt(w.replicas[index.Draw(t, "from")].Snapshot())
+			h.replicas[index.Draw(t, "to")].Adopt(h.replicas[index.Draw(t, "from")].Snapshot())
 		},
 		"restart": func(t *rapid.T) {
 			i := index.Draw(t, "i")
-			w.replicas[i], w.highest[i] = w.newReplica(), 0
+			h.replicas[i], h.highest[i] = h.newReplica(), 0
 		},
-		"check": func(*rapid.T) { w.check() },
+		"check": func(*rapid.T) { h.check() },
 	})
-	w.check()
+	h.check()
 }
 
 // TestEveryFaultAtEveryStep injects each fault once and twice at each store call of a commit,
