--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -476,8 +476,8 @@
 		}
 	}
 	h.checkProblems()
-	if what := h.unsettled(); what != "" {
-		h.t.Fatalf("%s", what)
+	if pending := h.unsettled(); pending != "" {
+		h.t.Fatalf("%s", pending)
 	}
 }
 
@@ -530,16 +530,16 @@
 	editAsOperator(h.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	const paused = 5 * time.Minute
 	h.setPause(h.nodes[0], paused, fleet.EffectReboot)
-	began := time.Now()
+	start := time.Now()
 	h.pending.Go(func() {
-		for time.Since(began) < paused {
+		for time.Since(start) < paused {
 			h.step(h.nodes[0])
 			time.Sleep(time.Second)
 		}
 	})
 	next := false
-	for time.Since(began) < paused-10*time.Second {
-		if !next && time.Since(began) > paused/2 { // a second wave gives each VM a new operation
+	for time.Since(start) < paused-10*time.Second {
+		if !next && time.Since(start) > paused/2 { // a second wave gives each VM a new operation
 			next = true
 			editAsOperator(h.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 		}
@@ -549,8 +549,8 @@
 		}
 		time.Sleep(time.Second)
 	}
-	if what := h.unsettled(); what != "" {
-		t.Fatalf("the other node does not take over: %s", what)
+	if pending := h.unsettled(); pending != "" {
+		t.Fatalf("the other node does not take over: %s", pending)
 	}
 	n := h.caughtUp()
 	for _, vm := range n.replica.Snapshot().VMs.Names() {
--- a/pkg/entry/adapters.go
+++ b/pkg/entry/adapters.go
@@ -106,12 +106,12 @@
 // list from after its last message says that its VM is gone. The list may be late but never
 // reports a running VM as gone.
 func (l listedEntries) InFlight(ctx context.Context, vms []string) []membership.EntryInFlight {
-	answers := l.peers.InFlight(ctx, vms)
+	replies := l.peers.InFlight(ctx, vms)
 	list := l.list()
 	if list.AsOfMs == 0 {
-		return answers
+		return replies
 	}
-	return slices.DeleteFunc(answers, func(a membership.EntryInFlight) bool {
+	return slices.DeleteFunc(replies, func(a membership.EntryInFlight) bool {
 		return !a.Reached && a.Heard.UnixMilli() < list.AsOfMs && !slices.ContainsFunc(list.VMs, func(vm platform.ListedVM) bool {
 			return vm.State != platform.VMGone && (vm.Address == a.Address || vm.Name == a.Entry)
 		})
@@ -132,13 +132,13 @@
 		out.VMListAgeMs = int(time.Now().UnixMilli() - list.AsOfMs)
 	}
 	for _, k := range e.peers.Known() {
-		heard := -1
+		lastHeardMs := -1
 		if !k.Heard.IsZero() {
-			heard = int(time.Since(k.Heard).Milliseconds())
+			lastHeardMs = int(time.Since(k.Heard).Milliseconds())
 		}
 		state := k.State
 		state.Address = k.Address
-		out.Entries = append(out.Entries, entryStatus(state, k.Err == nil && heard >= 0, heard))
+		out.Entries = append(out.Entries, entryStatus(state, k.Err == nil && lastHeardMs >= 0, lastHeardMs))
 	}
 	return out
 }
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -70,7 +70,7 @@
 
 // roundTrip sends the request and reads the first part of the response.
 func (a *attempt) roundTrip(ctx context.Context, req *http.Request) {
-	began := time.Now()
+	start := time.Now()
 	if a.x.isStreaming() {
 		timer := time.AfterFunc(a.x.deadline(), func() { a.cancel(context.DeadlineExceeded) })
 		defer timer.Stop()
@@ -83,7 +83,7 @@
 		a.classifyFailure(ctx)
 		return
 	}
-	a.recordResponse(time.Since(began))
+	a.recordResponse(time.Since(start))
 }
 
 // readPrefix reads up to prefixSize bytes of the response body.
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -104,7 +104,7 @@
 }
 
 // post sends a request whose body net/http cannot resend.
-func post(t *testing.T, url, body string, header ...string) (status int, outcome gateway.Outcome, answer string, err error) {
+func post(t *testing.T, url, body string, header ...string) (status int, outcome gateway.Outcome, respBody string, err error) {
 	req, reqErr := http.NewRequest(http.MethodPost, url, io.NopCloser(strings.NewReader(body)))
 	qt.Assert(t, reqErr, qt.IsNil)
 	req.ContentLength = int64(len(body))
@@ -125,13 +125,13 @@
 func TestMalformedResponses(t *testing.T) {
 	const whole = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 	cases := []struct {
-		name, answer string
-		path         string
-		status       int
-		outcome      gateway.Outcome
-		broken       bool // the caller's connection is aborted
+		name, response string
+		path           string
+		status         int
+		outcome        gateway.Outcome
+		broken         bool // the caller's connection is aborted
 	}{
-		{"whole answer", whole, "/once", 200, gateway.OutcomeRan, false},
+		{"complete response", whole, "/once", 200, gateway.OutcomeRan, false},
 		{"no HTTP", "hello, this is no HTTP\r\n\r\n", "/once", 502, gateway.OutcomeUnknown, false},
 		{"nothing", "", "/once", 502, gateway.OutcomeUnknown, false},
 		{"half a header", "HTTP/1.1 200 OK\r\nContent-", "/once", 502, gateway.OutcomeUnknown, false},
@@ -149,7 +149,7 @@
 			c := qt.New(t)
 			address, conns := rawServer(t, func(_ int, conn net.Conn) {
 				if readRequest(bufio.NewReader(conn)) == nil {
-					_, _ = io.WriteString(conn, tc.answer)
+					_, _ = io.WriteString(conn, tc.response)
 				}
 			})
 			_, url := startGateway(t, address)
@@ -306,10 +306,10 @@
 	for _, src := range []gateway.Source{gateway.SourceTable, gateway.SourceList, gateway.SourceProbe} {
 		t.Run(fmt.Sprint(src), func(t *testing.T) {
 			c := qt.New(t)
-			var began [2]atomic.Int64
+			var started [2]atomic.Int64
 			var addresses []string
-			for i := range began {
-				s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { began[i].Add(1) }))
+			for i := range started {
+				s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { started[i].Add(1) }))
 				defer s.Close()
 				addresses = append(addresses, strings.TrimPrefix(s.URL, "http://"))
 			}
@@ -330,7 +330,7 @@
 					}
 				})
 			}
-			for began[0].Load() == 0 {
+			for started[0].Load() == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			if src == gateway.SourceTable {
@@ -345,11 +345,11 @@
 			for g.InFlight("w1") > 0 {
 				time.Sleep(time.Millisecond)
 			}
-			last, other := began[0].Load(), began[1].Load()
-			for began[1].Load() < other+200 {
+			last, other := started[0].Load(), started[1].Load()
+			for started[1].Load() < other+200 {
 				time.Sleep(time.Millisecond)
 			}
-			c.Check(began[0].Load(), qt.Equals, last, qt.Commentf("requests started at a closed server"))
+			c.Check(started[0].Load(), qt.Equals, last, qt.Commentf("requests started at a closed server"))
 			c.Check(g.InFlight("w1"), qt.Equals, 0)
 			close(stop)
 			wg.Wait()
@@ -481,10 +481,10 @@
 // disconnects.
 func TestCallerGone(t *testing.T) {
 	c := qt.New(t)
-	began, finished := make(chan struct{}), make(chan error, 1)
+	started, finished := make(chan struct{}), make(chan error, 1)
 	release := make(chan struct{})
 	backend := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		close(began)
+		close(started)
 		select {
 		case <-r.Context().Done():
 			finished <- errStop
@@ -497,7 +497,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url+"/once", strings.NewReader("x"))
 	go func() {
-		<-began
+		<-started
 		cancel()
 	}()
 	_, err := http.DefaultTransport.RoundTrip(req)
--- a/pkg/gateway/limit/limit_test.go
+++ b/pkg/gateway/limit/limit_test.go
@@ -142,7 +142,7 @@
 	c := qt.New(t)
 	a := limit.NewAdaptive(100)
 	now := time.Unix(0, 0)
-	answer := func(n int, ratio float64) int64 {
+	respond := func(n int, ratio float64) int64 {
 		for range n {
 			now = now.Add(10 * time.Millisecond)
 			a.ObserveResponse(ratio, a.Limit(), now)
@@ -150,11 +150,11 @@
 		return a.Limit()
 	}
 	first := a.Limit()
-	grown := answer(400, 1)
+	grown := respond(400, 1)
 	c.Check(grown > first, qt.IsTrue)
-	c.Check(answer(400, 4), qt.Equals, int64(2), qt.Commentf("the minimum limit"))
-	c.Check(answer(2000, 1) > 10, qt.IsTrue)
-	c.Check(answer(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the maximum limit"))
+	c.Check(respond(400, 4), qt.Equals, int64(2), qt.Commentf("the minimum limit"))
+	c.Check(respond(2000, 1) > 10, qt.IsTrue)
+	c.Check(respond(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the maximum limit"))
 	now = now.Add(time.Second)
 	a.ObserveTimeout(now)
 	c.Check(a.Limit(), qt.Equals, int64(70))
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -83,9 +83,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	for {
-		w := q.join(class, began)
+		w := q.join(class, start)
 		if try() { // a slot may have become free before the waiter was added
 			q.leave(class, w)
 			return nil
--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -28,16 +28,16 @@
 type behavior string
 
 const (
-	answers               behavior = "answers"
-	answersLarge          behavior = "answers big"
+	responds              behavior = "answers"
+	respondsLarge         behavior = "answers big"
 	unavailable           behavior = "unwell"      // 503
 	closesBeforeResponse  behavior = "cuts"        // runs the request, then closes the connection
 	closesInResponse      behavior = "cuts answer" // closes the connection within the response
 	closesInLargeResponse behavior = "cuts big"    // closes the connection after the prefix
-	sleeps                behavior = "sleeps"      // responds long after the deadline
+	respondsLate          behavior = "sleeps"      // responds long after the deadline
 )
 
-var behaviors = []behavior{answers, answers, answersLarge, unavailable, closesBeforeResponse, closesInResponse, closesInLargeResponse, sleeps}
+var behaviors = []behavior{responds, responds, respondsLarge, unavailable, closesBeforeResponse, closesInResponse, closesInLargeResponse, respondsLate}
 
 const (
 	headerID   = "X-Id"
@@ -52,7 +52,7 @@
 	problems []string
 }
 
-func (o *oracle) began(id string) (attempt int) {
+func (o *oracle) startAttempt(id string) (attempt int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts[id]++
@@ -84,9 +84,9 @@
 func (o *oracle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	plan := strings.Split(r.Header.Get(headerPlan), ",")
-	does := behavior(plan[min(o.began(id), len(plan)-1)])
+	does := behavior(plan[min(o.startAttempt(id), len(plan)-1)])
 	_, _ = io.Copy(io.Discard, r.Body)
-	body := expectedBody(id, does == answersLarge || does == closesInLargeResponse)
+	body := expectedBody(id, does == respondsLarge || does == closesInLargeResponse)
 	cut, _ := strconv.Atoi(r.Header.Get(headerCut))
 	switch does {
 	case unavailable:
@@ -94,7 +94,7 @@
 		return
 	case closesBeforeResponse:
 		panic(http.ErrAbortHandler)
-	case sleeps:
+	case respondsLate:
 		select {
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
--- a/pkg/httpc/server_test.go
+++ b/pkg/httpc/server_test.go
@@ -90,11 +90,11 @@
 		s.got = append(s.got, fmt.Sprintf("%s %s %s boot=%s %s", r.Method, r.RequestURI, r.Header.Get("Content-Type"), r.Header.Get("Expect-Boot"), body))
 		lines := s.lines
 		s.mu.Unlock()
-		s.answer(c, lines)
+		s.respond(c, lines)
 	}
 }
 
-func (s *server) answer(c net.Conn, lines []string) {
+func (s *server) respond(c net.Conn, lines []string) {
 	for _, l := range lines {
 		if pause, ok := strings.CutPrefix(l, "pause "); ok {
 			d, _ := time.ParseDuration(pause)
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -149,13 +149,13 @@
 		at[snap.Revision] = snap
 		made[entries[i].EditID]++
 	}
-	for id, told := range h.reported {
+	for id, outcome := range h.reported {
 		switch {
 		case made[id] > 1:
 			h.t.Fatalf("%s was made %d times", id, made[id])
-		case told == accepted && made[id] != 1:
+		case outcome == accepted && made[id] != 1:
 			h.t.Fatalf("%s was accepted but is not in the log", id)
-		case told == notMade && made[id] != 0:
+		case outcome == notMade && made[id] != 0:
 			h.t.Fatalf("%s was reported as not made but is in the log", id)
 		}
 	}
--- a/pkg/replica/store.go
+++ b/pkg/replica/store.go
@@ -139,9 +139,9 @@
 }
 
 // loadRows reads all rows, then the log entries added meanwhile. The pages are not read at one
-// revision, so a row may be newer than began; applying the entries after began, which hold
+// revision, so a row may be newer than baseRevision; applying the later entries, which hold
 // whole rows, brings all rows to the same revision.
-func (r *Replica) loadRows(ctx context.Context, began int) error {
+func (r *Replica) loadRows(ctx context.Context, baseRevision int) error {
 	var rows []table.StoredRow
 	from := prefixRow
 	for {
@@ -161,7 +161,7 @@
 		}
 		from = items[len(items)-1].Key + "\x00"
 	}
-	snap, err := table.Load(began, rows)
+	snap, err := table.Load(baseRevision, rows)
 	if err != nil {
 		return err
 	}
