--- a/pkg/gateway/limit/adaptive.go
+++ b/pkg/gateway/limit/adaptive.go
@@ -13,8 +13,8 @@
 // used, multiplicative decrease when latency rises (after Chiu and Jain, "Analysis of the
 // Increase and Decrease Algorithms for Congestion Avoidance", 1989).
 const (
-	initialLimit = 4
-	minLimit     = 2
+	initialLimit = 4 // requests in flight
+	minLimit     = 2 // requests in flight
 	// congestedRatio is the latency ratio above which requests are assumed to queue at the
 	// server.
 	congestedRatio = 1.35
@@ -113,7 +113,7 @@
 const (
 	// baselineWindow is the shortest time for which a lowest mean counts.
 	baselineWindow = 30 * time.Second
-	baselineBatch  = 16
+	baselineBatch  = 16 // samples per mean
 )
 
 // Observe adds a latency sample and returns its ratio to the uncongested latency.
