--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Table is the entry's copy of the table.
+// Table is the entry's replica of the table.
 type Table interface {
 	Snapshot() *table.Snapshot
 	Commit(ctx context.Context, e *table.Edit) (*schema.Entry, error)
@@ -28,43 +28,43 @@
 	commitTimeout = 3 * time.Second
 )
 
-// Loop is one entry's control work.
+// Loop is the control loop of one entry.
 type Loop struct {
-	name     string
-	table    Table
-	platform platform.Platform
-	observer *Observer
-	limits   fleet.Limits
-	step     time.Duration
-	lease    *lease
-	log      zerolog.Logger
-	paused   func() bool
-	decide   func(fleet.State, fleet.Limits) []fleet.Action
-	holds    atomic.Bool
+	name       string
+	table      Table
+	platform   platform.Platform
+	observer   *Observer
+	limits     fleet.Limits
+	step       time.Duration
+	lease      *lease
+	log        zerolog.Logger
+	paused     func() bool
+	decide     func(fleet.State, fleet.Limits) []fleet.Action
+	holdsLease atomic.Bool
 }
 
-// Holds tells whether this entry did the control work at its last step.
-func (l *Loop) Holds() bool { return l.holds.Load() }
+// HoldsLease reports whether this entry held the lease at its last step.
+func (l *Loop) HoldsLease() bool { return l.holdsLease.Load() }
 
-// Option changes how a Loop is made.
+// Option configures a Loop.
 type Option func(*Loop)
 
-// WithStep sets the time between two decisions.
+// WithStep sets the interval between decisions.
 func WithStep(d time.Duration) Option { return func(l *Loop) { l.step = d } }
 
-// WithLease sets how long the lease lasts without renewal.
+// WithLease sets how long the lease is valid without renewal.
 func WithLease(d time.Duration) Option { return func(l *Loop) { l.lease.duration = d } }
 
-// WithLimits bounds the decisions.
+// WithLimits sets the limits of fleet decisions.
 func WithLimits(limits fleet.Limits) Option { return func(l *Loop) { l.limits = limits } }
 
-// WithLogger logs one line for each decision.
+// WithLogger logs each action to log.
 func WithLogger(log zerolog.Logger) Option { return func(l *Loop) { l.log = log } }
 
-// WithPaused keeps the loop from taking the lease while f returns true.
+// WithPaused keeps the loop from holding the lease while f returns true.
 func WithPaused(f func() bool) Option { return func(l *Loop) { l.paused = f } }
 
-// New returns the loop of the named entry.
+// New returns the control loop of the named entry.
 func New(name string, t Table, p platform.Platform, o *Observer, opts ...Option) *Loop {
 	l := &Loop{
 		name: name, table: t, platform: p, observer: o,
@@ -81,11 +81,11 @@
 
 func randomID() string {
 	raw := make([]byte, 8)
-	_, _ = rand.Read(raw) // never fails, it ends the process instead
+	_, _ = rand.Read(raw) // never returns an error
 	return hex.EncodeToString(raw)
 }
 
-// Run decides and acts until ctx ends; then it gives the lease up.
+// Run makes a decision at each interval until ctx ends, then releases the lease.
 func (l *Loop) Run(ctx context.Context) error {
 	t := time.NewTicker(l.step)
 	defer t.Stop()
@@ -104,20 +104,20 @@
 	}
 }
 
-// Step makes one decision, if this entry holds the lease, and carries it out.
+// Step makes one decision and executes it, if this entry holds the lease.
 func (l *Loop) Step(ctx context.Context) {
 	if l.paused() {
-		l.holds.Store(false)
+		l.holdsLease.Store(false)
 		if err := l.lease.release(ctx, time.Now()); err != nil {
 			l.log.Debug().Str("event", "lease_not_released").Err(err).Send()
 		}
 		return
 	}
-	held, err := l.lease.hold(ctx, time.Now())
+	held, err := l.lease.acquire(ctx, time.Now())
 	if err != nil {
 		l.log.Debug().Str("event", "lease_failed").Err(err).Send()
 	}
-	l.holds.Store(held)
+	l.holdsLease.Store(held)
 	if !held {
 		return
 	}
@@ -127,17 +127,17 @@
 		if ctx.Err() != nil {
 			return
 		}
-		l.carryOut(ctx, a)
+		l.execute(ctx, a)
 	}
 }
 
-// carryOut does one action; what fails is decided anew in the next step.
-func (l *Loop) carryOut(ctx context.Context, a fleet.Action) {
+// execute executes one action. A failed action is decided again in a later step.
+func (l *Loop) execute(ctx context.Context, a fleet.Action) {
 	var err error
 	if a.IsEffect() {
-		err = l.effect(ctx, a)
+		err = l.applyEffect(ctx, a)
 	} else {
-		err = l.edit(ctx, a)
+		err = l.commitEdit(ctx, a)
 	}
 	ev := l.log.Info()
 	if err != nil {
@@ -147,7 +147,7 @@
 		Str("reason", a.Reason).Str("evidence", a.Evidence).Err(err).Send()
 }
 
-func (l *Loop) effect(ctx context.Context, a fleet.Action) (err error) {
+func (l *Loop) applyEffect(ctx context.Context, a fleet.Action) (err error) {
 	switch a.Kind {
 	case fleet.EffectDrain:
 		err = l.platform.Drain(ctx, a.VM, a.Boot)
@@ -161,7 +161,7 @@
 	return errors.Wrapf(err, "%s of %s", a.Kind, a.VM)
 }
 
-func (l *Loop) edit(ctx context.Context, a fleet.Action) error {
+func (l *Loop) commitEdit(ctx context.Context, a fleet.Action) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	_, err := l.table.Commit(ctx, &table.Edit{
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -25,64 +25,64 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// plants are promises that a test variant breaks on purpose.
-type plants struct {
-	lyingEntries  bool // entries always say that nothing is in flight
-	deafPlatform  bool // the platform forgets which boot a reboot was meant for
-	hastyDecision bool // a draining VM reboots without waiting
+// mutations selects guarantees to break, to check that the property detects it.
+type mutations struct {
+	zeroCounts    bool // entries report no requests in flight
+	ignoreBoot    bool // the platform ignores the boot that a reboot is meant for
+	skipDrainWait bool // a draining VM is rebooted without waiting
 }
 
-// node is one entry: its copy of the table, its requests and its control loop.
+// node is an entry with its replica, its requests and its control loop.
 type node struct {
-	replica  *replica.Replica
-	loop     *Loop
-	stepping atomic.Bool // a loop makes one step at a time; what follows is under the world's lock
-	inFlight map[string]int
-	cut      bool             // the other nodes cannot reach it
-	pause    time.Duration    // between its next decision and its writes
-	pauseOn  fleet.ActionKind // the pause waits for a decision with this action, if it is set
-}
-
-// world is several nodes racing on one platform, and the oracle beside them.
-type world struct {
-	t        fataler
-	plants   plants
-	platform *fake.Platform
-	nodes    []*node
-	pending  sync.WaitGroup
-
-	mu       sync.Mutex
-	rows     map[string]schema.VM // the truth in the store
-	pools    map[string]schema.Pool
-	off      map[string]bool
-	leaving  map[string]bool
-	failing  bool // power goes off by a failure, not by a reboot
-	problems []string
-}
-
-// fataler ends a test; rapid's and the standard one's T do.
-type fataler interface {
+	replica     *replica.Replica
+	loop        *Loop
+	stepping    atomic.Bool // a step is in progress; harness.mu guards the fields below
+	inFlight    map[string]int
+	unreachable bool             // by the other nodes
+	pause       time.Duration    // before the next decision is executed
+	pauseOn     fleet.ActionKind // pause only before this kind of action, empty for any
+}
+
+// harness runs several nodes on one platform and checks what they do.
+type harness struct {
+	t         fatalT
+	mutations mutations
+	platform  *fake.Platform
+	nodes     []*node
+	pending   sync.WaitGroup
+
+	mu         sync.Mutex
+	rows       map[string]schema.VM // rows in the store
+	pools      map[string]schema.Pool
+	poweredOff map[string]bool
+	leaving    map[string]bool
+	failing    bool // the power loss is a failure, not a reboot
+	problems   []string
+}
+
+// fatalT is the part of testing.T and rapid.T that the harness uses.
+type fatalT interface {
 	Fatalf(format string, args ...any)
 }
 
-const worldNodes = 3
+const harnessNodes = 3
 
-func newWorld(t fataler, p plants) *world {
-	w := &world{
-		t: t, plants: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
-		off: map[string]bool{}, leaving: map[string]bool{},
+func newHarness(t fatalT, p mutations) *harness {
+	h := &harness{
+		t: t, mutations: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
+		poweredOff: map[string]bool{}, leaving: map[string]bool{},
 	}
-	w.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(w), fake.WithObserver(w),
+	h.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(h), fake.WithObserver(h),
 		fake.WithListLag(2*time.Second), fake.WithRebootTime(2*time.Second), fake.WithLimits(10_000, 100_000))
-	for range worldNodes {
-		w.nodes = append(w.nodes, w.newNode())
+	for range harnessNodes {
+		h.nodes = append(h.nodes, h.newNode())
 	}
-	w.fill()
-	return w
+	h.populate()
+	return h
 }
 
-// fill writes two pools and six VMs.
-func (w *world) fill() {
+// populate creates two pools and six VMs.
+func (h *harness) populate() {
 	value := func(kind schema.Kind, name string, v any) table.Change {
 		return table.Change{Key: table.Key{Kind: kind, Name: name}, Value: table.MustValue(v)}
 	}
@@ -97,38 +97,38 @@
 		name := fmt.Sprintf("w%d", i)
 		pool := []string{"a", "a", "a", "b", "b", ""}[i]
 		edit.Changes = append(edit.Changes, value(schema.KindVM, name, schema.VM{Rack: "r", Address: fmt.Sprintf("x:%d", i+1), Pool: pool, Phase: schema.PhaseActive}))
-		w.platform.AddVM(platform.ListedVM{Name: name, Zone: "z", Role: platform.RoleWorker})
+		h.platform.AddVM(platform.ListedVM{Name: name, Zone: "z", Role: platform.RoleWorker})
 	}
-	if _, err := w.nodes[0].replica.Commit(context.Background(), edit); err != nil {
-		w.t.Fatalf("fill: %v", err)
+	if _, err := h.nodes[0].replica.Commit(context.Background(), edit); err != nil {
+		h.t.Fatalf("populate: %v", err)
 	}
 }
 
-func (w *world) newNode() *node {
-	view := w.platform.View("z")
-	if w.plants.deafPlatform {
-		view = deaf{view}
+func (h *harness) newNode() *node {
+	view := h.platform.View("z")
+	if h.mutations.ignoreBoot {
+		view = bootIgnorer{view}
 	}
 	n := &node{replica: replica.New(view), inFlight: map[string]int{}}
-	o := &Observer{VMs: view, Prober: prober{w}, Entries: asked{w}, Own: func(string) int { return 0 }}
+	o := &Observer{VMs: view, Prober: prober{h}, Entries: entryCounter{h}, LocalInFlight: func(string) int { return 0 }}
 	n.loop = New("node", n.replica, view, o, WithLimits(fleet.Limits{
 		DownAfter: 3 * time.Second, RepairAfter: 5 * time.Second, ReplaceAfter: 20 * time.Second, MaxActions: 8,
 	}))
 	n.loop.decide = func(s fleet.State, l fleet.Limits) []fleet.Action {
-		if w.plants.hastyDecision {
-			s = hasty(s)
+		if h.mutations.skipDrainWait {
+			s = withoutInFlight(s)
 		}
 		actions := fleet.Decide(s, l)
-		time.Sleep(w.pauseOf(n, actions))
+		time.Sleep(h.pauseOf(n, actions))
 		return actions
 	}
 	return n
 }
 
-// pauseOf returns how long a node pauses after a decision; a pause happens once.
-func (w *world) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// pauseOf returns how long a node pauses after a decision. Each pause happens once.
+func (h *harness) pauseOf(n *node, actions []fleet.Action) (pause time.Duration) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	decided := slices.ContainsFunc(actions, func(a fleet.Action) bool { return a.Kind == n.pauseOn })
 	if n.pauseOn == "" || decided {
 		pause = n.pause
@@ -137,10 +137,10 @@
 	return pause
 }
 
-// deaf carries out a reboot whatever boot it was meant for.
-type deaf struct{ platform.Platform }
+// bootIgnorer executes a reboot even if the VM has booted since it was decided.
+type bootIgnorer struct{ platform.Platform }
 
-func (d deaf) Reboot(ctx context.Context, vm, operation string, _ int) error {
+func (d bootIgnorer) Reboot(ctx context.Context, vm, operation string, _ int) error {
 	status, err := d.VMStatus(ctx, vm)
 	if err != nil {
 		return err
@@ -148,8 +148,8 @@
 	return d.Platform.Reboot(ctx, vm, operation, status.Boot)
 }
 
-// hasty observes that nothing is in flight, whatever was seen.
-func hasty(s fleet.State) fleet.State {
+// withoutInFlight removes all requests in flight from the observations of draining VMs.
+func withoutInFlight(s fleet.State) fleet.State {
 	s.Observed = maps.Clone(s.Observed)
 	for name, o := range s.Observed {
 		if s.Table.VMs[name].Value.Phase != schema.PhaseDraining || o.Status == nil {
@@ -164,12 +164,12 @@
 	return s
 }
 
-func (w *world) problem(format string, args ...any) {
-	w.problems = append(w.problems, fmt.Sprintf(format, args...))
+func (h *harness) problem(format string, args ...any) {
+	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
-// Wrote implements fake.Observer: budgets are judged by the rows in the store.
-func (w *world) Wrote(write platform.Write) {
+// Wrote implements fake.Observer. It checks budgets against the rows in the store.
+func (h *harness) Wrote(write platform.Write) {
 	key, ok := replica.ParseRowKey(write.Key)
 	if !ok {
 		return
@@ -178,93 +178,93 @@
 	if err != nil {
 		return
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	switch key.Kind {
 	case schema.KindPool:
-		w.pools[key.Name] = table.MustParse[schema.Pool](row.Value)
+		h.pools[key.Name] = table.MustParse[schema.Pool](row.Value)
 	case schema.KindVM:
-		old := w.rows[key.Name]
+		old := h.rows[key.Name]
 		vm := table.MustParse[schema.VM](row.Value)
-		w.rows[key.Name] = vm
+		h.rows[key.Name] = vm
 		if old.Phase == schema.PhaseActive && vm.Phase == schema.PhaseDraining && vm.Pool != "" {
-			w.judgeGrant(key.Name, vm.Pool)
+			h.checkBudget(key.Name, vm.Pool)
 		}
-		if old.Pool != "" && vm.Pool != old.Pool && w.busy(key.Name) > 0 && !w.off[key.Name] {
-			w.problem("%s left pool %s with requests in flight", key.Name, old.Pool)
+		if old.Pool != "" && vm.Pool != old.Pool && h.busy(key.Name) > 0 && !h.poweredOff[key.Name] {
+			h.problem("%s left pool %s with requests in flight", key.Name, old.Pool)
 		}
 	}
 }
 
-func (w *world) judgeGrant(name, pool string) {
+func (h *harness) checkBudget(name, pool string) {
 	out := 0
-	for _, vm := range w.rows {
+	for _, vm := range h.rows {
 		if vm.Pool == pool && vm.Phase != schema.PhaseActive {
 			out++
 		}
 	}
-	if out > w.pools[pool].MaxUnavailable {
-		w.problem("%s was taken out of pool %s, which makes %d of a budget of %d", name, pool, out, w.pools[pool].MaxUnavailable)
+	if out > h.pools[pool].MaxUnavailable {
+		h.problem("%s was taken out of pool %s: %d VMs out of service, budget %d", name, pool, out, h.pools[pool].MaxUnavailable)
 	}
 }
 
-func (w *world) busy(vm string) (n int) {
-	for _, node := range w.nodes {
+func (h *harness) busy(vm string) (n int) {
+	for _, node := range h.nodes {
 		n += node.inFlight[vm]
 	}
 	return n
 }
 
 // Leaving implements fake.Machine.
-func (w *world) Leaving(vm string, leaving bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.leaving[vm] = leaving
-}
-
-// Power implements fake.Machine: a reboot must meet an idle VM that the table gave up.
-func (w *world) Power(vm string, on bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.off[vm] = !on
-	w.leaving[vm] = false
+func (h *harness) Leaving(vm string, leaving bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leaving[vm] = leaving
+}
+
+// Power implements fake.Machine. It checks that a rebooted VM is idle and not active.
+func (h *harness) Power(vm string, on bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.poweredOff[vm] = !on
+	h.leaving[vm] = false
 	if on {
 		return
 	}
-	if !w.failing && w.busy(vm) > 0 {
-		w.problem("%s was rebooted with %d requests in flight", vm, w.busy(vm))
+	if !h.failing && h.busy(vm) > 0 {
+		h.problem("%s was rebooted with %d requests in flight", vm, h.busy(vm))
 	}
-	if !w.failing && w.rows[vm].Phase == schema.PhaseActive {
-		w.problem("%s was rebooted while it is active", vm)
+	if !h.failing && h.rows[vm].Phase == schema.PhaseActive {
+		h.problem("%s was rebooted while it is active", vm)
 	}
-	for _, n := range w.nodes {
+	for _, n := range h.nodes {
 		delete(n.inFlight, vm)
 	}
 }
 
 // InFlight implements fake.Machine.
-func (w *world) InFlight(vm string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.plants.lyingEntries {
+func (h *harness) InFlight(vm string) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.mutations.zeroCounts {
 		return 0
 	}
-	return w.busy(vm)
+	return h.busy(vm)
 }
 
-// asked answers control's questions to the entries.
-type asked struct{ w *world }
+// entryCounter implements Entries for the harness.
+type entryCounter struct{ h *harness }
 
 // InFlight implements Entries.
-func (a asked) InFlight(_ context.Context, vms []string) (out []membership.EntryInFlight) {
-	w := a.w
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, n := range w.nodes {
-		e := membership.EntryInFlight{Entry: fmt.Sprint(i), Reached: !n.cut, Revision: n.replica.Revision(), Counts: map[string]int{}}
+func (a entryCounter) InFlight(_ context.Context, vms []string) (out []membership.EntryInFlight) {
+	h := a.h
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, n := range h.nodes {
+		e := membership.EntryInFlight{Entry: fmt.Sprint(i), Reached: !n.unreachable, Revision: n.replica.Revision(), Counts: map[string]int{}}
 		for _, vm := range vms {
 			e.Counts[vm] = n.inFlight[vm]
-			if w.plants.lyingEntries {
+			if h.mutations.zeroCounts {
 				e.Counts[vm] = 0
 			}
 		}
@@ -273,28 +273,28 @@
 	return out
 }
 
-// prober sees the truth.
-type prober struct{ w *world }
+// prober reports the actual state of the VMs.
+type prober struct{ h *harness }
 
 func (p prober) Health(vm string) (membership.Health, time.Time) {
-	p.w.mu.Lock()
-	defer p.w.mu.Unlock()
+	p.h.mu.Lock()
+	defer p.h.mu.Unlock()
 	switch {
-	case p.w.off[vm]:
+	case p.h.poweredOff[vm]:
 		return membership.HealthBad, time.Now()
-	case p.w.leaving[vm]:
+	case p.h.leaving[vm]:
 		return membership.HealthLeaving, time.Now()
 	}
 	return membership.HealthGood, time.Now()
 }
 
 func (p prober) List() platform.VMList {
-	list, _ := p.w.platform.View("z").ListVMs(context.Background(), "") // an empty list is a list too
+	list, _ := p.h.platform.View("z").ListVMs(context.Background(), "") // the list is empty on error
 	return list
 }
 
 // step makes one control step of a node.
-func (w *world) step(n *node) {
+func (h *harness) step(n *node) {
 	if n.stepping.Swap(true) {
 		return
 	}
@@ -303,18 +303,18 @@
 	n.loop.Step(context.Background())
 }
 
-// request begins a request at a VM that the node holds for active.
-func (w *world) request(n *node, vm string) {
+// request starts a request at a VM that is active in the node's replica.
+func (h *harness) request(n *node, vm string) {
 	row := n.replica.Snapshot().VMs[vm].Value
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if row.Phase == schema.PhaseActive && row.Pool != "" && !w.off[vm] {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if row.Phase == schema.PhaseActive && row.Pool != "" && !h.poweredOff[vm] {
 		n.inFlight[vm]++
 	}
 }
 
-// operate edits a row as an operator does; a refusal is an answer.
-func operate[T any](n *node, kind schema.Kind, name string, f func(*T)) {
+// editAsOperator commits an edit by an operator. It may be rejected.
+func editAsOperator[T any](n *node, kind schema.Kind, name string, f func(*T)) {
 	key := table.Key{Kind: kind, Name: name}
 	snap := n.replica.Snapshot()
 	var v T
@@ -330,69 +330,69 @@
 	})
 }
 
-// judge ends the case when the oracle has seen a promise broken.
-func (w *world) judge() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.problems) > 0 {
-		w.t.Fatalf("%s", w.problems[0])
+// checkProblems fails the test if a violation was found.
+func (h *harness) checkProblems() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.problems) > 0 {
+		h.t.Fatalf("%s", h.problems[0])
 	}
 }
 
-// machine is the property: nodes race, pause, crash and are cut off; the store
-// fails; VMs fail; operators steer. Nothing is cut off, budgets hold, and when
-// all is well again every wave ends.
-func machine(t *rapid.T, p plants) {
-	w := newWorld(t, p)
-	defer w.pending.Wait()
-	node := rapid.Custom(func(t *rapid.T) *node { return w.nodes[rapid.IntRange(0, worldNodes-1).Draw(t, "node")] })
+// machine checks the nodes under concurrency, pauses, crashes, partitions, store faults, VM
+// failures and operator edits: no request is cut off, budgets hold, and every wave ends after
+// all faults end.
+func machine(t *rapid.T, p mutations) {
+	h := newHarness(t, p)
+	defer h.pending.Wait()
+	node := rapid.Custom(func(t *rapid.T) *node { return h.nodes[rapid.IntRange(0, harnessNodes-1).Draw(t, "node")] })
 	vm := rapid.SampledFrom([]string{"w0", "w1", "w2", "w3", "w4", "w5"})
 	if rapid.Bool().Draw(t, "wave from the start") {
-		operate(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+		editAsOperator(h.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	}
 	t.Repeat(map[string]func(*rapid.T){
-		"":     func(*rapid.T) { w.judge() },
-		"step": func(t *rapid.T) { w.step(node.Draw(t, "n")) },
+		"":     func(*rapid.T) { h.checkProblems() },
+		"step": func(t *rapid.T) { h.step(node.Draw(t, "n")) },
 		"work": func(t *rapid.T) {
 			for range rapid.IntRange(1, 5).Draw(t, "rounds") {
 				time.Sleep(time.Second)
-				w.step(node.Draw(t, "n"))
+				h.step(node.Draw(t, "n"))
 			}
 		},
 		"requests everywhere": func(t *rapid.T) {
 			n := node.Draw(t, "n")
 			for _, name := range slices.Sorted(maps.Keys(n.replica.Snapshot().VMs)) {
-				w.request(n, name)
+				h.request(n, name)
 			}
 		},
 		"end all requests": func(t *rapid.T) {
-			for _, n := range w.nodes {
-				for _, name := range w.nodes[0].replica.Snapshot().VMs.Names() {
-					w.endRequests(n, name)
+			for _, n := range h.nodes {
+				for _, name := range h.nodes[0].replica.Snapshot().VMs.Names() {
+					h.endRequests(n, name)
 				}
 			}
 		},
 		"paused step": func(t *rapid.T) {
 			n := node.Draw(t, "n")
-			w.setPause(n, time.Duration(rapid.IntRange(1, 90).Draw(t, "s"))*time.Second, "")
-			w.pending.Go(func() { w.step(n) })
+			h.setPause(n, time.Duration(rapid.IntRange(1, 90).Draw(t, "s"))*time.Second, "")
+			h.pending.Go(func() { h.step(n) })
 			time.Sleep(100 * time.Millisecond)
 		},
 		"time":        func(t *rapid.T) { time.Sleep(time.Duration(rapid.IntRange(1, 12).Draw(t, "s")) * time.Second) },
 		"catch up":    func(t *rapid.T) { _, _ = node.Draw(t, "n").replica.CatchUp(context.Background()) },
-		"request":     func(t *rapid.T) { w.request(node.Draw(t, "n"), vm.Draw(t, "vm")) },
-		"end request": func(t *rapid.T) { w.endRequests(node.Draw(t, "n"), vm.Draw(t, "vm")) },
-		"cut":         func(t *rapid.T) { w.setCut(node.Draw(t, "n"), rapid.Bool().Draw(t, "cut")) },
+		"request":     func(t *rapid.T) { h.request(node.Draw(t, "n"), vm.Draw(t, "vm")) },
+		"end request": func(t *rapid.T) { h.endRequests(node.Draw(t, "n"), vm.Draw(t, "vm")) },
+		"cut":         func(t *rapid.T) { h.setUnreachable(node.Draw(t, "n"), rapid.Bool().Draw(t, "cut")) },
 		"crash": func(t *rapid.T) {
-			i := rapid.IntRange(0, worldNodes-1).Draw(t, "i")
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.nodes[i] = w.newNode()
+			i := rapid.IntRange(0, harnessNodes-1).Draw(t, "i")
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			h.nodes[i] = h.newNode()
 		},
-		"fail":    func(t *rapid.T) { w.fail(vm.Draw(t, "vm")) },
-		"recover": func(t *rapid.T) { w.recover(vm.Draw(t, "vm")) },
+		"fail":    func(t *rapid.T) { h.fail(vm.Draw(t, "vm")) },
+		"recover": func(t *rapid.T) { h.recover(vm.Draw(t, "vm")) },
 		"fault": func(t *rapid.T) {
-			w.platform.SetRules(fake.Rule{
+			h.platform.SetRules(fake.Rule{
 				Op:    rapid.SampledFrom([]rest.Operation{"", rest.OpCommit, rest.OpGet, rest.OpReboot, rest.OpDrain, rest.OpVMStatus}).Draw(t, "op"),
 				Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 1500,
 				Chance: 0.5, Count: rapid.IntRange(1, 6).Draw(t, "count"),
@@ -401,89 +401,89 @@
 		"wave": func(t *rapid.T) {
 			state := rapid.SampledFrom([]schema.WaveState{schema.WaveStateRunning, schema.WaveStateRunning, schema.WaveStatePaused, schema.WaveStateAborted}).Draw(t, "state")
 			name := rapid.SampledFrom([]string{"wave-1", "wave-2"}).Draw(t, "wave")
-			operate(node.Draw(t, "n"), schema.KindWave, name, func(v *schema.Wave) { v.State, v.Pools = state, []string{} })
+			editAsOperator(node.Draw(t, "n"), schema.KindWave, name, func(v *schema.Wave) { v.State, v.Pools = state, []string{} })
 		},
 		"budget": func(t *rapid.T) {
-			operate(node.Draw(t, "n"), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = rapid.IntRange(0, 2).Draw(t, "budget") })
+			editAsOperator(node.Draw(t, "n"), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = rapid.IntRange(0, 2).Draw(t, "budget") })
 		},
 		"size": func(t *rapid.T) {
-			operate(node.Draw(t, "n"), schema.KindPool, "b", func(v *schema.Pool) { v.Size = rapid.IntRange(2, 3).Draw(t, "size") })
+			editAsOperator(node.Draw(t, "n"), schema.KindPool, "b", func(v *schema.Pool) { v.Size = rapid.IntRange(2, 3).Draw(t, "size") })
 		},
 	})
-	w.settle()
+	h.recoverAll()
 }
 
-func (w *world) endRequests(n *node, vm string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) endRequests(n *node, vm string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	delete(n.inFlight, vm)
 }
 
-func (w *world) setPause(n *node, d time.Duration, on fleet.ActionKind) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) setPause(n *node, d time.Duration, on fleet.ActionKind) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	n.pause, n.pauseOn = d, on
 }
 
-func (w *world) setCut(n *node, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	n.cut = cut
+func (h *harness) setUnreachable(n *node, cut bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	n.unreachable = cut
 }
 
-func (w *world) fail(vm string) {
-	w.mu.Lock()
-	w.failing = true
-	w.mu.Unlock()
-	w.platform.Fail(vm)
-	w.mu.Lock()
-	w.failing = false
-	w.mu.Unlock()
+func (h *harness) fail(vm string) {
+	h.mu.Lock()
+	h.failing = true
+	h.mu.Unlock()
+	h.platform.Fail(vm)
+	h.mu.Lock()
+	h.failing = false
+	h.mu.Unlock()
 }
 
-func (w *world) recover(vm string) {
-	w.mu.Lock()
-	off := w.off[vm]
-	w.mu.Unlock()
+func (h *harness) recover(vm string) {
+	h.mu.Lock()
+	off := h.poweredOff[vm]
+	h.mu.Unlock()
 	if off {
-		w.platform.Recover(vm)
+		h.platform.Recover(vm)
 	}
 }
 
-// settle heals everything and lets the nodes finish.
-func (w *world) settle() {
-	w.platform.SetRules()
-	w.pending.Wait()
-	w.mu.Lock()
-	for _, n := range w.nodes {
-		n.cut = false
+// recoverAll ends all faults and lets the nodes finish their work.
+func (h *harness) recoverAll() {
+	h.platform.SetRules()
+	h.pending.Wait()
+	h.mu.Lock()
+	for _, n := range h.nodes {
+		n.unreachable = false
 		clear(n.inFlight)
 	}
-	w.mu.Unlock()
-	time.Sleep(10 * time.Second) // reboots under way end
-	for _, vm := range w.caughtUp().replica.Snapshot().VMs.Names() {
-		w.recover(vm)
+	h.mu.Unlock()
+	time.Sleep(10 * time.Second) // until reboots in progress have ended
+	for _, vm := range h.caughtUp().replica.Snapshot().VMs.Names() {
+		h.recover(vm)
 	}
-	operate(w.caughtUp(), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = 1 })
+	editAsOperator(h.caughtUp(), schema.KindPool, "a", func(v *schema.Pool) { v.MaxUnavailable = 1 })
 	const rounds = 400
 	for range rounds {
 		time.Sleep(500 * time.Millisecond)
-		for _, n := range w.nodes {
-			w.step(n)
+		for _, n := range h.nodes {
+			h.step(n)
 		}
-		if w.unsettled() == "" {
+		if h.unsettled() == "" {
 			break
 		}
 	}
-	w.judge()
-	if what := w.unsettled(); what != "" {
-		w.t.Fatalf("%s", what)
+	h.checkProblems()
+	if pending := h.unsettled(); pending != "" {
+		h.t.Fatalf("%s", pending)
 	}
 }
 
-// unsettled says what has not come to its end.
-func (w *world) unsettled() string {
-	snap := w.caughtUp().replica.Snapshot()
+// unsettled describes what has not finished, empty if everything has.
+func (h *harness) unsettled() string {
+	snap := h.caughtUp().replica.Snapshot()
 	for name, wave := range snap.Waves {
 		if wave.Value.State == schema.WaveStateRunning {
 			return fmt.Sprintf("wave %s does not end: %+v, %+v", name, fleet.ProgressOf(snap, name), snap.VMs)
@@ -491,31 +491,31 @@
 	}
 	for name, vm := range snap.VMs {
 		if vm.Value.Phase != schema.PhaseActive {
-			status, err := w.platform.View("z").VMStatus(context.Background(), name)
+			status, err := h.platform.View("z").VMStatus(context.Background(), name)
 			return fmt.Sprintf("%s stays %+v; status %+v %v", name, vm.Value, status, err)
 		}
 	}
 	return ""
 }
 
-func (w *world) caughtUp() *node {
-	n := w.nodes[0]
+func (h *harness) caughtUp() *node {
+	n := h.nodes[0]
 	if _, err := n.replica.CatchUp(context.Background()); err != nil {
-		w.t.Fatalf("catch up: %v", err)
+		h.t.Fatalf("catch up: %v", err)
 	}
 	return n
 }
 
-// TestMachine proves budgets, drains and the end of waves under races and faults.
+// TestMachine checks budgets, drains and the end of waves under races and faults.
 func TestMachine(t *testing.T) {
-	prop.Check(t, func(rt *rapid.T) { machine(rt, plants{}) })
+	prop.Check(t, func(rt *rapid.T) { machine(rt, mutations{}) })
 }
 
-// TestPlanted breaks promises on purpose: the property must see each.
-func TestPlanted(t *testing.T) {
-	for name, p := range map[string]plants{
-		"entries lie":           {lyingEntries: true},
-		"drains are not waited": {hastyDecision: true},
+// TestMutations breaks one guarantee at a time and expects the property to fail.
+func TestMutations(t *testing.T) {
+	for name, p := range map[string]mutations{
+		"entries report no requests": {zeroCounts: true},
+		"drains are not awaited":     {skipDrainWait: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
@@ -523,51 +523,51 @@
 	}
 }
 
-// pausedReboot pauses a node between the decision to reboot a VM and the call,
-// until another node has taken two waves to their ends and the VMs serve again.
-func pausedReboot(t fataler, p plants) (problems []string) {
-	w := newWorld(t, p)
-	operate(w.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+// pausedReboot pauses a node between the decision to reboot a VM and the call, while another
+// node completes two waves and the VMs serve again.
+func pausedReboot(t fatalT, p mutations) (problems []string) {
+	h := newHarness(t, p)
+	editAsOperator(h.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	const paused = 5 * time.Minute
-	w.setPause(w.nodes[0], paused, fleet.EffectReboot)
-	began := time.Now()
-	w.pending.Go(func() {
-		for time.Since(began) < paused {
-			w.step(w.nodes[0])
+	h.setPause(h.nodes[0], paused, fleet.EffectReboot)
+	start := time.Now()
+	h.pending.Go(func() {
+		for time.Since(start) < paused {
+			h.step(h.nodes[0])
 			time.Sleep(time.Second)
 		}
 	})
 	next := false
-	for time.Since(began) < paused-10*time.Second {
-		if !next && time.Since(began) > paused/2 { // another wave gives each VM another operation
+	for time.Since(start) < paused-10*time.Second {
+		if !next && time.Since(start) > paused/2 { // a second wave gives each VM a new operation
 			next = true
-			operate(w.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
+			editAsOperator(h.caughtUp(), schema.KindWave, "wave-2", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 		}
-		w.step(w.nodes[1])
-		for _, n := range w.nodes { // an entry that lags would hold every drain up
+		h.step(h.nodes[1])
+		for _, n := range h.nodes { // a lagging entry would delay every drain
 			_, _ = n.replica.CatchUp(context.Background())
 		}
 		time.Sleep(time.Second)
 	}
-	if what := w.unsettled(); what != "" {
-		t.Fatalf("the other node does not take over: %s", what)
+	if pending := h.unsettled(); pending != "" {
+		t.Fatalf("the other node does not take over: %s", pending)
 	}
-	n := w.caughtUp()
+	n := h.caughtUp()
 	for _, vm := range n.replica.Snapshot().VMs.Names() {
-		w.request(n, vm)
+		h.request(n, vm)
 	}
-	w.pending.Wait()
+	h.pending.Wait()
 	time.Sleep(10 * time.Second)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.problems
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.problems
 }
 
-// TestPausedReboot wakes a node that was about to reboot a VM long ago: the call
-// meets a VM that has booted since and is refused. Without that fence, it cuts requests off.
+// TestPausedReboot checks that a reboot decided long ago is rejected because the VM has booted
+// since, and that requests would be cut off without this check.
 func TestPausedReboot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		qt.Check(t, pausedReboot(t, plants{}), qt.HasLen, 0)
-		qt.Check(t, pausedReboot(t, plants{deafPlatform: true}), qt.Not(qt.HasLen), 0)
+		qt.Check(t, pausedReboot(t, mutations{}), qt.HasLen, 0)
+		qt.Check(t, pausedReboot(t, mutations{ignoreBoot: true}), qt.Not(qt.HasLen), 0)
 	})
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -27,14 +27,14 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Entry is one entry daemon.
+// Entry is an entry daemon.
 type Entry struct {
 	settings schema.Settings
 	log      zerolog.Logger
 	limits   fleet.Limits
 	platform platform.Platform
-	dial     Dial // nil for the usual one
-	traffic  *traffic
+	dial     Dial // nil for the defaults of gateway and membership
+	traffic  *controlTraffic
 	registry *prometheus.Registry
 
 	callers, operators, peerListener net.Listener
@@ -46,32 +46,32 @@
 	servers  *membership.Servers
 	follower *replica.Follower
 	loop     *control.Loop
-	book     *once.Book
+	claims   *once.Claims
 	observer *control.Observer
 
 	stopOnce sync.Once
 	stop     chan struct{}
 }
 
-// Option changes how an Entry is made.
+// Option configures an Entry.
 type Option func(*Entry)
 
-// WithLogger sets the log.
+// WithLogger sets the logger.
 func WithLogger(l zerolog.Logger) Option { return func(e *Entry) { e.log = l } }
 
-// WithPlatform sets the platform in place of the one that the settings name.
+// WithPlatform uses p instead of the platform from the settings.
 func WithPlatform(p platform.Platform) Option { return func(e *Entry) { e.platform = p } }
 
 // Dial opens a connection.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// WithDial opens connections to backend servers and peers by d.
+// WithDial uses d to open connections to backend servers and peers.
 func WithDial(d Dial) Option { return func(e *Entry) { e.dial = d } }
 
-// WithLimits bounds fleet decisions.
+// WithLimits sets the limits of fleet decisions.
 func WithLimits(l fleet.Limits) Option { return func(e *Entry) { e.limits = l } }
 
-// New makes an entry and binds its listeners; Run must follow.
+// New creates an entry and binds its listeners. The caller must then call Run.
 func New(settings schema.Settings, opts ...Option) (e *Entry, err error) {
 	defer func() { err = errors.Wrapf(err, "make entry %s", settings.Name) }()
 	e = &Entry{
@@ -95,14 +95,14 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// assemble connects the parts.
+// assemble creates and connects the components.
 func (e *Entry) assemble() {
 	s := e.settings
-	e.book = once.New(e.platform, s.Name)
-	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithBook(e.book)}
+	e.claims = once.New(e.platform, s.Name)
+	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithClaims(e.claims)}
 	probes := []membership.ServersOption{
 		membership.WithProbeInterval(ms(s.Gateway.ProbeIntervalMs)),
-		membership.WithOnList(e.newList),
+		membership.WithOnList(e.onVMList),
 		membership.WithServersLogger(e.log),
 	}
 	if e.dial != nil {
@@ -110,7 +110,7 @@
 		probes = append(probes, membership.WithProbeDial(e.dial))
 	}
 	e.gateway = gateway.New(s.Name, s.Zone, s.Gateway, path...)
-	e.replica = replica.New(e.platform, replica.WithNotify(e.newTable))
+	e.replica = replica.New(e.platform, replica.WithNotify(e.onTable))
 	self := schema.PeerState{
 		Name: s.Name, Incarnation: int(time.Now().UnixMilli()), Zone: s.Zone, Address: e.PeerAddress(),
 	}
@@ -118,7 +118,7 @@
 		membership.WithInFlight(e.gateway.InFlight),
 		membership.WithStopping(e.stopping),
 		membership.WithInterval(ms(s.Control.SyncIntervalMs)),
-		membership.WithPeerTLS(e.dialTLS),
+		membership.WithPeerTLS(e.peerClientTLS),
 		membership.WithPeerBytes(e.traffic.peers),
 		membership.WithPeerLogger(e.log),
 	}
@@ -129,7 +129,7 @@
 	e.peers.SetAddresses(s.Peers.Seeds)
 	e.servers = membership.NewServers(s.Zone, e.replica, e.platform, marker{e.gateway}, probes...)
 	e.follower = replica.NewFollower(e.replica, ms(s.Control.HeadIntervalMs), e.isReader, e.log)
-	e.observer = &control.Observer{VMs: e.platform, Prober: e.servers, Entries: e.entries(), Own: e.gateway.InFlight}
+	e.observer = &control.Observer{VMs: e.platform, Prober: e.servers, Entries: e.entries(), LocalInFlight: e.gateway.InFlight}
 	e.loop = control.New(s.Name, e.replica, e.platform, e.observer,
 		control.WithStep(ms(s.Control.StepIntervalMs)),
 		control.WithLease(ms(s.Control.LeaseMs)),
@@ -138,14 +138,14 @@
 		control.WithLogger(e.log))
 }
 
-func (e *Entry) dialTLS() *tls.Config {
+func (e *Entry) peerClientTLS() *tls.Config {
 	if e.peerTLS == nil {
 		return nil
 	}
 	return e.peerTLS.PeerClient()
 }
 
-// register collects the metrics.
+// register registers the metrics of all components.
 func (e *Entry) register() error {
 	if err := e.gateway.Register(e.registry); err != nil {
 		return err
@@ -158,7 +158,7 @@
 	return nil
 }
 
-// Run runs the entry until Stop has done its work or ctx ends.
+// Run runs the entry until a graceful shutdown is complete or ctx ends.
 func (e *Entry) Run(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrapf(err, "run entry %s", e.settings.Name) }()
 	var g run.Group
@@ -173,7 +173,7 @@
 	e.addActor(&g, ctx, e.servers.Run)
 	e.addActor(&g, ctx, e.follow)
 	e.addActor(&g, ctx, e.loop.Run)
-	e.addActor(&g, ctx, e.book.Run)
+	e.addActor(&g, ctx, e.claims.Run)
 	e.addActor(&g, ctx, e.sweepClaims)
 	e.addActor(&g, ctx, func(ctx context.Context) error { return e.awaitStop(ctx, callerServer) })
 	e.log.Info().Str("event", "entry_started").Str("zone", e.settings.Zone).
@@ -184,7 +184,7 @@
 	return err
 }
 
-// addActor adds a part that runs until its context ends.
+// addActor adds a component that runs until its context ends.
 func (e *Entry) addActor(g *run.Group, ctx context.Context, f func(context.Context) error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g.Add(func() error { return f(ctx) }, func(error) { cancel() })
@@ -197,7 +197,7 @@
 		if err := s.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
-		<-done // a planned stop closes the server first and ends the group later
+		<-done // Shutdown ends Serve early; wait until the group ends
 		return nil
 	}, func(error) {
 		close(done)
@@ -205,7 +205,8 @@
 	})
 }
 
-// follow brings the table here, reports ready when it is as new as any that is known, and keeps it so.
+// follow loads the table, reports the entry ready once it is up to date, and then keeps
+// following the store.
 func (e *Entry) follow(ctx context.Context) error {
 	const retry = 100 * time.Millisecond
 	for !e.caughtUp(ctx) {
@@ -220,7 +221,7 @@
 	return e.follower.Run(ctx)
 }
 
-// sweepClaims removes claims that are past their lifetime, at the entry that does the control work.
+// sweepClaims deletes expired idempotency keys while this entry holds the control lease.
 func (e *Entry) sweepClaims(ctx context.Context) error {
 	const interval = 10 * time.Minute
 	for {
@@ -229,17 +230,18 @@
 			return nil
 		case <-time.After(interval):
 		}
-		if !e.loop.Holds() {
+		if !e.loop.HoldsLease() {
 			continue
 		}
-		n, err := e.book.Sweep(ctx, time.Now())
+		n, err := e.claims.Sweep(ctx, time.Now())
 		e.log.Info().Str("event", "claims_swept").Int("removed", n).Err(err).Send()
 	}
 }
 
-// caughtUp tells that somebody who knows was reached and that nobody reached knows more.
+// caughtUp loads the latest table and reports whether the store or a peer was reached and none
+// of them has a higher revision.
 func (e *Entry) caughtUp(ctx context.Context) bool {
-	e.servers.ReadList(ctx) // names the peers
+	e.servers.ReadList(ctx) // provides the addresses of the peers
 	stored, err := e.follower.CatchUp(ctx)
 	highest, reached := e.peers.SyncAll(ctx)
 	if err != nil && reached == 0 {
@@ -248,7 +250,7 @@
 	return e.replica.Revision() >= max(stored, highest)
 }
 
-// Stop begins a planned stop.
+// Stop starts a graceful shutdown.
 func (e *Entry) Stop() { e.stopOnce.Do(func() { close(e.stop) }) }
 
 func (e *Entry) stopping() bool {
@@ -260,7 +262,7 @@
 	}
 }
 
-// awaitStop carries out a planned stop: notice, no new connections, what is in flight to its end.
+// awaitStop waits for Stop, then for the notice period and for all requests in flight.
 func (e *Entry) awaitStop(ctx context.Context, callers *http.Server) error {
 	select {
 	case <-ctx.Done():
@@ -275,10 +277,10 @@
 	case <-time.After(ms(e.settings.Gateway.StopNoticeMs)):
 	}
 	if err := callers.Shutdown(ctx); err != nil {
-		return nil // cut short by the context
+		return nil // ctx ended
 	}
-	if err := e.gateway.WaitIdle(ctx); err != nil { // upgraded connections, which the server no longer counts
-		return nil // cut short by the context
+	if err := e.gateway.WaitIdle(ctx); err != nil { // upgraded connections, which Shutdown does not wait for
+		return nil // ctx ended
 	}
 	e.peers.Leave(ctx)
 	return nil
--- a/pkg/gateway/bench_test.go
+++ b/pkg/gateway/bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// target is a balance.Target whose cost is its place.
+// target is a balance.Target with a fixed cost.
 type target struct{ cost float64 }
 
 func (t *target) Usable() bool  { return true }
 func (t *target) Cost() float64 { return t.cost }
 
-// BenchmarkPick chooses among 10 to 1,700 targets.
+// BenchmarkPick measures the choice among 10 to 1,700 targets.
 func BenchmarkPick(b *testing.B) {
 	none := func(*target) bool { return false }
 	for _, n := range []int{10, 100, 1700} {
@@ -40,23 +40,23 @@
 	}
 }
 
-// BenchmarkAdmit takes a place that is free.
+// BenchmarkAdmit measures Acquire without waiting.
 func BenchmarkAdmit(b *testing.B) {
 	var q limit.Queue
 	ctx := context.Background()
 	b.ReportAllocs()
 	for b.Loop() {
-		_ = q.Take(ctx, schema.ClassInteractive, func() bool { return true })
+		_ = q.Acquire(ctx, schema.ClassInteractive, func() bool { return true })
 	}
 }
 
-// BenchmarkForward takes one request through the gateway to a server on loopback and back.
+// BenchmarkForward measures one request through the gateway to a server on loopback.
 func BenchmarkForward(b *testing.B) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") }))
 	defer backend.Close()
 	for _, routes := range []int{1, 100} {
 		g := gateway.New("e", "z", schema.GatewaySettings{BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true})
-		snap := rows(1, strings.TrimPrefix(backend.URL, "http://"))
+		snap := testTable(1, strings.TrimPrefix(backend.URL, "http://"))
 		for i := range routes {
 			row := snap.Routes["safe"]
 			row.Value.PathPrefix = fmt.Sprintf("/other-%d", i)
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -11,29 +11,33 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// HeaderKey names a request that must run at most once, over all its repetitions.
+// HeaderKey is the request header with the idempotency key. Requests with the same key run at
+// most once.
 const HeaderKey = "Idempotency-Key"
 
-// HeaderReplayed marks an answer that was given before.
+// HeaderReplayed marks the saved response of an earlier request with the same key.
 const HeaderReplayed = "Gannetwell-Replayed"
 
+// maxKeyLen is the longest idempotency key accepted, in bytes.
 const maxKeyLen = 256
 
-// keyed tells that the request carries a key which the route heeds.
-func (x *exchange) keyed() bool {
-	return x.g.book != nil && x.route.Repeat == schema.RepeatOnce && x.r.Header.Get(HeaderKey) != ""
+// hasKey reports whether the request has an idempotency key on a route that requires one run at
+// most.
+func (x *exchange) hasKey() bool {
+	return x.g.claims != nil && x.route.Repeat == schema.RepeatOnce && x.r.Header.Get(HeaderKey) != ""
 }
 
-// claim claims the request's key; done tells that the first answer was given again.
-func (x *exchange) claim(ctx context.Context) (done bool, err error) {
+// claimKey claims the idempotency key. If done is true, the saved response of an earlier
+// request has been sent.
+func (x *exchange) claimKey(ctx context.Context) (done bool, err error) {
 	key := x.r.Header.Get(HeaderKey)
 	switch {
 	case len(key) > maxKeyLen:
-		return false, notRun(http.StatusBadRequest, ReasonBadHeader, "the key is longer than 256 bytes")
+		return false, notRun(http.StatusBadRequest, ReasonBadHeader, "idempotency key exceeds 256 bytes")
 	case !x.buffered:
-		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with a key needs a body of known length that the entry can read whole")
+		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with an idempotency key needs a Content-Length and a body small enough to buffer")
 	}
-	t, first, err := x.g.book.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
+	c, first, err := x.g.claims.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
 	switch {
 	case err != nil:
 		return false, claimError(err)
@@ -41,65 +45,65 @@
 		x.replay(first)
 		return true, nil
 	}
-	x.ticket = t
+	x.claim = c
 	return false, nil
 }
 
-// claimError tells the caller why a key was not claimed.
+// claimError converts an error of [once.Claims.Claim] into an [ErrRequest].
 func claimError(err error) error {
 	switch {
-	case errors.As(err, new(once.ErrOtherBody)):
+	case errors.As(err, new(once.ErrBodyMismatch)):
 		return notRun(http.StatusUnprocessableEntity, ReasonKeyBody, err.Error())
-	case errors.As(err, new(once.ErrTaken)):
+	case errors.As(err, new(once.ErrClaimed)):
 		return ErrRequest{Status: http.StatusConflict, Outcome: OutcomeUnknown, Reason: ReasonKeyTaken, Detail: err.Error()}
 	}
-	return notRun(http.StatusServiceUnavailable, ReasonNoClaim, err.Error()).comeBack(comeBackSoon)
+	return notRun(http.StatusServiceUnavailable, ReasonNoClaim, err.Error()).withRetryAfter(defaultRetryAfter)
 }
 
-// truthfulOfKey takes earlier requests with the same key into account: a
-// repetition that was refused before its key was claimed did not run itself,
-// but one before it may have, and its caller asks about them all.
-func (x *exchange) truthfulOfKey(err error) error {
+// adjustKeyedOutcome reports an unknown outcome for a request that failed before its key was
+// claimed: this request did not run, but an earlier one with the same key may have.
+func (x *exchange) adjustKeyedOutcome(err error) error {
 	var failure ErrRequest
-	if x.route == nil || !x.keyed() || x.ticket != nil || !errors.As(err, &failure) {
+	if x.route == nil || !x.hasKey() || x.claim != nil || !errors.As(err, &failure) {
 		return err
 	}
 	if failure.Outcome == OutcomeNotRun && failure.Reason != ReasonKeyBody {
 		failure.Outcome = OutcomeUnknown
-		failure.Detail += " (this one did not run; an earlier one with its key may have: send it again with the key)"
+		failure.Detail += " (this request did not run, but an earlier one with the same key may have; retry with the same key)"
 	}
 	return failure
 }
 
-// replay gives the first answer again.
-func (x *exchange) replay(a *once.Answer) {
+// replay sends the saved response of an earlier request with the same key.
+func (x *exchange) replay(a *once.Response) {
 	h := x.w.Header()
 	maps.Copy(h, a.Header)
 	h.Set(HeaderOutcome, string(OutcomeRan))
 	h.Set(HeaderReplayed, "true")
 	x.w.WriteHeader(a.Status)
-	_, _ = x.w.Write(a.Body) // a caller that is gone needs no answer
+	_, _ = x.w.Write(a.Body) // the caller may be gone
 }
 
-// settleClaim ends the claim by what became of the request.
-func (x *exchange) settleClaim(err error) {
-	if x.ticket == nil {
+// finishClaim records the result of the request, or releases the key if the request did not
+// run.
+func (x *exchange) finishClaim(err error) {
+	if x.claim == nil {
 		return
 	}
 	if err != nil && asErrRequest(err).Outcome == OutcomeNotRun {
-		x.g.book.GiveBack(x.ticket)
+		x.g.claims.Release(x.claim)
 		return
 	}
-	x.g.book.Finish(x.ticket, x.kept)
+	x.g.claims.Finish(x.claim, x.savedResponse)
 }
 
-// keep holds a whole answer for repetitions.
-func (x *exchange) keep(a *attempt) {
-	if x.ticket == nil || !a.whole {
+// saveResponse keeps a complete response for later requests with the same key.
+func (x *exchange) saveResponse(a *attempt) {
+	if x.claim == nil || !a.complete {
 		return
 	}
 	header := http.Header{}
-	passOn(header, a.resp.Header)
+	copyHeaders(header, a.resp.Header)
 	header.Set(HeaderServer, a.server.Name)
-	x.kept = &once.Answer{Status: a.resp.StatusCode, Header: header, Body: slices.Clone((*a.first)[:a.n])}
+	x.savedResponse = &once.Response{Status: a.resp.StatusCode, Header: header, Body: slices.Clone((*a.prefix)[:a.prefixLen])}
 }
--- a/pkg/gateway/limit/limit_test.go
+++ b/pkg/gateway/limit/limit_test.go
@@ -14,14 +14,14 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// places is a service with some free places, which are taken and freed under a queue.
-type places struct {
+// slots is a queue in front of a number of free slots.
+type slots struct {
 	limit.Queue
 	mu   sync.Mutex
 	free int
 }
 
-func (p *places) try() bool {
+func (p *slots) try() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.free == 0 {
@@ -31,23 +31,23 @@
 	return true
 }
 
-func (p *places) release() {
+func (p *slots) release() {
 	p.mu.Lock()
 	p.free++
 	p.mu.Unlock()
-	p.Free()
+	p.Notify()
 }
 
-// TestQueueOrder fills a queue and frees places one by one: the highest class
-// goes first, and within it who came first, until the first has waited for long.
+// TestQueueOrder frees slots one by one: higher classes go first, and each class is FIFO until
+// its oldest waiter has waited for half its time, then LIFO.
 func TestQueueOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var p places
+		var p slots
 		var order []string
 		var wg sync.WaitGroup
 		join := func(class schema.Class, n int) {
 			wg.Go(func() {
-				if p.Take(context.Background(), class, p.try) == nil {
+				if p.Acquire(context.Background(), class, p.try) == nil {
 					order = append(order, fmt.Sprintf("%s-%d", class, n))
 				}
 			})
@@ -80,16 +80,17 @@
 	})
 }
 
-// TestQueueNeverStarves keeps live requests coming: batch still gets some of the places.
+// TestQueueNeverStarves checks that batch requests are admitted under a constant load of live
+// ones.
 func TestQueueNeverStarves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var p places
+		var p slots
 		got := map[schema.Class]int{}
 		var wg sync.WaitGroup
 		for range 64 {
 			for _, class := range []schema.Class{schema.ClassLive, schema.ClassBatch} {
 				wg.Go(func() {
-					if p.Take(context.Background(), class, p.try) == nil {
+					if p.Acquire(context.Background(), class, p.try) == nil {
 						got[class]++
 					}
 				})
@@ -104,25 +105,26 @@
 	})
 }
 
-// TestQueueSheds gives up those whose time is over, and the oldest when too many wait.
-func TestQueueSheds(t *testing.T) {
+// TestQueueTimeoutAndOverflow checks that requests are shed after their maximum wait, and the
+// oldest when the queue is full.
+func TestQueueTimeoutAndOverflow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		var p places
+		var p slots
 		began := time.Now()
-		c.Check(p.Take(context.Background(), schema.ClassInteractive, p.try), qt.Equals, limit.ErrShed)
+		c.Check(p.Acquire(context.Background(), schema.ClassInteractive, p.try), qt.Equals, limit.ErrShed)
 		c.Check(time.Since(began), qt.Equals, 250*time.Millisecond)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		began = time.Now()
-		c.Check(p.Take(ctx, schema.ClassBatch, p.try), qt.Equals, limit.ErrShed)
-		c.Check(time.Since(began), qt.Equals, 50*time.Millisecond, qt.Commentf("half of the request's own time"))
+		c.Check(p.Acquire(ctx, schema.ClassBatch, p.try), qt.Equals, limit.ErrShed)
+		c.Check(time.Since(began), qt.Equals, 50*time.Millisecond, qt.Commentf("half of the time to the request's deadline"))
 		var wg sync.WaitGroup
 		began = time.Now()
 		shedAtOnce := 0
 		for range 300 {
 			wg.Go(func() {
-				if p.Take(context.Background(), schema.ClassBatch, p.try) != nil && time.Since(began) == 0 {
+				if p.Acquire(context.Background(), schema.ClassBatch, p.try) != nil && time.Since(began) == 0 {
 					shedAtOnce++
 				}
 			})
@@ -134,36 +136,38 @@
 	})
 }
 
-// TestAdaptive lowers the limit while answers are late, and raises it again when it is used.
+// TestAdaptive checks that the limit falls with rising latency and rises again only while it is
+// used.
 func TestAdaptive(t *testing.T) {
 	c := qt.New(t)
 	a := limit.NewAdaptive(100)
 	now := time.Unix(0, 0)
-	answer := func(n int, ratio float64) int64 {
+	respond := func(n int, ratio float64) int64 {
 		for range n {
 			now = now.Add(10 * time.Millisecond)
-			a.Answered(ratio, a.Limit(), now)
+			a.ObserveResponse(ratio, a.Limit(), now)
 		}
 		return a.Limit()
 	}
 	first := a.Limit()
-	grown := answer(400, 1)
+	grown := respond(400, 1)
 	c.Check(grown > first, qt.IsTrue)
-	c.Check(answer(400, 4), qt.Equals, int64(2), qt.Commentf("the lowest limit"))
-	c.Check(answer(2000, 1) > 10, qt.IsTrue)
-	c.Check(answer(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the highest"))
+	c.Check(respond(400, 4), qt.Equals, int64(2), qt.Commentf("the minimum limit"))
+	c.Check(respond(2000, 1) > 10, qt.IsTrue)
+	c.Check(respond(100_000, 1), qt.Equals, int64(100), qt.Commentf("never above the maximum limit"))
 	now = now.Add(time.Second)
-	a.Overdue(now)
+	a.ObserveTimeout(now)
 	c.Check(a.Limit(), qt.Equals, int64(70))
 	idle := limit.NewAdaptive(100)
 	for range 1000 {
 		now = now.Add(10 * time.Millisecond)
-		idle.Answered(1, 0, now)
+		idle.ObserveResponse(1, 0, now)
 	}
-	c.Check(idle.Limit(), qt.Equals, first, qt.Commentf("a limit that is not used does not grow"))
+	c.Check(idle.Limit(), qt.Equals, first, qt.Commentf("an unused limit does not rise"))
 }
 
-// TestBaseline takes means, so that varied work is not taken for a queue, and forgets.
+// TestBaseline checks that varying latency is not taken for congestion and that the baseline
+// adapts.
 func TestBaseline(t *testing.T) {
 	c := qt.New(t)
 	var b limit.Baseline
@@ -179,10 +183,10 @@
 		now = now.Add(time.Millisecond)
 		b.Observe(60*time.Millisecond, now)
 	}
-	c.Check(b.Observe(60*time.Millisecond, now), qt.Equals, 1.0, qt.Commentf("what is slow for long is undisturbed"))
+	c.Check(b.Observe(60*time.Millisecond, now), qt.Equals, 1.0, qt.Commentf("a lasting latency becomes the baseline"))
 }
 
-// TestRates allows each key its rate, and bounds what it remembers of keys.
+// TestRates checks the rate of each key, and that many keys do not break it.
 func TestRates(t *testing.T) {
 	c := qt.New(t)
 	var r limit.Rates
@@ -196,10 +200,10 @@
 		return ok
 	}
 	c.Check(allowed("a", 100), qt.Equals, 10)
-	c.Check(allowed("b", 100), qt.Equals, 10, qt.Commentf("another key"))
+	c.Check(allowed("b", 100), qt.Equals, 10, qt.Commentf("keys are independent"))
 	now = now.Add(500 * time.Millisecond)
 	c.Check(allowed("a", 100), qt.Equals, 5)
-	c.Check(r.Allow("a", 0, now), qt.IsTrue, qt.Commentf("0 sets no limit"))
+	c.Check(r.Allow("a", 0, now), qt.IsTrue, qt.Commentf("0 means no limit"))
 	for i := range 100_000 {
 		r.Allow(fmt.Sprint(i), 10, now)
 	}
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -10,11 +10,11 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// classOrder is who goes first.
+// classOrder lists the classes by priority, highest first.
 var classOrder = [...]schema.Class{schema.ClassLive, schema.ClassInteractive, schema.ClassClerk, schema.ClassBatch}
 
-// rankOf is the place of a class in classOrder.
-var rankOf = func() map[schema.Class]int {
+// classRank maps a class to its index in classOrder.
+var classRank = func() map[schema.Class]int {
 	ranks := make(map[schema.Class]int, len(classOrder))
 	for rank, class := range classOrder {
 		ranks[class] = rank
@@ -22,47 +22,47 @@
 	return ranks
 }()
 
-// longestWait is how long a class waits for a free server before it is shed.
-var longestWait = map[schema.Class]time.Duration{
+// maxWait is how long a request waits for a server before it is shed.
+var maxWait = map[schema.Class]time.Duration{
 	schema.ClassLive: 500 * time.Millisecond, schema.ClassInteractive: 250 * time.Millisecond,
 	schema.ClassClerk: 500 * time.Millisecond, schema.ClassBatch: 2 * time.Second,
 }
 
 const (
-	// queueLength bounds the waiters of one class, and so the memory that a burst takes.
-	queueLength = 256
-	// turnOfLast gives every so manieth free place to the last class that waits, so that it is never starved.
-	turnOfLast = 16
+	// maxWaiters bounds the waiters per class, and so the queue's memory.
+	maxWaiters = 256
+	// lowestClassTurn is the interval, in notifications, at which the lowest class is served
+	// first, which prevents starvation.
+	lowestClassTurn = 16
 )
 
-// ErrShed reports a request that found no free server in its time.
-var ErrShed = errors.New("no backend server had room in time")
+// ErrShed is returned for a request that got no server in time.
+var ErrShed = errors.New("no backend server had capacity in time")
 
-// Queue holds requests of one service while all its servers are full. The
-// highest class goes first, and within a class who came first, until the first
-// has used up half of its time: then the class itself is overloaded, and the
-// newest goes first, so that some are in time rather than all late.
+// Queue is the priority queue of a service whose servers are all full. Higher classes go first.
+// Each class is FIFO until its oldest waiter has used half of its time; then it is LIFO, so
+// that under overload some requests are served in time instead of all too late.
 type Queue struct {
 	waiting atomic.Int64
 
 	mu      sync.Mutex
-	byClass [len(classOrder)][]*waiter // the newest last
+	byClass [len(classOrder)][]*waiter // by rank, oldest first
 	turn    int
 }
 
 type waiter struct {
-	wake  chan struct{}
-	since time.Time
+	wake       chan struct{}
+	enqueuedAt time.Time
 }
 
-// Ahead tells whether somebody of a higher class waits.
-func (q *Queue) Ahead(class schema.Class) bool {
+// HigherWaiting reports whether a request of a higher class is waiting.
+func (q *Queue) HigherWaiting(class schema.Class) bool {
 	if q.waiting.Load() == 0 {
 		return false
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for rank := range rankOf[class] {
+	for rank := range classRank[class] {
 		if len(q.byClass[rank]) > 0 {
 			return true
 		}
@@ -70,30 +70,30 @@
 	return false
 }
 
-// Take calls try until it succeeds: at once, unless a higher class waits, then
-// each time that a place becomes free. It returns ErrShed when the time of the
-// class or half of the request's own is up, or when newer ones push it out.
-func (q *Queue) Take(ctx context.Context, class schema.Class, try func() bool) error {
-	if !q.Ahead(class) && try() {
+// Acquire calls try until it succeeds: at once unless a higher class is waiting, then after
+// each notification. It returns ErrShed after the class's maximum wait, after half of the time
+// to the deadline of ctx, or when newer waiters overflow the queue.
+func (q *Queue) Acquire(ctx context.Context, class schema.Class, try func() bool) error {
+	if !q.HigherWaiting(class) && try() {
 		return nil
 	}
-	wait := longestWait[class]
+	wait := maxWait[class]
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = min(wait, time.Until(deadline)/2)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	for {
-		w := q.join(class, began)
-		if try() { // a place may have become free before the waiter was seen
+		w := q.join(class, start)
+		if try() { // a slot may have become free before the waiter was added
 			q.leave(class, w)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			if !q.leave(class, w) {
-				q.Free() // it was woken too: the place goes to the next one
+				q.Notify() // pass a notification received meanwhile to the next waiter
 			}
 			return ErrShed
 		case _, woken := <-w.wake:
@@ -107,13 +107,13 @@
 	}
 }
 
-// join adds a waiter; the oldest of its class is pushed out when there are too many.
+// join adds a waiter, shedding the oldest of its class if the queue is full.
 func (q *Queue) join(class schema.Class, since time.Time) *waiter {
-	w := &waiter{wake: make(chan struct{}, 1), since: since}
-	rank := rankOf[class]
+	w := &waiter{wake: make(chan struct{}, 1), enqueuedAt: since}
+	rank := classRank[class]
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.byClass[rank]) >= queueLength {
+	if len(q.byClass[rank]) >= maxWaiters {
 		close(q.byClass[rank][0].wake)
 		q.byClass[rank] = q.byClass[rank][1:]
 		q.waiting.Add(-1)
@@ -123,9 +123,9 @@
 	return w
 }
 
-// leave removes a waiter; it returns false when the waiter is no longer there.
+// leave removes a waiter; it returns false if the waiter is no longer queued.
 func (q *Queue) leave(class schema.Class, w *waiter) bool {
-	rank := rankOf[class]
+	rank := classRank[class]
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, other := range q.byClass[rank] {
@@ -138,15 +138,15 @@
 	return false
 }
 
-// Free tells that a place has become free; it wakes the next waiter.
-func (q *Queue) Free() {
+// Notify wakes the next waiter after a slot became free.
+func (q *Queue) Notify() {
 	if q.waiting.Load() == 0 {
 		return
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.turn++
-	if q.turn%turnOfLast == 0 {
+	if q.turn%lowestClassTurn == 0 {
 		for rank := len(classOrder) - 1; rank >= 0; rank-- {
 			if q.wakeOne(rank) {
 				return
@@ -160,7 +160,8 @@
 	}
 }
 
-// wakeOne wakes the next waiter of a class; the caller holds the lock.
+// wakeOne wakes the next waiter of a class and reports whether there was one; the caller holds
+// mu.
 func (q *Queue) wakeOne(rank int) bool {
 	waiters := q.byClass[rank]
 	n := len(waiters)
@@ -168,7 +169,7 @@
 		return false
 	}
 	next, rest := waiters[0], waiters[1:]
-	if time.Since(next.since) > longestWait[classOrder[rank]]/2 {
+	if time.Since(next.enqueuedAt) > maxWait[classOrder[rank]]/2 {
 		next, rest = waiters[n-1], waiters[:n-1]
 	}
 	next.wake <- struct{}{}
@@ -177,5 +178,5 @@
 	return true
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of waiting requests.
 func (q *Queue) Waiting() int { return int(q.waiting.Load()) }
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -19,165 +19,165 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// world is several entries' books over one store, and a count of what ran.
-type world struct {
+// harness runs several entries over one store and counts the requests that ran.
+type harness struct {
 	store  *fake.Platform
 	wrap   func(platform.Table) platform.Table
-	books  []*once.Book
+	books  []*once.Claims
 	cancel []context.CancelFunc
 	wg     sync.WaitGroup
 
-	mu     sync.Mutex
-	ran    map[string]int // by key
-	bodies map[string]string
-	wrong  []string
+	mu       sync.Mutex
+	runs     map[string]int // runs by key
+	bodies   map[string]string
+	problems []string
 }
 
 const entries = 3
 
-func newWorld(wrap func(platform.Table) platform.Table) *world {
-	w := &world{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, ran: map[string]int{}, bodies: map[string]string{}}
+func newHarness(wrap func(platform.Table) platform.Table) *harness {
+	h := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, runs: map[string]int{}, bodies: map[string]string{}}
 	for range entries {
-		w.books = append(w.books, nil)
-		w.cancel = append(w.cancel, func() {})
+		h.books = append(h.books, nil)
+		h.cancel = append(h.cancel, func() {})
 	}
 	for i := range entries {
-		w.start(i)
+		h.start(i)
 	}
-	return w
+	return h
 }
 
-// start begins an entry anew; what it held is lost.
-func (w *world) start(i int) {
-	w.cancel[i]()
+// start restarts an entry, which loses its state.
+func (h *harness) start(i int) {
+	h.cancel[i]()
 	ctx, cancel := context.WithCancel(context.Background())
-	b := once.New(w.wrap(w.store.View("z")), fmt.Sprintf("entry-%d", i))
-	w.books[i], w.cancel[i] = b, cancel
-	w.wg.Go(func() { _ = b.Run(ctx) })
+	b := once.New(h.wrap(h.store.View("z")), fmt.Sprintf("entry-%d", i))
+	h.books[i], h.cancel[i] = b, cancel
+	h.wg.Go(func() { _ = b.Run(ctx) })
 }
 
-// fate is what becomes of a request that may run.
-type fate string
+// result is what becomes of a request that may run.
+type result string
 
 const (
-	answered fate = "answered"
-	unknown  fate = "unknown" // it runs and no answer comes
-	never    fate = "never"   // it certainly does not run
+	answered result = "answered"
+	unknown  result = "unknown" // runs without a response
+	never    result = "never"   // certainly does not run
 )
 
-// request sends a request with a key to an entry, as the request path does.
-func (w *world) request(b *once.Book, key, body string, f fate, took time.Duration) {
+// request sends a request with a key to an entry, as package gateway does.
+func (h *harness) request(b *once.Claims, key, body string, f result, took time.Duration) {
 	t, first, err := b.Claim(context.Background(), once.NewKey("r", "c", key), once.Digest([]byte(body)))
 	switch {
 	case err != nil:
 		return
 	case first != nil:
-		w.judge(key, body, string(first.Body) == key+body)
+		h.checkResponse(key, body, string(first.Body) == key+body)
 		return
 	case f == never:
-		b.GiveBack(t)
+		b.Release(t)
 		return
 	}
-	w.mu.Lock()
-	w.ran[key]++
-	if other, ok := w.bodies[key]; ok && other != body {
-		w.wrong = append(w.wrong, "two bodies ran under "+key)
+	h.mu.Lock()
+	h.runs[key]++
+	if other, ok := h.bodies[key]; ok && other != body {
+		h.problems = append(h.problems, "two bodies ran for key "+key)
 	}
-	w.bodies[key] = body
-	w.mu.Unlock()
+	h.bodies[key] = body
+	h.mu.Unlock()
 	time.Sleep(took)
-	var answer *once.Answer
+	var answer *once.Response
 	if f == answered {
-		answer = &once.Answer{Status: 200, Body: []byte(key + body)}
+		answer = &once.Response{Status: 200, Body: []byte(key + body)}
 	}
 	b.Finish(t, answer)
 }
 
-func (w *world) judge(key, body string, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (h *harness) checkResponse(key, body string, ok bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	if !ok {
-		w.wrong = append(w.wrong, "another answer for "+key+body)
+		h.problems = append(h.problems, "wrong response for "+key+body)
 	}
 }
 
-func (w *world) check(t *rapid.T) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for key, n := range w.ran {
+func (h *harness) check(t *rapid.T) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for key, n := range h.runs {
 		if n > 1 {
 			t.Fatalf("%s ran %d times", key, n)
 		}
 	}
-	if len(w.wrong) > 0 {
-		t.Fatalf("%s", w.wrong[0])
+	if len(h.problems) > 0 {
+		t.Fatalf("%s", h.problems[0])
 	}
 }
 
-// machine is the property: repetitions at any entries, lost answers, outages,
-// crashes; nothing runs twice and no answer is another's.
+// machine checks that under repetitions, lost responses, outages and crashes no request runs
+// twice and no response belongs to another request.
 func machine(t *rapid.T, wrap func(platform.Table) platform.Table) {
-	w := newWorld(wrap)
+	h := newHarness(wrap)
 	defer func() {
-		w.store.SetRules()
-		for _, cancel := range w.cancel {
+		h.store.SetRules()
+		for _, cancel := range h.cancel {
 			cancel()
 		}
-		w.wg.Wait()
+		h.wg.Wait()
 	}()
 	index := rapid.IntRange(0, entries-1)
 	t.Repeat(map[string]func(*rapid.T){
-		"": func(t *rapid.T) { w.check(t) },
+		"": func(t *rapid.T) { h.check(t) },
 		"requests": func(t *rapid.T) {
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				i, key := index.Draw(t, "entry"), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				body := rapid.SampledFrom([]string{"x", "x", "y"}).Draw(t, "body")
-				f := rapid.SampledFrom([]fate{answered, unknown, never}).Draw(t, "fate")
+				f := rapid.SampledFrom([]result{answered, unknown, never}).Draw(t, "fate")
 				took := time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
-				b := w.books[i]
-				w.wg.Go(func() { w.request(b, key, body, f, took) })
+				b := h.books[i]
+				h.wg.Go(func() { h.request(b, key, body, f, took) })
 			}
 		},
 		"time": func(t *rapid.T) {
 			time.Sleep(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
 		},
-		"crash": func(t *rapid.T) { w.start(index.Draw(t, "entry")) },
+		"crash": func(t *rapid.T) { h.start(index.Draw(t, "entry")) },
 		"fault": func(t *rapid.T) {
-			w.store.SetRules(fake.Rule{
+			h.store.SetRules(fake.Rule{
 				Op:    rapid.SampledFrom([]rest.Operation{"", rest.OpCommit, rest.OpGet}).Draw(t, "op"),
 				Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 200,
 				Chance: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "chance"), Count: rapid.IntRange(0, 5).Draw(t, "count"),
 			})
 		},
-		"well": func(*rapid.T) { w.store.SetRules() },
+		"well": func(*rapid.T) { h.store.SetRules() },
 	})
 	time.Sleep(5 * time.Second)
-	w.check(t)
+	h.check(t)
 }
 
-func sound(t platform.Table) platform.Table { return t }
+func unmodified(t platform.Table) platform.Table { return t }
 
-// forgetful drops the conditions of every transaction.
-type forgetful struct{ platform.Table }
+// unconditional removes the conditions of every transaction.
+type unconditional struct{ platform.Table }
 
-func (f forgetful) Commit(ctx context.Context, txn platform.Txn) error {
+func (f unconditional) Commit(ctx context.Context, txn platform.Txn) error {
 	txn.Conditions = nil
 	return f.Table.Commit(ctx, txn)
 }
 
-// TestMachine proves at most once under races, faults and crashes.
+// TestMachine checks at-most-once execution under races, faults and crashes.
 func TestMachine(t *testing.T) {
-	prop.Check(t, func(rt *rapid.T) { machine(rt, sound) })
+	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
-// TestPlanted drops the condition that a key is new: the property must see it.
-func TestPlanted(t *testing.T) {
+// TestMutations removes the condition that a key is new and expects the property to fail.
+func TestMutations(t *testing.T) {
 	qt.Assert(t, prop.Finds(t, func(rt *rapid.T) {
-		machine(rt, func(t platform.Table) platform.Table { return forgetful{t} })
+		machine(rt, func(t platform.Table) platform.Table { return unconditional{t} })
 	}), qt.IsTrue)
 }
 
-// TestGrouping claims 1,000 keys at once: they take few transactions.
+// TestGrouping checks that 1,000 concurrent claims take few transactions.
 func TestGrouping(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -202,7 +202,7 @@
 	})
 }
 
-// TestErrors tells apart what a repetition meets, and sweeps old claims.
+// TestErrors checks the errors of repeated requests and the removal of expired claims.
 func TestErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -213,16 +213,16 @@
 		wg.Go(func() { _ = a.Run(ctx) })
 		wg.Go(func() { _ = b.Run(ctx) })
 		key := once.NewKey("r", "c", "k")
-		ticket, _, err := a.Claim(ctx, key, "d")
+		claim, _, err := a.Claim(ctx, key, "d")
 		c.Assert(err, qt.IsNil)
-		a.Finish(ticket, &once.Answer{Status: 201})
+		a.Finish(claim, &once.Response{Status: 201})
 		_, first, err := a.Claim(ctx, key, "d")
 		c.Assert(err, qt.IsNil)
 		c.Check(first.Status, qt.Equals, 201)
 		_, _, err = a.Claim(ctx, key, "other")
-		c.Check(errors.As(err, new(once.ErrOtherBody)), qt.IsTrue)
+		c.Check(errors.As(err, new(once.ErrBodyMismatch)), qt.IsTrue)
 		_, _, err = b.Claim(ctx, key, "other")
-		c.Check(errors.As(err, new(once.ErrOtherBody)), qt.IsTrue)
+		c.Check(errors.As(err, new(once.ErrBodyMismatch)), qt.IsTrue)
 		_, _, err = b.Claim(ctx, key, "d")
 		c.Check(err, qt.ErrorMatches, ".*entry-a")
 		store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: fake.FaultDown})
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/property_test.go
@@ -24,35 +24,35 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// conduct is what a backend server does with one attempt of a request.
-type conduct string
+// behavior is how a backend server handles one attempt of a request.
+type behavior string
 
 const (
-	answers    conduct = "answers"
-	answersBig conduct = "answers big"
-	unwell     conduct = "unwell"      // 503
-	cutsAtOnce conduct = "cuts"        // runs, then closes the connection
-	cutsAnswer conduct = "cuts answer" // closes it inside the answer
-	cutsBig    conduct = "cuts big"    // closes it after the first part
-	sleeps     conduct = "sleeps"      // answers long after the deadline
+	responds              behavior = "answers"
+	respondsLarge         behavior = "answers big"
+	unavailable           behavior = "unwell"      // 503
+	closesBeforeResponse  behavior = "cuts"        // runs the request, then closes the connection
+	closesInResponse      behavior = "cuts answer" // closes the connection within the response
+	closesInLargeResponse behavior = "cuts big"    // closes the connection after the prefix
+	respondsLate          behavior = "sleeps"      // responds long after the deadline
 )
 
-var conducts = []conduct{answers, answers, answersBig, unwell, cutsAtOnce, cutsAnswer, cutsBig, sleeps}
+var behaviors = []behavior{responds, responds, respondsLarge, unavailable, closesBeforeResponse, closesInResponse, closesInLargeResponse, respondsLate}
 
 const (
 	headerID   = "X-Id"
-	headerPlan = "X-Plan" // conducts of the attempts, by comma
-	headerCut  = "X-Cut"  // byte of the answer at which it is cut
+	headerPlan = "X-Plan" // comma-separated behaviors, one per attempt
+	headerCut  = "X-Cut"  // length in bytes at which the response is truncated
 )
 
-// oracle knows what each backend server ran.
+// oracle records what the backend servers ran.
 type oracle struct {
 	mu       sync.Mutex
 	attempts map[string]int
 	problems []string
 }
 
-func (o *oracle) began(id string) (attempt int) {
+func (o *oracle) startAttempt(id string) (attempt int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts[id]++
@@ -71,8 +71,8 @@
 	o.problems = append(o.problems, fmt.Sprintf(format, args...))
 }
 
-// answerTo is the one right answer to a request.
-func answerTo(id string, big bool) []byte {
+// expectedBody returns the body of the correct response to a request.
+func expectedBody(id string, big bool) []byte {
 	n := 3
 	if big {
 		n = 40_000
@@ -80,29 +80,29 @@
 	return []byte(strings.Repeat(id+";", n))
 }
 
-// ServeHTTP is every backend server.
+// ServeHTTP implements every backend server.
 func (o *oracle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	plan := strings.Split(r.Header.Get(headerPlan), ",")
-	does := conduct(plan[min(o.began(id), len(plan)-1)])
+	does := behavior(plan[min(o.startAttempt(id), len(plan)-1)])
 	_, _ = io.Copy(io.Discard, r.Body)
-	body := answerTo(id, does == answersBig || does == cutsBig)
+	body := expectedBody(id, does == respondsLarge || does == closesInLargeResponse)
 	cut, _ := strconv.Atoi(r.Header.Get(headerCut))
 	switch does {
-	case unwell:
+	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case cutsAtOnce:
+	case closesBeforeResponse:
 		panic(http.ErrAbortHandler)
-	case sleeps:
+	case respondsLate:
 		select {
 		case <-r.Context().Done():
 		case <-time.After(time.Second):
 		}
-	case cutsAnswer, cutsBig:
+	case closesInResponse, closesInLargeResponse:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:min(len(body)-1, cut)])
-		if does == cutsBig {
+		if does == closesInLargeResponse {
 			_ = http.NewResponseController(w).Flush()
 		}
 		panic(http.ErrAbortHandler)
@@ -110,56 +110,56 @@
 	_, _ = w.Write(body)
 }
 
-// sabotage breaks a promise between the gateway and its callers; none is the sound product.
-type sabotage func(http.Handler) http.Handler
+// mutation breaks one guarantee of the gateway, to check that the property detects it.
+type mutation func(http.Handler) http.Handler
 
-func none(h http.Handler) http.Handler { return h }
+func unmodified(h http.Handler) http.Handler { return h }
 
-// pathWorld is two entries over one store and three backend servers.
-type pathWorld struct {
+// pathHarness runs two entries over one store with three backend servers.
+type pathHarness struct {
 	*oracle
 	store    *fake.Platform
 	gateways []*gateway.Gateway
 	urls     []string
-	keys     map[string]string // first request of each key
-	next     int
+	keys     map[string]string // ID of the first request of each key
+	nextID   int
 	close    func()
 }
 
-func newPathWorld(s sabotage) *pathWorld {
-	w := &pathWorld{oracle: &oracle{attempts: map[string]int{}}, store: fake.New(fake.WithLimits(10_000, 10_000)), keys: map[string]string{}}
+func newPathHarness(mutate mutation) *pathHarness {
+	h := &pathHarness{oracle: &oracle{attempts: map[string]int{}}, store: fake.New(fake.WithLimits(10_000, 10_000)), keys: map[string]string{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	closers := []func(){cancel}
 	var addresses []string
 	for range 3 {
-		b := httptest.NewServer(w.oracle)
+		b := httptest.NewServer(h.oracle)
 		closers = append(closers, b.Close)
 		addresses = append(addresses, strings.TrimPrefix(b.URL, "http://"))
 	}
 	for i := range 2 {
-		book := once.New(w.store.View("z"), fmt.Sprint("entry-", i))
-		go func() { _ = book.Run(ctx) }()
+		claims := once.New(h.store.View("z"), fmt.Sprint("entry-", i))
+		go func() { _ = claims.Run(ctx) }()
 		g := gateway.New(fmt.Sprint("entry-", i), "z", schema.GatewaySettings{
 			BufferBodyBytes: 1 << 16, Limits: true, Retries: schema.GatewaySettingsRetriesAlways, Hedging: true,
-		}, gateway.WithBook(book))
-		g.SetTable(rows(1, addresses...))
+		}, gateway.WithClaims(claims))
+		g.SetTable(testTable(1, addresses...))
 		g.SetReady(true)
-		srv := httptest.NewServer(s(g))
+		srv := httptest.NewServer(mutate(g))
 		closers = append(closers, srv.Close, g.Close)
-		w.gateways = append(w.gateways, g)
-		w.urls = append(w.urls, srv.URL)
+		h.gateways = append(h.gateways, g)
+		h.urls = append(h.urls, srv.URL)
 	}
-	w.close = func() {
+	h.close = func() {
 		for _, c := range closers {
 			c()
 		}
 	}
-	return w
+	return h
 }
 
-// send sends one request and judges what its caller is told against what ran.
-func (w *pathWorld) send(entry int, route, id, plan, key string, cut int) {
-	req, err := http.NewRequest(http.MethodPost, w.urls[entry]+route, bytes.NewReader([]byte("body")))
+// send sends one request and checks the reported outcome against what ran.
+func (h *pathHarness) send(entry int, route, id, plan, key string, cut int) {
+	req, err := http.NewRequest(http.MethodPost, h.urls[entry]+route, bytes.NewReader([]byte("body")))
 	if err != nil {
 		panic(err)
 	}
@@ -178,111 +178,112 @@
 		body, readErr = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
 	}
-	ran := w.ran(id)
+	ran := h.ran(id)
 	if route == "/once" && ran > 1 {
-		w.problem("%s ran %d times", id, ran)
+		h.problem("%s ran %d times", id, ran)
 	}
 	if err != nil {
-		return // no word at all claims nothing
+		return // without a response there is no outcome to check
 	}
 	outcome := gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome))
 	want := id
-	if first, ok := w.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
+	if first, ok := h.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
 		want = first
 	}
-	whole := bytes.Equal(body, answerTo(want, false)) || bytes.Equal(body, answerTo(want, true))
+	whole := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
 	switch {
 	case outcome == gateway.OutcomeNotRun && ran > 0:
-		w.problem("%s is reported as not run but ran", id)
+		h.problem("%s is reported as not run but ran", id)
 	case outcome == "":
-		w.problem("%s has no outcome, status %d", id, resp.StatusCode)
+		h.problem("%s has no outcome, status %d", id, resp.StatusCode)
 	case resp.StatusCode == http.StatusOK && readErr == nil && !whole:
-		w.problem("%s got %d bytes that are not its whole answer", id, len(body))
+		h.problem("%s got %d bytes that are not the complete response", id, len(body))
 	case resp.StatusCode == http.StatusOK && outcome != gateway.OutcomeRan:
-		w.problem("%s is answered but its outcome is %s", id, outcome)
+		h.problem("%s got a response but its outcome is %s", id, outcome)
 	}
 }
 
-// pathMachine is the property of the request path.
-func pathMachine(t *rapid.T, s sabotage) {
-	w := newPathWorld(s)
-	defer w.close()
+// pathMachine checks outcomes and responses under random requests, server states and store
+// faults.
+func pathMachine(t *rapid.T, mutate mutation) {
+	h := newPathHarness(mutate)
+	defer h.close()
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(t *rapid.T) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if len(w.problems) > 0 {
-				t.Fatalf("%s", w.problems[0])
+			h.mu.Lock()
+			defer h.mu.Unlock()
+			if len(h.problems) > 0 {
+				t.Fatalf("%s", h.problems[0])
 			}
 		},
 		"requests": func(t *rapid.T) {
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 6).Draw(t, "n") {
-				w.next++
-				id := fmt.Sprintf("r%d", w.next)
+				h.nextID++
+				id := fmt.Sprintf("r%d", h.nextID)
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
 				route := rapid.SampledFrom([]string{"/safe", "/once"}).Draw(t, "route")
 				var plan []string
 				for range 3 {
-					plan = append(plan, string(rapid.SampledFrom(conducts).Draw(t, "conduct")))
+					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "conduct")))
 				}
 				cut := rapid.SampledFrom([]int{0, 1, 8, 9, 65_535, 65_536, 65_537, 100_000}).Draw(t, "cut")
-				wg.Go(func() { w.send(entry, route, id, strings.Join(plan, ","), "", cut) })
+				wg.Go(func() { h.send(entry, route, id, strings.Join(plan, ","), "", cut) })
 			}
 			wg.Wait()
 		},
 		"keyed requests": func(t *rapid.T) {
 			key := rapid.SampledFrom([]string{"k1", "k2"}).Draw(t, "key")
-			if _, ok := w.keys[key]; !ok { // all repetitions are one request
-				w.next++
-				w.keys[key] = fmt.Sprintf("r%d", w.next)
+			if _, ok := h.keys[key]; !ok { // all repetitions of a key are one request
+				h.nextID++
+				h.keys[key] = fmt.Sprintf("r%d", h.nextID)
 			}
-			plan := string(rapid.SampledFrom(conducts).Draw(t, "conduct"))
+			plan := string(rapid.SampledFrom(behaviors).Draw(t, "conduct"))
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
-				wg.Go(func() { w.send(entry, "/once", w.keys[key], plan, key, 5) })
+				wg.Go(func() { h.send(entry, "/once", h.keys[key], plan, key, 5) })
 			}
 			wg.Wait()
 		},
 		"mark": func(t *rapid.T) {
 			src := rapid.SampledFrom([]gateway.Source{gateway.SourceList, gateway.SourceProbe, gateway.SourceHealth}).Draw(t, "source")
-			w.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].Mark(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
+			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].Mark(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
 		},
 		"store": func(t *rapid.T) {
-			w.store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 30, Count: rapid.IntRange(1, 3).Draw(t, "count")})
+			h.store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 30, Count: rapid.IntRange(1, 3).Draw(t, "count")})
 		},
 	})
 }
 
-// TestPath proves outcomes, whole and own answers and at most once over real
-// connections; it judges by what ran, never by time.
+// TestPath checks that outcomes are true, responses complete and not mixed up, and requests
+// with one run at most never run twice. It does not depend on timing.
 func TestPath(t *testing.T) {
-	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, none) })
+	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, unmodified) })
 }
 
-// TestPathPlanted breaks each promise once, on purpose: the property must see it.
-func TestPathPlanted(t *testing.T) {
-	for name, s := range map[string]sabotage{
-		"unknown is told as not run": func(h http.Handler) http.Handler {
-			return rewrite(h, func(rec *httptest.ResponseRecorder) {
+// TestPathMutations breaks one guarantee at a time and expects the property to fail.
+func TestPathMutations(t *testing.T) {
+	for name, s := range map[string]mutation{
+		"unknown outcome reported as not run": func(h http.Handler) http.Handler {
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				if rec.Header().Get(gateway.HeaderOutcome) == string(gateway.OutcomeUnknown) {
 					rec.Header().Set(gateway.HeaderOutcome, string(gateway.OutcomeNotRun))
 				}
 			})
 		},
-		"answers lose their end": func(h http.Handler) http.Handler {
-			return rewrite(h, func(rec *httptest.ResponseRecorder) {
+		"truncated responses": func(h http.Handler) http.Handler {
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				if rec.Code == http.StatusOK {
 					rec.Body.Truncate(rec.Body.Len() - 1)
 					rec.Header().Del("Content-Length")
 				}
 			})
 		},
-		"answers are swapped": func(h http.Handler) http.Handler {
+		"swapped responses": func(h http.Handler) http.Handler {
 			var mu sync.Mutex
 			var last []byte
-			return rewrite(h, func(rec *httptest.ResponseRecorder) {
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) {
 				mu.Lock()
 				defer mu.Unlock()
 				if rec.Code != http.StatusOK {
@@ -308,7 +309,7 @@
 			})
 		},
 		"no outcome": func(h http.Handler) http.Handler {
-			return rewrite(h, func(rec *httptest.ResponseRecorder) { rec.Header().Del(gateway.HeaderOutcome) })
+			return rewriteResponse(h, func(rec *httptest.ResponseRecorder) { rec.Header().Del(gateway.HeaderOutcome) })
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -317,8 +318,8 @@
 	}
 }
 
-// rewrite lets f change an answer before its caller gets it.
-func rewrite(h http.Handler, f func(*httptest.ResponseRecorder)) http.Handler {
+// rewriteResponse lets f change each response before it is sent to the caller.
+func rewriteResponse(h http.Handler, f func(*httptest.ResponseRecorder)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		rec := httptest.NewRecorder()
 		h.ServeHTTP(rec, r)
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -10,65 +10,66 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Source is one of the places that tell whether a server takes work; each may close it by itself.
+// Source is one source of information about whether a server accepts requests. Each can close
+// the server on its own.
 type Source uint32
 
 // The sources.
 const (
 	SourceTable   Source = 1 << iota // the VM's phase in the table
 	SourceList                       // the platform's VM list
-	SourceProbe                      // the server's own word that it is leaving
-	SourceHealth                     // probes that fail
-	SourcePassive                    // exchanges that fail
+	SourceProbe                      // the server reports that it is leaving
+	SourceHealth                     // failed health probes
+	SourcePassive                    // failed exchanges (outlier ejection)
 )
 
-// soft are the sources that may be wrong about a whole service at once: when
-// they close every server of it, they are not believed.
-const soft = SourceHealth | SourcePassive
+// advisorySources can be wrong about a whole service at once, so they are ignored when they
+// close all its servers.
+const advisorySources = SourceHealth | SourcePassive
 
-// The latency estimate.
+// Parameters of the latency estimate.
 const (
-	latencyDecay = 10 * time.Second       // time in which a past peak loses 1-1/e of its weight
-	latencyFloor = 100 * time.Microsecond // assumed of a server that has not answered yet
+	latencyDecay = 10 * time.Second       // time constant of the decay of a latency peak
+	latencyFloor = 100 * time.Microsecond // lowest latency assumed, also before the first response
 )
 
-// Server is one backend server as one entry sees it.
+// Server is one backend server as seen by one entry.
 type Server struct {
-	Name    string // of its VM
+	Name    string // of the VM
 	Zone    string
 	Address string // host:port
 
-	closed    atomic.Uint32 // sources that close it
-	inFlight  atomic.Int64
-	limit     *limit.Adaptive
-	highest   atomic.Int64  // requests in flight at the most, whatever the limit adapts to
-	opened    atomic.Int64  // when it was opened again, Unix nanoseconds
-	ejections atomic.Int64  // passive closings in a row
-	latency   atomic.Uint64 // peak-sensitive average in nanoseconds, as float bits
-	sampled   atomic.Int64  // time of the last sample, Unix nanoseconds
-	failures  atomic.Int64  // exchanges that failed in a row
-	reopenAt  atomic.Int64  // end of a passive closing, Unix nanoseconds
-	transport *http.Transport
+	closed      atomic.Uint32 // bit set of the Sources that close the server
+	inFlight    atomic.Int64
+	limit       *limit.Adaptive
+	maxInFlight atomic.Int64  // upper bound of requests in flight, from the table
+	openedAt    atomic.Int64  // time of the last reopening, Unix nanoseconds
+	ejections   atomic.Int64  // consecutive ejections
+	latency     atomic.Uint64 // peak-sensitive moving average in nanoseconds, as float bits
+	sampledAt   atomic.Int64  // time of the last latency sample, Unix nanoseconds
+	failures    atomic.Int64  // consecutive failed exchanges
+	reopenAt    atomic.Int64  // end of the ejection, Unix nanoseconds
+	transport   *http.Transport
 }
 
-// Usable implements balance.Target: no source closes the server and it has room.
+// Usable implements balance.Target: the server is open and below its limit.
 func (s *Server) Usable() bool { return s.usable(false) }
 
-// usable tells whether the server takes work; lenient leaves soft sources out.
+// usable reports whether the server accepts requests; lenient ignores advisory sources.
 func (s *Server) usable(lenient bool) bool {
-	return s.open(lenient) && s.inFlight.Load() < s.room()
+	return s.open(lenient) && s.inFlight.Load() < s.capacity()
 }
 
-// roomFor tells whether a request of a class may join those in flight.
-func (s *Server) roomFor(class schema.Class) bool {
-	return s.limit == nil || s.inFlight.Load() < limit.Room(s.room(), class)
+// hasCapacity reports whether the server can take another request of the class.
+func (s *Server) hasCapacity(class schema.Class) bool {
+	return s.limit == nil || s.inFlight.Load() < limit.ClassLimit(s.capacity(), class)
 }
 
-// open tells that no source closes the server.
+// open reports whether no source closes the server; lenient ignores advisory sources.
 func (s *Server) open(lenient bool) bool {
 	closed := Source(s.closed.Load())
 	if lenient {
-		closed &^= soft
+		closed &^= advisorySources
 	}
 	if closed&SourcePassive != 0 && time.Now().UnixNano() >= s.reopenAt.Load() {
 		closed &^= SourcePassive
@@ -76,44 +77,44 @@
 	return closed == 0
 }
 
-// room is how many requests the server may have in flight from this entry.
-func (s *Server) room() int64 {
+// capacity returns the current limit of requests in flight from this entry.
+func (s *Server) capacity() int64 {
 	if s.limit == nil {
-		return s.highest.Load()
+		return s.maxInFlight.Load()
 	}
-	return min(s.limit.Limit(), s.highest.Load())
+	return min(s.limit.Limit(), s.maxInFlight.Load())
 }
 
-// Cost implements balance.Target: expected wait, as latency times the queue that
-// a new request would join. What was seen long ago fades, so that a server which
-// was slow is tried again; a server that has just been opened is approached slowly.
+// Cost implements balance.Target. It is the latency times the in-flight count including the new
+// request. The latency decays without samples, so that a slow server is tried again, and a
+// reopened server is ramped up by slow start.
 func (s *Server) Cost() float64 {
 	now := time.Now().UnixNano()
 	latency := math.Float64frombits(s.latency.Load())
-	latency *= math.Exp(-float64(now-s.sampled.Load()) / float64(latencyDecay))
+	latency *= math.Exp(-float64(now-s.sampledAt.Load()) / float64(latencyDecay))
 	cost := max(latency, float64(latencyFloor)) * float64(s.inFlight.Load()+1)
-	if age := now - s.opened.Load(); age < int64(slowStart) {
-		cost *= 1 + slowStartFactor*(1-float64(age)/float64(slowStart))
+	if age := now - s.openedAt.Load(); age < int64(slowStart) {
+		cost *= 1 + slowStartPenalty*(1-float64(age)/float64(slowStart))
 	}
 	return cost
 }
 
-// Slow start: a server that is opened costs this much more at first.
+// Slow start: the cost of a reopened server is raised by slowStartPenalty, falling linearly to
+// zero.
 const (
-	slowStart       = 5 * time.Second
-	slowStartFactor = 4
+	slowStart        = 5 * time.Second
+	slowStartPenalty = 4
 )
 
-// claim counts a request in flight, unless the server has been closed or is full.
-//
-// The count comes first and the look at the sources second; see the package comment.
+// claim counts a request in flight if the server is open and below its limit. The count is
+// incremented before the sources are checked; see the package documentation.
 func (s *Server) claim(class schema.Class, lenient bool) bool {
 	n := s.inFlight.Add(1)
-	room := s.room()
+	capacity := s.capacity()
 	if s.limit != nil {
-		room = limit.Room(room, class)
+		capacity = limit.ClassLimit(capacity, class)
 	}
-	if s.open(lenient) && n <= room {
+	if s.open(lenient) && n <= capacity {
 		return true
 	}
 	s.release()
@@ -122,8 +123,8 @@
 
 func (s *Server) release() { s.inFlight.Add(-1) }
 
-// mark sets or clears a source; idle connections of a server that closes are dropped.
-func (s *Server) mark(src Source, closed bool) {
+// setClosed sets or clears a source. Closing drops the server's idle connections.
+func (s *Server) setClosed(src Source, closed bool) {
 	if !closed {
 		s.closed.And(^uint32(src))
 		return
@@ -133,23 +134,23 @@
 	}
 }
 
-// setTable closes or opens the server by its row. A server that returns starts
-// afresh: what other sources said before is older than the row.
+// setTable opens or closes the server by its table row. Reopening clears all other sources,
+// whose state is older than the row.
 func (s *Server) setTable(closed bool) {
 	if Source(s.closed.Load())&SourceTable != 0 && !closed {
 		s.failures.Store(0)
 		s.ejections.Store(0)
-		s.opened.Store(time.Now().UnixNano())
+		s.openedAt.Store(time.Now().UnixNano())
 		s.closed.Store(0)
 		return
 	}
-	s.mark(SourceTable, closed)
+	s.setClosed(SourceTable, closed)
 }
 
-// observe takes a sample into the latency estimate: a rise counts at once, a fall slowly.
+// observe adds a latency sample: increases apply at once, decreases gradually.
 func (s *Server) observe(d time.Duration) {
 	now := time.Now().UnixNano()
-	last := s.sampled.Swap(now)
+	last := s.sampledAt.Swap(now)
 	old := math.Float64frombits(s.latency.Load())
 	sample := float64(d)
 	if sample < old {
@@ -159,36 +160,36 @@
 	s.latency.Store(math.Float64bits(sample))
 }
 
-// Passive closing: a server is left alone for a while after failures in a row,
-// each time for longer.
+// Outlier ejection: a server is taken out of use after consecutive failures, each time for
+// twice as long.
 const (
-	failuresToClose = 3
-	firstClosing    = time.Second
-	longestClosing  = 30 * time.Second
+	failuresToEject = 3
+	minEjection     = time.Second
+	maxEjection     = 30 * time.Second
 )
 
-// succeed notes an exchange that was answered.
-func (s *Server) succeed() {
+// recordSuccess resets the failure count and ends an ejection.
+func (s *Server) recordSuccess() {
 	if s.failures.Swap(0) != 0 {
 		s.ejections.Store(0)
-		s.mark(SourcePassive, false)
+		s.setClosed(SourcePassive, false)
 	}
 }
 
-// fail notes an exchange that broke; may tells whether the server may be closed for it.
-func (s *Server) fail(may func() bool) {
+// recordFailure counts a failed exchange and ejects the server if mayEject allows it.
+func (s *Server) recordFailure(mayEject func() bool) {
 	n := s.failures.Add(1)
-	again := s.ejections.Load()
-	if n < failuresToClose && again == 0 || !may() {
-		return // the first failure after a closing closes again
+	ejections := s.ejections.Load()
+	if n < failuresToEject && ejections == 0 || !mayEject() {
+		return // after an ejection a single failure ejects again
 	}
-	pause := min(longestClosing, firstClosing<<min(again, 5))
+	ejection := min(maxEjection, minEjection<<min(ejections, 5))
 	s.ejections.Add(1)
-	s.reopenAt.Store(time.Now().Add(pause).UnixNano())
-	s.mark(SourcePassive, true)
+	s.reopenAt.Store(time.Now().Add(ejection).UnixNano())
+	s.setClosed(SourcePassive, true)
 }
 
-// ejected tells that passive closing keeps the server from work now.
+// ejected reports whether the server is ejected now.
 func (s *Server) ejected() bool {
 	return Source(s.closed.Load())&SourcePassive != 0 && time.Now().UnixNano() < s.reopenAt.Load()
 }
--- a/pkg/httpc/host.go
+++ b/pkg/httpc/host.go
@@ -8,128 +8,128 @@
 )
 
 const (
-	// idleTimeout is how long a connection without requests is kept.
-	idleTimeout = 2 * time.Minute
-	// sweepInterval is the time between two looks for idle connections that are closed or old.
+	// idleConnTimeout is how long an idle connection is kept.
+	idleConnTimeout = 2 * time.Minute
+	// sweepInterval is the time between removals of closed and old idle connections.
 	sweepInterval = 5 * time.Second
-	// overdue is how long after it was due an answer makes the kept connections of
-	// its host suspect that were last heard before its request was sent; hosts
-	// answer in milliseconds. A second try of a transaction, 250 ms after the
-	// first, goes out on a connection that has been heard since, or on a new one.
-	overdue = 200 * time.Millisecond
+	// overdueAfter is the delay after which a missing response makes older idle connections of
+	// the host suspect. It is shorter than the usual time to a retry, which then uses a
+	// connection known to work.
+	overdueAfter = 200 * time.Millisecond
 )
 
-// host is what is kept for one address; the client's lock guards it.
+// host is the connection pool of one address, guarded by Client.mu.
 type host struct {
-	idle  []*conn // the one used last is last
-	calls []*conn // with a request under way
-	// suspectTo is a time up to which nothing heard counts: a request sent then
-	// has had no answer.
-	suspectTo time.Time
+	idle   []*conn // most recently used last
+	active []*conn // with a request in progress
+	// suspectUntil is the send time of a request without a response; connections that have not
+	// received data since are not reused.
+	suspectUntil time.Time
 }
 
-// take returns a kept connection to a host, or a new one.
-func (c *Client) take(ctx context.Context, name string) (*conn, error) {
-	if k := c.takeIdle(name); k != nil {
-		return k, nil
+// getConn returns an idle connection to a host, or a new one.
+func (c *Client) getConn(ctx context.Context, name string) (*conn, error) {
+	if cn := c.getIdleConn(name); cn != nil {
+		return cn, nil
 	}
-	opened, err := c.dial(ctx, "tcp", name)
+	netConn, err := c.dial(ctx, "tcp", name)
 	if err != nil {
 		return nil, err
 	}
-	k := &conn{Conn: opened, client: c, name: name, heardAt: time.Now()}
-	if s, ok := opened.(syscall.Conn); ok {
-		k.raw, _ = s.SyscallConn() // without it a closed connection is noticed when it is used
+	cn := &conn{Conn: netConn, client: c, name: name, lastReceived: time.Now()}
+	if s, ok := netConn.(syscall.Conn); ok {
+		cn.raw, _ = s.SyscallConn() // without it, a closed connection is noticed only on use
 	}
-	return k, nil
+	return cn, nil
 }
 
-// takeIdle returns the kept connection of a host that was used last, nil if none is fit for use.
-func (c *Client) takeIdle(name string) *conn {
+// getIdleConn returns the most recently used idle connection of a host that is usable, nil if
+// none.
+func (c *Client) getIdleConn(name string) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	h := c.hosts[name]
 	if h == nil {
 		return nil
 	}
-	h.noteOverdue(time.Now())
+	h.markSuspect(time.Now())
 	for len(h.idle) > 0 {
-		k := h.idle[len(h.idle)-1]
+		cn := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if k.heardAt.After(h.suspectTo) && !k.closed() {
-			k.kept = true
-			return k
+		if cn.lastReceived.After(h.suspectUntil) && !cn.isClosed() {
+			cn.reused = true
+			return cn
 		}
-		_ = k.Close()
+		_ = cn.Close()
 	}
 	return nil
 }
 
-// noteOverdue puts kept connections in doubt while a request is without the answer that was due.
-func (h *host) noteOverdue(now time.Time) {
-	for _, k := range h.calls {
-		if now.Sub(k.dueAt) > overdue && k.sentAt.After(h.suspectTo) {
-			h.suspectTo = k.sentAt
+// markSuspect makes idle connections suspect if the response to a request is overdue.
+func (h *host) markSuspect(now time.Time) {
+	for _, cn := range h.active {
+		if now.Sub(cn.dueAt) > overdueAfter && cn.sentAt.After(h.suspectUntil) {
+			h.suspectUntil = cn.sentAt
 		}
 	}
 }
 
-// begin notes a request that is about to be sent.
-func (c *Client) begin(k *conn, wait time.Duration) {
+// startRequest registers a request that is about to be sent.
+func (c *Client) startRequest(cn *conn, wait time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.hosts[k.name]
+	h := c.hosts[cn.name]
 	if h == nil {
 		h = &host{}
-		c.hosts[k.name] = h
+		c.hosts[cn.name] = h
 	}
-	k.host = h
-	k.sentAt = time.Now()
-	k.dueAt = k.sentAt.Add(wait)
-	h.calls = append(h.calls, k)
+	cn.host = h
+	cn.sentAt = time.Now()
+	cn.dueAt = cn.sentAt.Add(wait)
+	h.active = append(h.active, cn)
 }
 
-// done notes the end of a request, and keeps its connection or closes it.
-func (c *Client) done(k *conn, keep bool, err error) {
+// finishRequest unregisters a request and returns its connection to the pool or closes it.
+func (c *Client) finishRequest(cn *conn, keep bool, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	h := k.host
-	if at := slices.Index(h.calls, k); at >= 0 {
-		h.calls[at] = h.calls[len(h.calls)-1]
-		h.calls = h.calls[:len(h.calls)-1]
+	h := cn.host
+	if at := slices.Index(h.active, cn); at >= 0 {
+		h.active[at] = h.active[len(h.active)-1]
+		h.active = h.active[:len(h.active)-1]
 	}
 	if err == nil {
-		k.heardAt = now
-	} else if silent(err) && k.sentAt.After(h.suspectTo) {
-		h.suspectTo = k.sentAt
+		cn.lastReceived = now
+	} else if isTimeout(err) && cn.sentAt.After(h.suspectUntil) {
+		h.suspectUntil = cn.sentAt
 	}
 	switch {
 	case err != nil:
-		k.abort()
+		cn.abort()
 	case keep && len(h.idle) < c.maxIdle:
-		h.idle = append(h.idle, k)
+		h.idle = append(h.idle, cn)
 	default:
-		_ = k.Close()
+		_ = cn.Close()
 	}
-	if now.Sub(c.swept) > sweepInterval {
-		c.swept = now
+	if now.Sub(c.lastSweep) > sweepInterval {
+		c.lastSweep = now
 		c.sweep(now)
 	}
 }
 
-// sweep closes idle connections that the other side has closed or that are old,
-// so that those of workers that are gone hold no descriptors; the lock is held.
+// sweep closes idle connections that are old, suspect or closed by the host, to free their file
+// descriptors; the caller holds mu.
 func (c *Client) sweep(now time.Time) {
 	for name, h := range c.hosts {
-		h.idle = slices.DeleteFunc(h.idle, func(k *conn) bool {
-			old := now.Sub(k.heardAt) > idleTimeout || !k.heardAt.After(h.suspectTo) || k.closed()
+		h.idle = slices.DeleteFunc(h.idle, func(cn *conn) bool {
+			old := now.Sub(cn.lastReceived) > idleConnTimeout || !cn.lastReceived.After(h.suspectUntil) || cn.isClosed()
 			if old {
-				_ = k.Close()
+				_ = cn.Close()
 			}
 			return old
 		})
-		if len(h.idle) == 0 && len(h.calls) == 0 {
+		if len(h.idle) == 0 && len(h.active) == 0 {
 			delete(c.hosts, name)
 		}
 	}
--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -15,99 +15,99 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// The wait before another try grows from the first to the longest.
+// Bounds of the exponential backoff between attempts.
 const (
-	firstWait   = 20 * time.Millisecond
-	longestWait = time.Second
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = time.Second
 )
 
-// ErrUnsettled reports an edit whose outcome is not known yet; the edit's ID settles it later.
-type ErrUnsettled struct {
+// ErrOutcomeUnknown reports an edit that may or may not have been committed; committing it
+// again with the same ID resolves this.
+type ErrOutcomeUnknown struct {
 	EditID string
 	Cause  error
 }
 
-// Error names the edit.
-func (e ErrUnsettled) Error() string {
+// Error names the edit and the cause.
+func (e ErrOutcomeUnknown) Error() string {
 	return fmt.Sprintf("it is not known whether edit %s was accepted: %v", e.EditID, e.Cause)
 }
 
-// Commit makes an edit and returns its entry, which is in force here on return.
-//
-// It tries again, until ctx ends, while the edit certainly was not made or its
-// answer was lost; the edit's ID keeps it from being made twice. Errors are
-// those of table.Snapshot.Prepare, platform.ErrRefused, platform.ErrNotDone
-// (nothing was written) and [ErrUnsettled].
+// Commit commits an edit and returns its log entry, which has been applied to the replica. It
+// retries until ctx ends; the edit's ID prevents a second commit. Errors are those of
+// table.Snapshot.Prepare, platform.ErrRefused, platform.ErrNotDone (nothing was written) and
+// [ErrOutcomeUnknown].
 func (r *Replica) Commit(ctx context.Context, edit *table.Edit) (entry *schema.Entry, err error) {
 	defer func() { err = errors.Wrapf(err, "commit edit %s", edit.ID) }()
 	select {
 	case r.commit <- struct{}{}:
 		defer func() { <-r.commit }()
 	case <-ctx.Done():
-		return nil, platform.ErrNotDone{Op: "commit", Cause: "other edits were under way: " + ctx.Err().Error()}
+		return nil, platform.ErrNotDone{Op: "commit", Cause: "waiting for other edits: " + ctx.Err().Error()}
 	}
-	var lost error // the last answer that was lost
-	for wait := firstWait; ; wait = min(2*wait, longestWait) {
-		entry, err = r.try(ctx, edit, lost != nil)
+	var lost error // last error with an unknown outcome
+	for wait := minBackoff; ; wait = min(2*wait, maxBackoff) {
+		entry, err = r.tryCommit(ctx, edit, lost != nil)
 		if platform.IsUnknown(err) {
 			lost = err
 		}
-		if err == nil || !again(err) {
+		if err == nil || !isRetryable(err) {
 			return entry, err
 		}
-		if sleepErr := pauseAbout(ctx, wait); sleepErr != nil {
+		if sleepErr := sleepJittered(ctx, wait); sleepErr != nil {
 			break
 		}
 	}
 	if lost != nil {
-		return nil, ErrUnsettled{EditID: edit.ID, Cause: lost}
+		return nil, ErrOutcomeUnknown{EditID: edit.ID, Cause: lost}
 	}
 	return nil, err
 }
 
-// again tells whether a try may be followed by another.
-func again(err error) bool {
+// isRetryable reports whether the commit may be retried after err.
+func isRetryable(err error) bool {
 	return platform.IsNotDone(err) || platform.IsUnknown(err) || platform.IsConflict(err)
 }
 
-// pauseAbout waits for about d, spread so that processes do not meet again.
-func pauseAbout(ctx context.Context, d time.Duration) error {
+// sleepJittered waits for d plus or minus half of it, or until ctx ends.
+func sleepJittered(ctx context.Context, d time.Duration) error {
 	return pause.For(ctx, d/2+rand.N(d))
 }
 
-// try makes one attempt; settle demands to look first whether an earlier one took effect.
-func (r *Replica) try(ctx context.Context, edit *table.Edit, settle bool) (entry *schema.Entry, err error) {
+// tryCommit makes one attempt. If checkEarlier is set, it first looks whether an earlier
+// attempt succeeded.
+func (r *Replica) tryCommit(ctx context.Context, edit *table.Edit, checkEarlier bool) (entry *schema.Entry, err error) {
 	revision, headVersion, err := r.readHead(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if err := r.reach(ctx, revision); err != nil {
+	if err := r.catchUpTo(ctx, revision); err != nil {
 		return nil, err
 	}
-	if settle || r.Revision() != revision {
-		if entry, err := r.settled(ctx, edit.ID); entry != nil || err != nil {
+	if checkEarlier || r.Revision() != revision {
+		if entry, err := r.findEdit(ctx, edit.ID); entry != nil || err != nil {
 			return entry, err
 		}
 	}
 	entry, _, err = r.Snapshot().Prepare(edit, int(time.Now().UnixMilli()))
 	if err != nil {
-		return r.orSettled(ctx, edit.ID, err)
+		return r.findEditOr(ctx, edit.ID, err)
 	}
 	if entry.Revision != revision+1 {
-		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table moved on while the edit was checked"}
+		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table changed while the edit was checked"}
 	}
-	if err := r.store.Commit(ctx, txnOf(entry, headVersion)); err != nil {
+	if err := r.store.Commit(ctx, entryTxn(entry, headVersion)); err != nil {
 		return nil, err
 	}
 	return entry, r.Offer([]schema.Entry{*entry})
 }
 
-// orSettled returns the entry when the edit was made before, else err: a
-// repeated edit finds its own rows changed, by itself.
-func (r *Replica) orSettled(ctx context.Context, id string, err error) (*schema.Entry, error) {
-	entry, settleErr := r.settled(ctx, id)
-	if settleErr != nil {
-		return nil, settleErr
+// findEditOr returns the log entry of the edit if it was committed before, otherwise err. A
+// repeated edit conflicts with its own changes.
+func (r *Replica) findEditOr(ctx context.Context, id string, err error) (*schema.Entry, error) {
+	entry, findErr := r.findEdit(ctx, id)
+	if findErr != nil {
+		return nil, findErr
 	}
 	if entry != nil {
 		return entry, nil
@@ -115,17 +115,17 @@
 	return nil, err
 }
 
-// settled returns the entry that an edit became, nil when it has not become one.
-func (r *Replica) settled(ctx context.Context, id string) (entry *schema.Entry, err error) {
+// findEdit returns the log entry of a committed edit, nil if there is none.
+func (r *Replica) findEdit(ctx context.Context, id string) (entry *schema.Entry, err error) {
 	item, err := r.store.Get(ctx, editKey(id))
 	if err != nil || item.Version == 0 {
-		return nil, errors.Wrap(err, "settle")
+		return nil, errors.Wrap(err, "find edit")
 	}
 	var h head
 	if err := json.Unmarshal(item.Value, &h); err != nil {
 		return nil, errors.Wrapf(err, "decode item %q", item.Key)
 	}
-	if err := r.reach(ctx, h.Revision); err != nil {
+	if err := r.catchUpTo(ctx, h.Revision); err != nil {
 		return nil, err
 	}
 	entries, err := r.History(ctx, h.Revision, 1)
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	if len(entries) == 0 || entries[0].EditID != id {
-		return nil, errors.Errorf("the log lacks revision %d", h.Revision)
+		return nil, errors.Errorf("revision %d is missing from the log", h.Revision)
 	}
 	return &entries[0], nil
 }
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -8,33 +8,34 @@
 	"github.com/rs/zerolog"
 )
 
-// slowFactor is how much more seldom a replica reads the head when another of its zone reads for it.
-const slowFactor = 8
+// nonReaderSkips is how many intervals a replica skips while others of its zone read the head.
+const nonReaderSkips = 8
 
-// Follower keeps a replica up with the store.
+// Follower keeps a replica up to date with the store.
 type Follower struct {
 	replica  *Replica
 	interval time.Duration
-	reader   func() bool
+	isReader func() bool
 	log      zerolog.Logger
 
 	mu  sync.Mutex
 	err error
 }
 
-// NewFollower returns a follower that reads the head at an interval while reader tells it to, else seldom.
+// NewFollower returns a follower that reads the head once per interval, or less often while
+// reader returns false.
 func NewFollower(r *Replica, interval time.Duration, reader func() bool, log zerolog.Logger) *Follower {
-	return &Follower{replica: r, interval: interval, reader: reader, log: log}
+	return &Follower{replica: r, interval: interval, isReader: reader, log: log}
 }
 
-// Err returns the error of the last read, nil when it succeeded.
+// Err returns the error of the last read, nil if it succeeded.
 func (f *Follower) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-// CatchUp reads once and keeps the result.
+// CatchUp reads once and records the error for Err. It returns the revision of the head.
 func (f *Follower) CatchUp(ctx context.Context) (revision int, err error) {
 	revision, err = f.replica.CatchUp(ctx)
 	f.mu.Lock()
@@ -47,18 +48,19 @@
 	return revision, err
 }
 
-// Run reads until ctx ends; intervals are spread so that nodes do not read together.
+// Run reads until ctx ends. The intervals are jittered so that entries do not read at the same
+// time.
 func (f *Follower) Run(ctx context.Context) error {
 	skipped := 0
 	for {
-		if pauseAbout(ctx, f.interval) != nil {
+		if sleepJittered(ctx, f.interval) != nil {
 			return nil
 		}
-		if !f.reader() && skipped < slowFactor {
+		if !f.isReader() && skipped < nonReaderSkips {
 			skipped++
 			continue
 		}
 		skipped = 0
-		_, _ = f.CatchUp(ctx) // kept for Err
+		_, _ = f.CatchUp(ctx) // the error is available from Err
 	}
 }
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -22,55 +22,55 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// outcome is what the maker of an edit was told.
+// outcome is the result of a commit as reported to its caller.
 type outcome string
 
 const (
-	accepted  outcome = "accepted"
-	notMade   outcome = "not made"
-	unsettled outcome = "unsettled"
+	accepted       outcome = "accepted"
+	notMade        outcome = "not made"
+	outcomeUnknown outcome = "unsettled"
 )
 
-// world is several replicas over one store that fails.
-type world struct {
+// harness runs several replicas over one store with injected faults.
+type harness struct {
 	t        *rapid.T
 	store    *fake.Platform
-	plant    plant
+	mutation mutation
 	replicas []*replica.Replica
 	highest  []int
 	mu       sync.Mutex
-	told     map[string]outcome // by edit
-	next     int
+	reported map[string]outcome // by edit ID
+	nextID   int
 }
 
-// plant breaks the store in a way that the replicas cannot see.
-type plant func(platform.Table) platform.Table
+// mutation breaks a guarantee of the store, to check that the property detects it.
+type mutation func(platform.Table) platform.Table
 
-func sound(t platform.Table) platform.Table { return t }
+func unmodified(t platform.Table) platform.Table { return t }
 
-func newWorld(t *rapid.T, p plant) *world {
-	w := &world{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), plant: p, told: map[string]outcome{}}
+func newHarness(t *rapid.T, p mutation) *harness {
+	h := &harness{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), mutation: p, reported: map[string]outcome{}}
 	for range 3 {
-		w.replicas = append(w.replicas, w.newReplica())
-		w.highest = append(w.highest, 0)
+		h.replicas = append(h.replicas, h.newReplica())
+		h.highest = append(h.highest, 0)
 	}
-	return w
+	return h
 }
 
-func (w *world) newReplica() *replica.Replica { return replica.New(w.plant(w.store.View("z"))) }
+func (h *harness) newReplica() *replica.Replica { return replica.New(h.mutation(h.store.View("z"))) }
 
-// forgetful drops the conditions of every transaction.
-type forgetful struct{ platform.Table }
+// unconditional removes the conditions of every transaction.
+type unconditional struct{ platform.Table }
 
-func (f forgetful) Commit(ctx context.Context, txn platform.Txn) error {
+func (f unconditional) Commit(ctx context.Context, txn platform.Txn) error {
 	txn.Conditions = nil
 	return f.Table.Commit(ctx, txn)
 }
 
-// overconfident reports a lost answer as a call that did not happen.
-type overconfident struct{ platform.Table }
+// misreporting reports an unknown outcome as not done.
+type misreporting struct{ platform.Table }
 
-func (o overconfident) Commit(ctx context.Context, txn platform.Txn) error {
+func (o misreporting) Commit(ctx context.Context, txn platform.Txn) error {
 	err := o.Table.Commit(ctx, txn)
 	if platform.IsUnknown(err) {
 		return platform.ErrNotDone{Op: "commit", Cause: err.Error()}
@@ -78,11 +78,11 @@
 	return err
 }
 
-// TestPlanted breaks a promise of the store on purpose: the property must see it.
-func TestPlanted(t *testing.T) {
-	for name, p := range map[string]plant{
-		"no conditions":                 func(t platform.Table) platform.Table { return forgetful{t} },
-		"lost answer taken for nothing": func(t platform.Table) platform.Table { return overconfident{t} },
+// TestMutations breaks one guarantee of the store at a time and expects the property to fail.
+func TestMutations(t *testing.T) {
+	for name, p := range map[string]mutation{
+		"no conditions":                        func(t platform.Table) platform.Table { return unconditional{t} },
+		"unknown outcome reported as not done": func(t platform.Table) platform.Table { return misreporting{t} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
@@ -90,13 +90,13 @@
 	}
 }
 
-// edit has a replica commit an edit of one of few rows, so that edits meet.
-func (w *world) edit(i int, name, note string) {
-	w.mu.Lock()
-	w.next++
-	id := fmt.Sprintf("edit-%d", w.next)
-	w.mu.Unlock()
-	r := w.replicas[i]
+// edit commits an edit of one of a few rows through a replica.
+func (h *harness) edit(i int, name, note string) {
+	h.mu.Lock()
+	h.nextID++
+	id := fmt.Sprintf("edit-%d", h.nextID)
+	h.mu.Unlock()
+	r := h.replicas[i]
 	key := table.Key{Kind: schema.KindZone, Name: name}
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
@@ -104,84 +104,84 @@
 		ID: id, Actor: "test", Reason: note,
 		Changes: []table.Change{{Key: key, Seen: r.Snapshot().Version(key), Value: table.MustValue(schema.Zone{Note: note + id})}},
 	})
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	h.mu.Lock()
+	defer h.mu.Unlock()
 	switch {
 	case err == nil:
-		w.told[id] = accepted
-	case errors.As(err, new(replica.ErrUnsettled)):
-		w.told[id] = unsettled
+		h.reported[id] = accepted
+	case errors.As(err, new(replica.ErrOutcomeUnknown)):
+		h.reported[id] = outcomeUnknown
 	default:
-		w.told[id] = notMade
+		h.reported[id] = notMade
 	}
 }
 
-// log reads the store's log past all faults.
-func (w *world) log() (entries []schema.Entry) {
-	w.store.SetRules()
+// log reads the log from the store without faults.
+func (h *harness) log() (entries []schema.Entry) {
+	h.store.SetRules()
 	time.Sleep(time.Second) // lets the rate limit recover
-	items, err := w.store.View("z").Scan(context.Background(), "log/", "log/\xff", 100_000)
+	items, err := h.store.View("z").Scan(context.Background(), "log/", "log/\xff", 100_000)
 	if err != nil {
-		w.t.Fatalf("read log: %v", err)
+		h.t.Fatalf("read log: %v", err)
 	}
 	for _, it := range items {
 		var e schema.Entry
 		if err := json.Unmarshal(it.Value, &e); err != nil {
-			w.t.Fatalf("decode log: %v", err)
+			h.t.Fatalf("decode log: %v", err)
 		}
 		entries = append(entries, e)
 	}
 	return entries
 }
 
-// check compares everything with the log, which is the simple truth.
-func (w *world) check() {
-	entries := w.log()
+// check compares the reported outcomes and all replicas with the log.
+func (h *harness) check() {
+	entries := h.log()
 	at := map[int]*table.Snapshot{0: table.Empty()}
 	made := map[string]int{}
 	snap := table.Empty()
 	for i := range entries {
 		next, err := snap.Apply(&entries[i])
 		if err != nil {
-			w.t.Fatalf("the log has a gap: %v", err)
+			h.t.Fatalf("the log has a gap: %v", err)
 		}
 		snap = next
 		at[snap.Revision] = snap
 		made[entries[i].EditID]++
 	}
-	for id, told := range w.told {
+	for id, outcome := range h.reported {
 		switch {
 		case made[id] > 1:
-			w.t.Fatalf("%s was made %d times", id, made[id])
-		case told == accepted && made[id] != 1:
-			w.t.Fatalf("%s was accepted but is not in the log", id)
-		case told == notMade && made[id] != 0:
-			w.t.Fatalf("%s was reported as not made but is in the log", id)
+			h.t.Fatalf("%s was made %d times", id, made[id])
+		case outcome == accepted && made[id] != 1:
+			h.t.Fatalf("%s was accepted but is not in the log", id)
+		case outcome == notMade && made[id] != 0:
+			h.t.Fatalf("%s was reported as not made but is in the log", id)
 		}
 	}
-	for i, r := range w.replicas {
+	for i, r := range h.replicas {
 		got := r.Snapshot()
-		if got.Revision < w.highest[i] {
-			w.t.Fatalf("replica %d went back from %d to %d", i, w.highest[i], got.Revision)
+		if got.Revision < h.highest[i] {
+			h.t.Fatalf("replica %d went back from %d to %d", i, h.highest[i], got.Revision)
 		}
-		w.highest[i] = got.Revision
+		h.highest[i] = got.Revision
 		want, ok := at[got.Revision]
 		if !ok || fmt.Sprint(got.Stored()) != fmt.Sprint(want.Stored()) {
-			w.t.Fatalf("replica %d holds other rows at revision %d than the log gives", i, got.Revision)
+			h.t.Fatalf("replica %d holds other rows at revision %d than the log gives", i, got.Revision)
 		}
 	}
 }
 
-// TestMachine drives replicas through edits that race, faults of the store,
-// entries handed on late, twice and with gaps, and restarts.
+// TestMachine checks the replicas under concurrent edits, store faults, restarts, and log
+// entries that arrive late, repeatedly or with gaps.
 func TestMachine(t *testing.T) {
-	prop.Check(t, func(rt *rapid.T) { machine(rt, sound) })
+	prop.Check(t, func(rt *rapid.T) { machine(rt, unmodified) })
 }
 
-// machine is the property.
-func machine(t *rapid.T, p plant) {
-	w := newWorld(t, p)
-	index := rapid.IntRange(0, len(w.replicas)-1)
+// machine is the property that TestMachine checks.
+func machine(t *rapid.T, p mutation) {
+	h := newHarness(t, p)
+	index := rapid.IntRange(0, len(h.replicas)-1)
 	names := rapid.SampledFrom([]string{"a", "b", "c"})
 	t.Repeat(map[string]func(*rapid.T){
 		"": func(*rapid.T) {},
@@ -189,38 +189,38 @@
 			i, j := index.Draw(t, "i"), index.Draw(t, "j")
 			a, b := names.Draw(t, "a"), names.Draw(t, "b")
 			var wg sync.WaitGroup
-			wg.Go(func() { w.edit(i, a, "first") })
-			wg.Go(func() { w.edit(j, b, "second") })
+			wg.Go(func() { h.edit(i, a, "first") })
+			wg.Go(func() { h.edit(j, b, "second") })
 			wg.Wait()
 		},
 		"fault": func(t *rapid.T) {
-			w.store.SetRules(fake.Rule{
+			h.store.SetRules(fake.Rule{
 				Op:    rapid.SampledFrom([]rest.Operation{"", rest.OpCommit, rest.OpGet, rest.OpScan}).Draw(t, "op"),
 				Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 100,
 				Chance: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "chance"),
 				Skip:   rapid.IntRange(0, 3).Draw(t, "skip"), Count: rapid.IntRange(0, 4).Draw(t, "count"),
 			})
 		},
-		"catch up": func(t *rapid.T) { _, _ = w.replicas[index.Draw(t, "i")].CatchUp(context.Background()) },
+		"catch up": func(t *rapid.T) { _, _ = h.replicas[index.Draw(t, "i")].CatchUp(context.Background()) },
 		"hand on": func(t *rapid.T) {
-			from, to := w.replicas[index.Draw(t, "from")], w.replicas[index.Draw(t, "to")]
+			from, to := h.replicas[index.Draw(t, "from")], h.replicas[index.Draw(t, "to")]
 			entries, _ := from.Since(rapid.IntRange(0, 5).Draw(t, "since"), rapid.IntRange(1, 5).Draw(t, "limit"))
-			_ = to.Offer(entries) // a gap is refused, which the check sees as no change
+			_ = to.Offer(entries) // a gap is rejected and leaves the replica unchanged
 		},
 		"adopt": func(t *rapid.T) {
-			w.replicas[index.Draw(t, "to")].Adopt(w.replicas[index.Draw(t, "from")].Snapshot())
+			h.replicas[index.Draw(t, "to")].Adopt(h.replicas[index.Draw(t, "from")].Snapshot())
 		},
 		"restart": func(t *rapid.T) {
 			i := index.Draw(t, "i")
-			w.replicas[i], w.highest[i] = w.newReplica(), 0
+			h.replicas[i], h.highest[i] = h.newReplica(), 0
 		},
-		"check": func(*rapid.T) { w.check() },
+		"check": func(*rapid.T) { h.check() },
 	})
-	w.check()
+	h.check()
 }
 
-// TestEveryFaultAtEveryStep makes one edit with each fault at each call of the
-// store that it makes, alone and twice.
+// TestEveryFaultAtEveryStep injects each fault once and twice at each store call of a commit,
+// which must succeed exactly once.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	count := 0
 	for _, fault := range fake.Faults() {
@@ -242,7 +242,7 @@
 						c.Assert(err, qt.IsNil)
 						c.Check(entry.Revision, qt.Equals, 1)
 						again, err := r.Commit(ctx, edit)
-						c.Assert(err, qt.IsNil, qt.Commentf("the same edit again is settled, not made again"))
+						c.Assert(err, qt.IsNil, qt.Commentf("a repeated edit is not committed again"))
 						c.Check(again.Revision, qt.Equals, 1)
 						c.Check(r.Revision(), qt.Equals, 1)
 					})
@@ -253,7 +253,7 @@
 	t.Logf("%d combinations", count)
 }
 
-// TestConflict shows both values to the second of two editors.
+// TestConflict checks that a conflicting edit is told both values.
 func TestConflict(t *testing.T) {
 	c := qt.New(t)
 	store := fake.New()
--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -6,10 +6,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Check returns every fault of the table as a whole, in order of rows.
-//
-// Single rows have been checked against the schema before; what is checked
-// here needs more than one row.
+// Check returns all violations of constraints that involve several rows, sorted by row. Single
+// rows have been validated against the schema before.
 func (s *Snapshot) Check() (problems []Problem) {
 	c := &checker{s: s}
 	c.racks()
@@ -32,8 +30,8 @@
 	})
 }
 
-// refer reports a reference to a row that does not exist.
-func refer[T any](c *checker, kind schema.Kind, name, column string, rows Rows[T], target string) {
+// checkRef reports a reference to a row that does not exist.
+func checkRef[T any](c *checker, kind schema.Kind, name, column string, rows Rows[T], target string) {
 	if _, ok := rows[target]; !ok {
 		c.add(kind, name, column, "there is no %s %q", column, target)
 	}
@@ -41,14 +39,14 @@
 
 func (c *checker) racks() {
 	for _, name := range c.s.Racks.Names() {
-		refer(c, schema.KindRack, name, "zone", c.s.Zones, c.s.Racks[name].Value.Zone)
+		checkRef(c, schema.KindRack, name, "zone", c.s.Zones, c.s.Racks[name].Value.Zone)
 	}
 }
 
 func (c *checker) pools() {
 	for _, name := range c.s.Pools.Names() {
 		p := c.s.Pools[name].Value
-		refer(c, schema.KindPool, name, "service", c.s.Services, p.Service)
+		checkRef(c, schema.KindPool, name, "service", c.s.Services, p.Service)
 		if p.MaxUnavailable >= p.Size {
 			c.add(schema.KindPool, name, "max_unavailable",
 				"the budget of %d VMs leaves none of the pool's %d in service", p.MaxUnavailable, p.Size)
@@ -56,14 +54,14 @@
 	}
 }
 
-// vms checks references and that no machine stands under two names, by which it could be in two pools.
+// vms checks references and that no two VMs have the same address.
 func (c *checker) vms() {
 	owner := map[string]string{}
 	for _, name := range c.s.VMs.Names() {
 		vm := c.s.VMs[name].Value
-		refer(c, schema.KindVM, name, "rack", c.s.Racks, vm.Rack)
+		checkRef(c, schema.KindVM, name, "rack", c.s.Racks, vm.Rack)
 		if vm.Pool != "" {
-			refer(c, schema.KindVM, name, "pool", c.s.Pools, vm.Pool)
+			checkRef(c, schema.KindVM, name, "pool", c.s.Pools, vm.Pool)
 		}
 		if other, ok := owner[vm.Address]; ok {
 			c.add(schema.KindVM, name, "address", "%s is the address of VM %q already: one machine would be in two places", vm.Address, other)
@@ -73,16 +71,16 @@
 	}
 }
 
-// routes checks references and that no two routes take the same requests.
+// routes checks references and that no two routes match the same method and path prefix.
 func (c *checker) routes() {
 	type match struct{ method, prefix string }
 	owner := map[match]string{}
 	for _, name := range c.s.Routes.Names() {
 		r := c.s.Routes[name].Value
-		refer(c, schema.KindRoute, name, "service", c.s.Services, r.Service)
+		checkRef(c, schema.KindRoute, name, "service", c.s.Services, r.Service)
 		m := match{r.Method, r.PathPrefix}
 		if other, ok := owner[m]; ok {
-			c.add(schema.KindRoute, name, "path_prefix", "route %q takes the same method and path", other)
+			c.add(schema.KindRoute, name, "path_prefix", "route %q has the same method and path prefix", other)
 		}
 		owner[m] = name
 	}
@@ -91,8 +89,8 @@
 func (c *checker) jobs() {
 	for _, name := range c.s.Jobs.Names() {
 		j := c.s.Jobs[name].Value
-		refer(c, schema.KindJob, name, "pool", c.s.Pools, j.Pool)
-		refer(c, schema.KindJob, name, "team", c.s.Teams, j.Team)
+		checkRef(c, schema.KindJob, name, "pool", c.s.Pools, j.Pool)
+		checkRef(c, schema.KindJob, name, "team", c.s.Teams, j.Team)
 	}
 }
 
--- a/pkg/table/document.go
+++ b/pkg/table/document.go
@@ -7,34 +7,35 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// ParseDocument checks a table file and returns its rows, in the order of [Kinds] and of names.
+// ParseDocument validates a table file and returns its rows, sorted by [Kinds] and name.
+// Invalid files yield a config.ErrInvalid.
 func ParseDocument(file string, src []byte) (rows []StoredRow, err error) {
 	var doc schema.Document
 	if err := config.Decode(file, src, config.TargetDocument, &doc); err != nil {
 		return nil, err
 	}
 	s := Empty()
-	fill(&s.Zones, doc.Zones)
-	fill(&s.Racks, doc.Racks)
-	fill(&s.VMs, doc.VMs)
-	fill(&s.Services, doc.Services)
-	fill(&s.Pools, doc.Pools)
-	fill(&s.Routes, doc.Routes)
-	fill(&s.Teams, doc.Teams)
-	fill(&s.Jobs, doc.Jobs)
-	fill(&s.Weights, doc.Weights)
-	fill(&s.Waves, doc.Waves)
+	fillRows(&s.Zones, doc.Zones)
+	fillRows(&s.Racks, doc.Racks)
+	fillRows(&s.VMs, doc.VMs)
+	fillRows(&s.Services, doc.Services)
+	fillRows(&s.Pools, doc.Pools)
+	fillRows(&s.Routes, doc.Routes)
+	fillRows(&s.Teams, doc.Teams)
+	fillRows(&s.Jobs, doc.Jobs)
+	fillRows(&s.Weights, doc.Weights)
+	fillRows(&s.Waves, doc.Waves)
 	return s.Stored(), nil
 }
 
-func fill[T any](rows *Rows[T], values map[string]T) {
+func fillRows[T any](rows *Rows[T], values map[string]T) {
 	*rows = make(Rows[T], len(values))
 	for name, v := range values {
 		(*rows)[name] = Row[T]{Value: v}
 	}
 }
 
-// FormatDocument writes rows as a table file.
+// FormatDocument formats rows as a table file.
 func FormatDocument(rows []StoredRow) (src []byte, err error) {
 	doc := map[string]map[string]json.RawMessage{}
 	for _, r := range rows {
--- a/pkg/table/kinds.go
+++ b/pkg/table/kinds.go
@@ -7,10 +7,10 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// kindOps reaches the rows of one kind in a snapshot without knowing their type.
+// kindOps gives untyped access to the rows of one kind in a snapshot.
 type kindOps struct {
-	definition string // the schema's name for the row
-	plural     string // the field of a document that holds the rows
+	definition string // name of the row's schema definition
+	plural     string // field of a document that holds the rows
 	version    func(s *Snapshot, name string) int
 	value      func(s *Snapshot, name string) json.RawMessage
 	names      func(s *Snapshot) []string
@@ -19,8 +19,8 @@
 	put        func(s *Snapshot, name string, v json.RawMessage) error
 }
 
-// opsOf builds the operations of a kind from the field that holds its rows.
-func opsOf[T any](definition, plural string, field func(*Snapshot) *Rows[T]) kindOps {
+// newKindOps returns the operations of a kind; field returns its rows in a snapshot.
+func newKindOps[T any](definition, plural string, field func(*Snapshot) *Rows[T]) kindOps {
 	return kindOps{
 		definition: definition,
 		plural:     plural,
@@ -32,7 +32,7 @@
 			}
 			raw, err := json.Marshal(row.Value)
 			if err != nil {
-				panic(err) // a generated row type always encodes
+				panic(err) // generated row types always encode
 			}
 			return raw
 		},
@@ -56,29 +56,29 @@
 	}
 }
 
-// kindOrder is the order of kinds in listings: each kind refers only to earlier ones.
+// kindOrder is the order of kinds in listings. Each kind refers only to earlier ones.
 var kindOrder = []schema.Kind{
 	schema.KindZone, schema.KindRack, schema.KindService, schema.KindPool, schema.KindVM,
 	schema.KindRoute, schema.KindTeam, schema.KindJob, schema.KindWeights, schema.KindWave,
 }
 
 var kinds = map[schema.Kind]kindOps{
-	schema.KindZone:    opsOf("Zone", "zones", func(s *Snapshot) *Rows[schema.Zone] { return &s.Zones }),
-	schema.KindRack:    opsOf("Rack", "racks", func(s *Snapshot) *Rows[schema.Rack] { return &s.Racks }),
-	schema.KindVM:      opsOf("VM", "vms", func(s *Snapshot) *Rows[schema.VM] { return &s.VMs }),
-	schema.KindService: opsOf("Service", "services", func(s *Snapshot) *Rows[schema.Service] { return &s.Services }),
-	schema.KindPool:    opsOf("Pool", "pools", func(s *Snapshot) *Rows[schema.Pool] { return &s.Pools }),
-	schema.KindRoute:   opsOf("Route", "routes", func(s *Snapshot) *Rows[schema.Route] { return &s.Routes }),
-	schema.KindTeam:    opsOf("Team", "teams", func(s *Snapshot) *Rows[schema.Team] { return &s.Teams }),
-	schema.KindJob:     opsOf("Job", "jobs", func(s *Snapshot) *Rows[schema.Job] { return &s.Jobs }),
-	schema.KindWeights: opsOf("Weights", "weights", func(s *Snapshot) *Rows[schema.Weights] { return &s.Weights }),
-	schema.KindWave:    opsOf("Wave", "waves", func(s *Snapshot) *Rows[schema.Wave] { return &s.Waves }),
+	schema.KindZone:    newKindOps("Zone", "zones", func(s *Snapshot) *Rows[schema.Zone] { return &s.Zones }),
+	schema.KindRack:    newKindOps("Rack", "racks", func(s *Snapshot) *Rows[schema.Rack] { return &s.Racks }),
+	schema.KindVM:      newKindOps("VM", "vms", func(s *Snapshot) *Rows[schema.VM] { return &s.VMs }),
+	schema.KindService: newKindOps("Service", "services", func(s *Snapshot) *Rows[schema.Service] { return &s.Services }),
+	schema.KindPool:    newKindOps("Pool", "pools", func(s *Snapshot) *Rows[schema.Pool] { return &s.Pools }),
+	schema.KindRoute:   newKindOps("Route", "routes", func(s *Snapshot) *Rows[schema.Route] { return &s.Routes }),
+	schema.KindTeam:    newKindOps("Team", "teams", func(s *Snapshot) *Rows[schema.Team] { return &s.Teams }),
+	schema.KindJob:     newKindOps("Job", "jobs", func(s *Snapshot) *Rows[schema.Job] { return &s.Jobs }),
+	schema.KindWeights: newKindOps("Weights", "weights", func(s *Snapshot) *Rows[schema.Weights] { return &s.Weights }),
+	schema.KindWave:    newKindOps("Wave", "waves", func(s *Snapshot) *Rows[schema.Wave] { return &s.Waves }),
 }
 
-// Kinds returns every kind of row, each after the kinds that it refers to.
+// Kinds returns all kinds, each after the kinds it refers to.
 func Kinds() []schema.Kind { return append([]schema.Kind(nil), kindOrder...) }
 
-// KnownKind tells whether there are rows of the kind.
+// KnownKind reports whether k is a kind of row.
 func KnownKind(k schema.Kind) bool {
 	_, ok := kinds[k]
 	return ok
