--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -42,7 +42,7 @@
 	Boot    string        `msgpack:"b"`
 	Ran     time.Duration `msgpack:"r,omitempty"` // how long the attempt had run, 0 if its start was not answered
 	Trial   bool          `msgpack:"t,omitempty"` // nothing else was started there at that time
-	Sure    bool          `msgpack:"s,omitempty"` // the boot has ended, it is not only silent
+	Ended    bool          `msgpack:"s,omitempty"` // the boot has ended, it is not only silent
 	Firm    bool          `msgpack:"f,omitempty"` // the worker certainly had the attempt
 	// Ahead is noted before the start is sent: the attempt counts for a next owner that does
 	// not hear the boot any more, and for nothing while this one knows of it.
@@ -86,7 +86,7 @@
 			continue
 		}
 		n++
-		if l.Sure {
+		if l.Ended {
 			sure++
 		}
 		if l.Firm {
@@ -95,7 +95,7 @@
 		if l.strong() {
 			strong++
 		}
-		proven = proven || l.Trial && l.Sure
+		proven = proven || l.Trial && l.Ended
 	}
 	switch {
 	case proven && n > trialAfter && firm >= leastFirm || sure >= mostLosses:
@@ -179,7 +179,7 @@
 func (ls Losses) Confirmed(boot string) Losses {
 	sure := slices.Clone(ls)
 	for i := range sure {
-		sure[i].Sure = sure[i].Sure || sure[i].Boot == boot
+		sure[i].Ended = sure[i].Ended || sure[i].Boot == boot
 	}
 	return sure
 }
--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -10,8 +10,8 @@
 
 // TestVerdict names what each history of losses leads to.
 func TestVerdict(t *testing.T) {
-	shared, trial := Loss{Firm: true}, Loss{Trial: true, Sure: true}
-	late, ended := Loss{Firm: true, Ran: time.Second}, Loss{Firm: true, Sure: true}
+	shared, trial := Loss{Firm: true}, Loss{Trial: true, Ended: true}
+	late, ended := Loss{Firm: true, Ran: time.Second}, Loss{Firm: true, Ended: true}
 	unsure, ahead, loose := Loss{Trial: true}, Loss{Ahead: true}, Loss{}
 	for _, tc := range []struct {
 		name   string
@@ -69,7 +69,7 @@
 				ls = ls.With(l)
 			case 1:
 				for n, l := range model {
-					l.Sure = l.Sure || l.Boot == boot
+					l.Ended = l.Ended || l.Boot == boot
 					model[n] = l
 				}
 				ls = ls.Confirmed(boot)
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -13,7 +13,7 @@
 // them has more losses.
 func TestStepVerdict(t *testing.T) {
 	soon, late := blame.Loss{Firm: true}, blame.Loss{Firm: true, Ran: time.Second}
-	proof := blame.Loss{Trial: true, Sure: true}
+	proof := blame.Loss{Trial: true, Ended: true}
 	for _, tc := range []struct {
 		name          string
 		first, second blame.Losses
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -156,7 +156,7 @@
 		return
 	}
 	for _, l := range t.Losses {
-		if !l.Sure && o.sessions[l.Boot] == nil {
+		if !l.Ended && o.sessions[l.Boot] == nil {
 			t.SetLosses(t.Losses.Confirmed(l.Boot))
 		}
 	}
