--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -43,7 +43,7 @@
 	Ran     time.Duration `msgpack:"r,omitempty"` // how long the attempt had run, 0 if its start was not answered
 	Trial   bool          `msgpack:"t,omitempty"` // nothing else was started there at that time
 	Ended    bool          `msgpack:"s,omitempty"` // the boot has ended, it is not only silent
-	Firm    bool          `msgpack:"f,omitempty"` // the worker certainly had the attempt
+	Delivered    bool          `msgpack:"f,omitempty"` // the worker certainly had the attempt
 	// Ahead is noted before the start is sent: the attempt counts for a next owner that does
 	// not hear the boot any more, and for nothing while this one knows of it.
 	Ahead bool `msgpack:"a,omitempty"`
@@ -89,7 +89,7 @@
 		if l.Ended {
 			sure++
 		}
-		if l.Firm {
+		if l.Delivered {
 			firm++
 		}
 		if l.strong() {
--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -10,8 +10,8 @@
 
 // TestVerdict names what each history of losses leads to.
 func TestVerdict(t *testing.T) {
-	shared, trial := Loss{Firm: true}, Loss{Trial: true, Ended: true}
-	late, ended := Loss{Firm: true, Ran: time.Second}, Loss{Firm: true, Ended: true}
+	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
+	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
 	unsure, ahead, loose := Loss{Trial: true}, Loss{Ahead: true}, Loss{}
 	for _, tc := range []struct {
 		name   string
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -12,7 +12,7 @@
 // TestStepVerdict sees that a step may start as the worst of its tasks may, whichever of
 // them has more losses.
 func TestStepVerdict(t *testing.T) {
-	soon, late := blame.Loss{Firm: true}, blame.Loss{Firm: true, Ran: time.Second}
+	soon, late := blame.Loss{Delivered: true}, blame.Loss{Delivered: true, Ran: time.Second}
 	proof := blame.Loss{Trial: true, Ended: true}
 	for _, tc := range []struct {
 		name          string
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -50,7 +50,7 @@
 
 func (o *Owner) countLoss(s *session, r *running, a blame.Attempt) {
 	t := r.Task
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Firm: r.confirmedAt > 0 || r.cut}))
+	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.confirmedAt > 0 || r.cut}))
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
 		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.cut).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
