--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -133,9 +133,9 @@
 	return with
 }
 
-// Happened returns the losses with all that was noted ahead counted: the owner that did so
+// CountProvisional returns the losses with all that was noted ahead counted: the owner that did so
 // has gone, and the boots that are alive are yet to be heard.
-func (ls Losses) Happened() Losses {
+func (ls Losses) CountProvisional() Losses {
 	counted := slices.Clone(ls)
 	for i := range counted {
 		counted[i].Ahead = false
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -126,7 +126,7 @@
 			t.Failed = failed
 		}
 		if losses, ok := sp.Losses[i]; ok {
-			t.Losses = losses.Happened()
+			t.Losses = losses.CountProvisional()
 		}
 		if checkpoint, ok := sp.Checkpoints[i]; ok {
 			t.Checkpoint = checkpoint
