--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -12,7 +12,7 @@
 func TestVerdict(t *testing.T) {
 	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
 	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
-	unsure, ahead, loose := Loss{Trial: true}, Loss{Ahead: true}, Loss{}
+	unsure, ahead, loose := Loss{Trial: true}, Loss{Provisional: true}, Loss{}
 	for _, tc := range []struct {
 		name   string
 		losses Losses
@@ -45,7 +45,7 @@
 
 // TestCounted sees that a trial takes the whole blame, and that what has run for long takes none.
 func TestCounted(t *testing.T) {
-	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Ran: Within}, {Ran: time.Second}}), qt.DeepEquals, []bool{true, false, true})
+	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Ran: maxCountedRun}, {Ran: time.Second}}), qt.DeepEquals, []bool{true, false, true})
 	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Trial: true}, {Ran: time.Second}}), qt.DeepEquals, []bool{false, true, false})
 	qt.Check(t, Counted([]Attempt{{Trial: true}, {Ran: 0}, {Trial: true}}), qt.DeepEquals, []bool{true, false, true})
 	qt.Check(t, Counted(nil), qt.HasLen, 0)
@@ -72,14 +72,14 @@
 					l.Ended = l.Ended || l.Boot == boot
 					model[n] = l
 				}
-				ls = ls.Confirmed(boot)
+				ls = ls.MarkEnded(boot)
 			case 2:
 				for n, l := range model {
 					if l.Boot == boot {
 						delete(model, n)
 					}
 				}
-				ls = ls.Without(boot)
+				ls = ls.WithoutBoot(boot)
 			}
 			if len(ls) != len(model) {
 				t.Fatalf("%d losses, want %d", len(ls), len(model))
--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -23,11 +23,11 @@
 func (o *Owner) noteAhead(s *session, r *running) bool {
 	t := r.Task
 	maybeLost := o.unheard && t.Step.Job.Restored
-	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.Strong()
+	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.HasEarly()
 	if !maybeLost && !t.Suspect() || o.troubled && !strong {
 		return false
 	}
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.tries(r), Ahead: true}))
+	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.tries(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
 	o.noted[j] = append(o.noted[j], noted{session: s, running: r, evidence: j.Evidence()})
@@ -59,10 +59,10 @@
 // and left its worker standing.
 func (o *Owner) forgetAhead(a *jobs.Attempt) {
 	t := a.Task
-	if !t.Losses.IsAhead(a.Number) {
+	if !t.Losses.HasProvisional(a.Number) {
 		return
 	}
-	t.SetLosses(t.Losses.NotAhead(a.Number))
+	t.SetLosses(t.Losses.WithoutProvisional(a.Number))
 	o.keep(t.Step.Job, false)
 }
 
@@ -80,7 +80,7 @@
 	}
 	for _, name := range s.former.tasks {
 		t := o.book.Task(name)
-		if t == nil || t.Done || t.Step.Job.State.Final() || s.leavesByPlan(o.now()) || t.Losses.At(s.ref.Boot) {
+		if t == nil || t.Done || t.Step.Job.State.Final() || s.leavesByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
 			continue // the owner that let go may have counted it
 		}
 		// Its attempt is not known: numbers of attempts are above 0.
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -97,7 +97,7 @@
 // convict makes sure of the loss that was counted against a task, since its attempt has not
 // reached the next boot either.
 func (o *Owner) convict(t *jobs.Task, boot string) {
-	t.SetLosses(t.Losses.Confirmed(boot))
+	t.SetLosses(t.Losses.MarkEnded(boot))
 	o.keep(t.Step.Job, false)
 	o.giveUpGuilty(t)
 }
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -64,15 +64,15 @@
 func (o *Owner) pardon(s *session, r *platform.WorkerReport) {
 	s.blamed = false
 	for _, t := range o.suspectsInOrder() {
-		if !t.Losses.At(s.ref.Boot) {
+		if !t.Losses.HasBoot(s.ref.Boot) {
 			continue
 		}
-		left := t.Losses.Without(s.ref.Boot)
+		left := t.Losses.WithoutBoot(s.ref.Boot)
 		if n, runs := runningThere(r, t.Name()); runs && (len(left) > 0 || o.unheard && t.Step.Job.Restored) {
 			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
-			left = t.Losses.HeardWith(s.ref.Boot, n)
+			left = t.Losses.ResetProvisional(s.ref.Boot, n)
 		}
 		t.SetLosses(left)
 		o.log.Info().Str("event", "loss_taken_back").Str("task", t.Name()).Str("boot", s.ref.Boot).Int("losses", len(t.Losses)).Send()
@@ -92,11 +92,11 @@
 // judge gives up the tasks at a lost boot that are known to bring workers down.
 func (o *Owner) judge(s *session, kind LossKind) {
 	for _, t := range o.suspectsInOrder() {
-		if !t.Losses.At(s.ref.Boot) || o.unsettled(t) {
+		if !t.Losses.HasBoot(s.ref.Boot) || o.unsettled(t) {
 			continue
 		}
 		if kind == LossEnded {
-			t.SetLosses(t.Losses.Confirmed(s.ref.Boot))
+			t.SetLosses(t.Losses.MarkEnded(s.ref.Boot))
 			o.keep(t.Step.Job, false)
 		}
 		o.giveUpGuilty(t)
@@ -157,7 +157,7 @@
 	}
 	for _, l := range t.Losses {
 		if !l.Ended && o.sessions[l.Boot] == nil {
-			t.SetLosses(t.Losses.Confirmed(l.Boot))
+			t.SetLosses(t.Losses.MarkEnded(l.Boot))
 		}
 	}
 }
@@ -172,7 +172,7 @@
 		}
 		for _, a := range t.Attempts {
 			r := o.running(a)
-			if r == nil || r.confirmedAt == 0 || r.seenAt-r.confirmedAt < t.Losses.WatchFor() {
+			if r == nil || r.confirmedAt == 0 || r.seenAt-r.confirmedAt < t.Losses.ClearAfter() {
 				continue
 			}
 			o.log.Info().Str("event", "task_cleared").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", a.Boot).
