--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	o = &Owner{
-		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.chain,
+		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.commitVersion,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
 		catalog: cat, book: k.book, unread: k.unreadable, blind: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -30,7 +30,7 @@
 type Claim struct {
 	Term         int64
 	OwnerVersion int64         // of the owner row
-	chain        int64         // version of the commit row
+	commitVersion        int64         // version of the commit row
 	at           time.Duration // before it was written
 	former       OwnerRow      // that it has replaced
 	row          platform.Row  // of the owner, as it was written
@@ -125,7 +125,7 @@
 	if t.err != nil {
 		return c, t.err
 	}
-	c.OwnerVersion, c.chain = t.version, t.version
+	c.OwnerVersion, c.commitVersion = t.version, t.version
 	c.row = platform.Row{RowKey: ownerKey(pool), Value: ownerRaw, Version: t.version}
 	return c, nil
 }
