--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -31,7 +31,7 @@
 	Term         int64
 	OwnerVersion int64         // of the owner row
 	commitVersion        int64         // version of the commit row
-	at           time.Duration // before it was written
+	sentAt           time.Duration // before it was written
 	former       OwnerRow      // that it has replaced
 	row          platform.Row  // of the owner, as it was written
 	left         time.Duration // how long after it was written an owner before may act still
@@ -117,7 +117,7 @@
 		Put:    []platform.Row{{RowKey: ownerKey(pool), Value: ownerRaw}, {RowKey: commitKey(pool), Value: commitRaw}},
 	}
 	sending()
-	c.at = clock.Now()
+	c.sentAt = clock.Now()
 	t := commitHedged(ctx, rows, clock, txn, pace.hedge(), func(time.Duration, error) {})
 	if version, ok := ownTakeover(t.err, pool, self, c.Term); ok {
 		t.version, t.err = version, nil
