--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -74,7 +74,7 @@
 	}
 	now := o.now()
 	o.cfg.Metrics.PredecessorDone(end, now-o.openedAt)
-	o.log.Info().Str("event", "predecessor_done").Str("entry", o.claim.former.Entry).Str("end", string(end)).Dur("after", now-o.openedAt).Send()
+	o.log.Info().Str("event", "predecessor_done").Str("entry", o.claim.predecessor.Entry).Str("end", string(end)).Dur("after", now-o.openedAt).Send()
 	o.alone = now
 	for _, s := range o.sessionsInOrder() {
 		if s.former.open {
@@ -92,7 +92,7 @@
 		o.wg.Go(func() { o.standDown(ctx, stands) })
 	}
 	for {
-		if o.cfg.HasEnded != nil && o.cfg.HasEnded(o.claim.former) {
+		if o.cfg.HasEnded != nil && o.cfg.HasEnded(o.claim.predecessor) {
 			return PredecessorEnded
 		}
 		poll := time.NewTimer(formerPoll)
@@ -112,7 +112,7 @@
 func (o *Owner) standDown(ctx context.Context, stands chan<- struct{}) {
 	for pause.For(ctx, 0) == nil {
 		callCtx, done := context.WithTimeout(ctx, standDownTimeout)
-		stood := o.cfg.StandDown(callCtx, o.claim.former, o.claim.row)
+		stood := o.cfg.StandDown(callCtx, o.claim.predecessor, o.claim.row)
 		done()
 		if stood {
 			close(stands)
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -32,7 +32,7 @@
 	OwnerVersion int64         // of the owner row
 	commitVersion        int64         // version of the commit row
 	sentAt           time.Duration // before it was written
-	former       OwnerRow      // that it has replaced
+	predecessor       OwnerRow      // that it has replaced
 	row          platform.Row  // of the owner, as it was written
 	left         time.Duration // how long after it was written an owner before may act still
 	earlier      time.Duration // the same, of those before the former owner
@@ -99,7 +99,7 @@
 		return c, ErrNotOwner{Owner: old}
 	}
 	c.Term = old.Term + 1
-	c.former, c.earlier = old, earlierLeft(old, commit, seen.Age)
+	c.predecessor, c.earlier = old, earlierLeft(old, commit, seen.Age)
 	c.left = c.earlier
 	if old.Entry != "" && (ended == nil || !ended(old)) {
 		c.left = max(c.left, rightLasts)
