--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -173,7 +173,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.openedAt, o.confirmedAt, o.alone = openedAt, c.sentAt, openedAt+c.left
+	o.openedAt, o.confirmedAt, o.alone = openedAt, c.sentAt, openedAt+c.formerGrace
 	o.start(k, workers, cfg.Clock.Now())
 	return o, nil
 }
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -34,7 +34,7 @@
 	sentAt           time.Duration // before it was written
 	predecessor       OwnerRow      // that it has replaced
 	row          platform.Row  // of the owner, as it was written
-	left         time.Duration // how long after it was written an owner before may act still
+	formerGrace         time.Duration // how long after it was written an owner before may act still
 	earlier      time.Duration // the same, of those before the former owner
 }
 
@@ -100,11 +100,11 @@
 	}
 	c.Term = old.Term + 1
 	c.predecessor, c.earlier = old, earlierLeft(old, commit, seen.Age)
-	c.left = c.earlier
+	c.formerGrace = c.earlier
 	if old.Entry != "" && (ended == nil || !ended(old)) {
-		c.left = max(c.left, rightLasts)
+		c.formerGrace = max(c.formerGrace, rightLasts)
 	}
-	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, Left: c.left})
+	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, Left: c.formerGrace})
 	if err != nil {
 		return c, err
 	}
