--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -64,7 +64,7 @@
 	ctx, done := context.WithTimeout(o.ctx, o.alone-o.now())
 	defer done()
 	end := PredecessorLapsed
-	if pause.For(ctx, o.claim.earlier) == nil {
+	if pause.For(ctx, o.claim.earlierGrace) == nil {
 		end = o.watchPredecessor(ctx)
 	}
 	o.mu.Lock()
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -35,7 +35,7 @@
 	predecessor       OwnerRow      // that it has replaced
 	row          platform.Row  // of the owner, as it was written
 	formerGrace         time.Duration // how long after it was written an owner before may act still
-	earlier      time.Duration // the same, of those before the former owner
+	earlierGrace      time.Duration // the same, of those before the former owner
 }
 
 // Successor is what an owner that lets go tells of the next one.
@@ -99,8 +99,8 @@
 		return c, ErrNotOwner{Owner: old}
 	}
 	c.Term = old.Term + 1
-	c.predecessor, c.earlier = old, earlierLeft(old, commit, seen.Age)
-	c.formerGrace = c.earlier
+	c.predecessor, c.earlierGrace = old, earlierLeft(old, commit, seen.Age)
+	c.formerGrace = c.earlierGrace
 	if old.Entry != "" && (ended == nil || !ended(old)) {
 		c.formerGrace = max(c.formerGrace, rightLasts)
 	}
