--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -41,7 +41,7 @@
 // Successor is what an owner that lets go tells of the next one.
 type Successor struct {
 	Entry string        // who should take over, empty for any
-	Left  time.Duration // how long an owner before may act still
+	FormerGrace  time.Duration // how long an owner before may act still
 }
 
 // Release lets go of the owner row.
@@ -52,7 +52,7 @@
 // ReleaseWith lets go of the owner row in a transaction that does more.
 func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Successor, txn platform.RowTxn) (err error) {
 	defer func() { err = errors.Wrapf(err, "release shard %s", pool) }()
-	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, Left: to.Left})
+	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, Left: to.FormerGrace})
 	if err != nil {
 		return err
 	}
