--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -56,7 +56,7 @@
 	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.Alone && c.Term == found.Term {
 		return 0
 	}
-	return max(0, found.Left-age)
+	return max(0, found.FormerGrace-age)
 }
 
 // awaitPredecessor has all workers of its time asked when no owner before this one can act any more.
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -43,8 +43,8 @@
 	Address string `msgpack:"a"` // of its peer listener
 	Term    int64  `msgpack:"t"` // rises with each takeover
 	Next    string `msgpack:"n"` // entry that should take over, set by an owner that lets go
-	// Left is how long after the row was written an owner before may act still.
-	Left time.Duration `msgpack:"l,omitempty"`
+	// FormerGrace is how long after the row was written an owner before may act still.
+	FormerGrace time.Duration `msgpack:"l,omitempty"`
 }
 
 // commitRow is rewritten by each transaction of a shard.
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -52,7 +52,7 @@
 // ReleaseWith lets go of the owner row in a transaction that does more.
 func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Successor, txn platform.RowTxn) (err error) {
 	defer func() { err = errors.Wrapf(err, "release shard %s", pool) }()
-	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, Left: to.FormerGrace})
+	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, FormerGrace: to.FormerGrace})
 	if err != nil {
 		return err
 	}
@@ -104,7 +104,7 @@
 	if old.Entry != "" && (ended == nil || !ended(old)) {
 		c.formerGrace = max(c.formerGrace, rightLasts)
 	}
-	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, Left: c.formerGrace})
+	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, FormerGrace: c.formerGrace})
 	if err != nil {
 		return c, err
 	}
