--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -139,7 +139,7 @@
 	}
 	// The row's own version keeps an announcement that is carried out late from
 	// taking the place of a newer one.
-	txn.Expect = []platform.Row{r.claim.Holds(Partition), {RowKey: announcementKey, Version: r.announcedAs}}
+	txn.Expect = []platform.Row{r.claim.Precondition(Partition), {RowKey: announcementKey, Version: r.announcedAs}}
 	writeCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	version, err := r.cfg.Rows.CommitRows(writeCtx, txn)
@@ -160,7 +160,7 @@
 // of ours that had no answer was carried out. What that one names is announced;
 // the next step announces again what it lacks.
 func (r *Runner) announcedBefore(conflict platform.ErrConflict) {
-	held := r.claim.Holds(Partition)
+	held := r.claim.Precondition(Partition)
 	for _, row := range conflict.Rows {
 		switch {
 		case row.RowKey == held.RowKey && row.Version != held.Version:
--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -105,7 +105,7 @@
 	writeCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := r.cfg.Rows.CommitRows(writeCtx, platform.RowTxn{
-		Expect: []platform.Row{r.claim.Holds(Partition)}, // a late write must not replace a next owner's
+		Expect: []platform.Row{r.claim.Precondition(Partition)}, // a late write must not replace a next owner's
 		Put:    []platform.Row{{RowKey: progressKey(w.ID), Value: raw}},
 	}); err != nil {
 		return err
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -56,14 +56,14 @@
 	if err != nil {
 		return err
 	}
-	txn.Expect = append(txn.Expect, c.Holds(pool))
+	txn.Expect = append(txn.Expect, c.Precondition(pool))
 	txn.Put = append(txn.Put, platform.Row{RowKey: ownerKey(pool), Value: raw})
 	_, err = rows.CommitRows(ctx, txn)
 	return err
 }
 
-// Holds is the precondition of a transaction that it is carried out only while the claim stands.
-func (c Claim) Holds(pool string) platform.Row {
+// Precondition is the precondition of a transaction that it is carried out only while the claim stands.
+func (c Claim) Precondition(pool string) platform.Row {
 	return platform.Row{RowKey: ownerKey(pool), Version: c.OwnerVersion}
 }
 
