--- a/pkg/fleetops/orders.go
+++ b/pkg/fleetops/orders.go
@@ -34,7 +34,7 @@
 	}
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	stands, err := r.claim.Stands(readCtx, r.cfg.Rows, Partition)
+	stands, err := r.claim.IsCurrent(readCtx, r.cfg.Rows, Partition)
 	if err != nil {
 		return false
 	}
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -53,7 +53,7 @@
 		ctx, cancel := context.WithTimeout(o.ctx, answerTimeout)
 		defer cancel()
 		sentAt := o.now()
-		stands, err := o.claim.Stands(ctx, o.cfg.Rows, o.cfg.Pool)
+		stands, err := o.claim.IsCurrent(ctx, o.cfg.Rows, o.cfg.Pool)
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.asking = false
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -67,8 +67,8 @@
 	return platform.Row{RowKey: ownerKey(pool), Version: c.OwnerVersion}
 }
 
-// Stands reads the owner row and tells whether it is still the one that the claim wrote.
-func (c Claim) Stands(ctx context.Context, rows platform.Rows, pool string) (stands bool, err error) {
+// IsCurrent reads the owner row and tells whether it is still the one that the claim wrote.
+func (c Claim) IsCurrent(ctx context.Context, rows platform.Rows, pool string) (stands bool, err error) {
 	row, err := ReadOwner(ctx, rows, pool)
 	return err == nil && row.Version == c.OwnerVersion, err
 }
