--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -20,16 +20,16 @@
 // it has stopped, as one does that is cut off from the table service only.
 
 const (
-	// rightLasts is how long by our clock a right of ConfirmedFor may last by another's.
-	rightLasts = ConfirmedFor * (1000 + 2*maxClockDriftPerMille) / 1000
-	// formerPoll is how often it is looked whether the predecessor's process has ended: no part of
+	// maxConfirmedWithDrift is how long by our clock a right of ConfirmedFor may last by another's.
+	maxConfirmedWithDrift = ConfirmedFor * (1000 + 2*maxClockDriftPerMille) / 1000
+	// predecessorPollInterval is how often it is looked whether the predecessor's process has ended: no part of
 	// upkeepInterval, so that the two do not come together and the order of the log repeats.
-	formerPoll = 47 * time.Millisecond
+	predecessorPollInterval = 47 * time.Millisecond
 	// standDownTimeout bounds one try to tell the predecessor that it was replaced; entries answer
 	// each other in milliseconds, from another region in a few hundredths of a second.
 	standDownTimeout = 400 * time.Millisecond
-	// standDownAgain is the pause after a try that failed.
-	standDownAgain = 100 * time.Millisecond
+	// standDownRetryDelay is the pause after a try that failed.
+	standDownRetryDelay = 100 * time.Millisecond
 )
 
 // PredecessorEnd is how it is known that an owner before can act no more.
@@ -48,10 +48,10 @@
 	Age     time.Duration // since it was seen first
 }
 
-// earlierLeft is how long after a takeover from now on an owner before the one in a row may act still.
+// remainingGrace is how long after a takeover from now on an owner before the one in a row may act still.
 // Its age is known since the row was seen first only, which for a process that has just started is
 // now; so the owner itself keeps it, with its next transaction, once it is alone.
-func earlierLeft(found OwnerRow, commit platform.Row, age time.Duration) time.Duration {
+func remainingGrace(found OwnerRow, commit platform.Row, age time.Duration) time.Duration {
 	var c commitRow
 	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.Alone && c.Term == found.Term {
 		return 0
@@ -95,7 +95,7 @@
 		if o.cfg.HasEnded != nil && o.cfg.HasEnded(o.claim.predecessor) {
 			return PredecessorEnded
 		}
-		poll := time.NewTimer(formerPoll)
+		poll := time.NewTimer(predecessorPollInterval)
 		select {
 		case <-stands:
 			poll.Stop()
@@ -118,7 +118,7 @@
 			close(stands)
 			return
 		}
-		_ = pause.For(ctx, standDownAgain) // the loop sees an end of ctx
+		_ = pause.For(ctx, standDownRetryDelay) // the loop sees an end of ctx
 	}
 }
 
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -99,10 +99,10 @@
 		return c, ErrNotOwner{Owner: old}
 	}
 	c.Term = old.Term + 1
-	c.predecessor, c.earlierGrace = old, earlierLeft(old, commit, seen.Age)
+	c.predecessor, c.earlierGrace = old, remainingGrace(old, commit, seen.Age)
 	c.formerGrace = c.earlierGrace
 	if old.Entry != "" && (ended == nil || !ended(old)) {
-		c.formerGrace = max(c.formerGrace, rightLasts)
+		c.formerGrace = max(c.formerGrace, maxConfirmedWithDrift)
 	}
 	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, FormerGrace: c.formerGrace})
 	if err != nil {
