--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -167,7 +167,7 @@
 		Report: func(int, bool) (platform.Row, error) { return platform.Row{}, nil },
 		Waves:  s.requested, ZoneOut: s.evacuated,
 		Pause: pause, Sending: func() {}, OnOver: func(error) {},
-	}, shard.Seen{Version: seen.Version}, cat)
+	}, shard.ObservedOwner{Version: seen.Version}, cat)
 }
 
 // TestHandover has a holder end, by plan or not, after orders for some VMs: the
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -82,7 +82,7 @@
 }
 
 // Open takes the work over, if its owner row still has the version seen.
-func Open(ctx context.Context, cfg Config, seen shard.Seen, cat *catalog.Catalog) (r *Runner, err error) {
+func Open(ctx context.Context, cfg Config, seen shard.ObservedOwner, cat *catalog.Catalog) (r *Runner, err error) {
 	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.Sending)
 	if err != nil {
 		return nil, err
--- a/pkg/node/evacuation_test.go
+++ b/pkg/node/evacuation_test.go
@@ -56,7 +56,7 @@
 	c := qt.New(t)
 	n := New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{}, source(), testLog())
 	for _, pool := range []string{testPool, fleetops.Partition} {
-		_, err := n.openShard(context.Background(), pool, shard.Seen{}, nil, ownership.Events{})
+		_, err := n.openShard(context.Background(), pool, shard.ObservedOwner{}, nil, ownership.Events{})
 		c.Check(err, qt.ErrorIs, errOperatorUnread)
 	}
 }
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -27,7 +27,7 @@
 }
 
 // openShard begins the work of a shard that falls to this entry.
-func (n *Node) openShard(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
+func (n *Node) openShard(ctx context.Context, pool string, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
 	if !n.evacuations.read() {
 		return nil, errOperatorUnread
 	}
@@ -69,7 +69,7 @@
 }
 
 // openFleet begins the work of moving and maintaining VMs.
-func (n *Node) openFleet(ctx context.Context, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
+func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.has,
--- a/pkg/ownership/claim.go
+++ b/pkg/ownership/claim.go
@@ -67,7 +67,7 @@
 		s.claiming = true
 		k.log.Info().Str("event", "shard_claimed").Str("pool", pool).Str("former", s.row.Entry).Int64("version", s.version).
 			Str("why", why).Int("rank", rank).Int("alive", len(heirs)).Send()
-		go k.claim(ctx, pool, s, shard.Seen{Version: s.version, Age: now - s.rowAt})
+		go k.claim(ctx, pool, s, shard.ObservedOwner{Version: s.version, Age: now - s.rowAt})
 	}
 }
 
@@ -106,7 +106,7 @@
 }
 
 // claim takes a shard over.
-func (k *Keeper) claim(ctx context.Context, pool string, s *state, seen shard.Seen) {
+func (k *Keeper) claim(ctx context.Context, pool string, s *state, seen shard.ObservedOwner) {
 	k.mu.Lock()
 	cat, ended := k.catalog, s.ended
 	k.mu.Unlock()
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -66,7 +66,7 @@
 
 // keeper returns the keeper of an entry that notes its claims; none of them succeeds.
 func (u *outage) keeper(self string, m *Members, since time.Time) *Keeper {
-	open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+	open := func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (Work, error) {
 		u.claims <- self
 		return nil, errors.New("another entry was first")
 	}
@@ -110,7 +110,7 @@
 		c := qt.New(t)
 		u := newOutage()
 		k := u.keepers[0]
-		k.open = func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+		k.open = func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (Work, error) {
 			return nil, errors.Wrap(shard.ErrNotOwner{}, "take over")
 		}
 		u.entries[0].back = time.Now()
--- a/pkg/ownership/handon_test.go
+++ b/pkg/ownership/handon_test.go
@@ -69,7 +69,7 @@
 		}
 		m.peers["e7"].Share = 0.8
 		claims := make(chan struct{}, 10)
-		open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+		open := func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (Work, error) {
 			claims <- struct{}{}
 			return nil, errors.New("another entry was first")
 		}
--- a/pkg/ownership/keeper.go
+++ b/pkg/ownership/keeper.go
@@ -29,7 +29,7 @@
 // Opener takes a shard over, if its owner row still has the version seen, and
 // begins its work. It calls events.Sending before the takeover's transaction is
 // sent, and events.Over once if the work is given up.
-type Opener func(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events Events) (Work, error)
+type Opener func(ctx context.Context, pool string, seen shard.ObservedOwner, cat *catalog.Catalog, events Events) (Work, error)
 
 // Events are what an Opener tells of.
 type Events struct {
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -288,7 +288,7 @@
 		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.toldTo(entry),
 		OnOver: func(error) {}, Sending: func() {},
 	}
-	o, err := shard.Open(context.Background(), cfg, shard.Seen{Version: row.Version}, e.catalog(), e.directory())
+	o, err := shard.Open(context.Background(), cfg, shard.ObservedOwner{Version: row.Version}, e.catalog(), e.directory())
 	if err != nil {
 		return err.Error() + "\n"
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -143,7 +143,7 @@
 
 // Open takes the shard over, if its owner row still has the version seen, reads
 // what is kept and starts to own it.
-func Open(ctx context.Context, cfg Config, seen Seen, cat *catalog.Catalog, workers []platform.Worker) (o *Owner, err error) {
+func Open(ctx context.Context, cfg Config, seen ObservedOwner, cat *catalog.Catalog, workers []platform.Worker) (o *Owner, err error) {
 	ctx, done := context.WithTimeout(ctx, takeoverRead)
 	defer done()
 	if cfg.RowBytes == 0 {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -42,8 +42,8 @@
 	PredecessorStoodDown PredecessorEnd = "stood_down"    // it was told that it was replaced, and has said that it stopped
 )
 
-// Seen is the owner row that the decision to take a shard over was made on.
-type Seen struct {
+// ObservedOwner is the owner row that the decision to take a shard over was made on.
+type ObservedOwner struct {
 	Version int64
 	Age     time.Duration // since it was seen first
 }
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -77,7 +77,7 @@
 // version that the decision to take over was made on. It calls sending before
 // the transaction is sent; an error without that call had no effect. What has ended tells whether
 // the process of the owner in a row is known to have ended; nil knows of none.
-func TakeOver(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, pool string, self Identity, seen Seen, ended func(OwnerRow) bool, sending func()) (c Claim, err error) {
+func TakeOver(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, pool string, self Identity, seen ObservedOwner, ended func(OwnerRow) bool, sending func()) (c Claim, err error) {
 	defer func() { err = errors.Wrapf(err, "take over shard %s", pool) }()
 	started := time.Now()
 	owner, err := ReadOne(ctx, rows, ownerKey(pool))
