--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -122,10 +122,10 @@
 	}
 }
 
-// awaited tells whether tasks wait for the next answer of a worker, since it shows what former owners
+// blocksTakeover tells whether tasks wait for the next answer of a worker, since it shows what former owners
 // have started there. A look that waits for an end took 1.0 s longer to close a takeover (logs of a
 // day with a zone cut off).
-func (s *session) awaited(now time.Duration) bool { return s.former.open && now >= s.former.from }
+func (s *session) blocksTakeover(now time.Duration) bool { return s.former.open && now >= s.former.from }
 
 // heardAlone tells whether a worker has listed what is there since no former owner could start
 // anything there any more.
