--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -65,7 +65,7 @@
 	o.blind = o.blind && now < o.heldTo
 	o.held, o.heldAll = o.blind, o.blind
 	for _, s := range o.sessionsInOrder() {
-		if s.heardAlone() || now >= s.former.until {
+		if s.listedAfterFormer() || now >= s.former.until {
 			o.closeFormer(s)
 		}
 		if s.former.open {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -127,6 +127,6 @@
 // day with a zone cut off).
 func (s *session) blocksTakeover(now time.Duration) bool { return s.former.open && now >= s.former.from }
 
-// heardAlone tells whether a worker has listed what is there since no former owner could start
+// listedAfterFormer tells whether a worker has listed what is there since no former owner could start
 // anything there any more.
-func (s *session) heardAlone() bool { return s.known && s.heardAt >= s.former.from }
+func (s *session) listedAfterFormer() bool { return s.known && s.heardAt >= s.former.from }
