--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -6,9 +6,9 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// former is what a former owner may have left at a worker, until the worker is heard after the
+// formerTasks is what a formerTasks owner may have left at a worker, until the worker is heard after the
 // last moment at which one could start something there, has ended, or its leases have run out.
-type former struct {
+type formerTasks struct {
 	open     bool
 	complete bool     // nothing but tasks is there
 	tasks    []string // names
@@ -25,7 +25,7 @@
 // a start is not written anywhere: the word of an owner two terms ago says nothing of what
 // the last one has started.
 func (o *Owner) inherit(s *session, w leasedWorker) {
-	s.former = former{open: true, from: o.alone, until: o.heldTo}
+	s.former = formerTasks{open: true, from: o.alone, until: o.heldTo}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.complete, s.former.tasks = true, w.Tasks
 	}
@@ -51,7 +51,7 @@
 			t.MaybeAt--
 		}
 	}
-	s.former = former{}
+	s.former = formerTasks{}
 }
 
 // checkHeld sees whether tasks of a former owner may still be somewhere unseen.
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -80,7 +80,7 @@
 		left.tasks = append(left.tasks, next.former.tasks...)
 	}
 	left.until = next.lapsesAt
-	next.former, s.former = left, former{}
+	next.former, s.former = left, formerTasks{}
 }
 
 // absolve takes back the loss that was counted against a task when its boot ended, since the
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -32,7 +32,7 @@
 	heardAt  time.Duration // when the last look was sent that it has answered
 	draining bool
 	gone     bool // the boot has ended
-	former   former
+	former   formerTasks
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
 
