--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -9,7 +9,7 @@
 // formerTasks is what a formerTasks owner may have left at a worker, until the worker is heard after the
 // last moment at which one could start something there, has ended, or its leases have run out.
 type formerTasks struct {
-	open     bool
+	pending     bool
 	complete bool     // nothing but tasks is there
 	tasks    []string // names
 
@@ -25,7 +25,7 @@
 // a start is not written anywhere: the word of an owner two terms ago says nothing of what
 // the last one has started.
 func (o *Owner) inherit(s *session, w leasedWorker) {
-	s.former = formerTasks{open: true, from: o.alone, until: o.heldTo}
+	s.former = formerTasks{pending: true, from: o.alone, until: o.heldTo}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.complete, s.former.tasks = true, w.Tasks
 	}
@@ -40,7 +40,7 @@
 
 // closeFormer notes that nothing of a former owner is at a worker unseen any more.
 func (o *Owner) closeFormer(s *session) {
-	if !s.former.open {
+	if !s.former.pending {
 		return
 	}
 	if !s.known {
@@ -68,7 +68,7 @@
 		if s.listedAfterFormer() || now >= s.former.until {
 			o.closeFormer(s)
 		}
-		if s.former.open {
+		if s.former.pending {
 			o.held = true
 			o.heldAll = o.heldAll || !s.former.complete
 		}
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -129,7 +129,7 @@
 		s.known = true
 		o.log.Debug().Str("event", "worker_known").Str("boot", s.ref.Boot).Int("running", len(s.attempts)).Send()
 	}
-	if s.former.open {
+	if s.former.pending {
 		o.checkHeld()
 	}
 	o.kickPlacement()
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -118,7 +118,7 @@
 func (o *Owner) putLeft(b *batch) error {
 	var named, bare [recordParts][]leasedWorker
 	for _, s := range o.sessionsInOrder() {
-		if !s.recorded || s.known && !s.former.open && s.idle() {
+		if !s.recorded || s.known && !s.former.pending && s.idle() {
 			continue
 		}
 		part := partOf(s.worker)
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -67,14 +67,14 @@
 // passFormer passes on what a former owner may have left, which is at the next boot if it was
 // started after the worker was.
 func (o *Owner) passFormer(s, next *session) {
-	if !s.former.open {
+	if !s.former.pending {
 		return
 	}
 	if !s.known {
 		o.lostUnheard(s)
 	}
 	left := s.former
-	if next.former.open {
+	if next.former.pending {
 		left.complete = left.complete && next.former.complete
 		left.from = max(left.from, next.former.from)
 		left.tasks = append(left.tasks, next.former.tasks...)
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -154,11 +154,11 @@
 // owner before has named, or any.
 func (s *session) leasedInTheEnd(term int64) leasedWorker {
 	w := s.leased()
-	if s.former.open && !s.former.complete {
+	if s.former.pending && !s.former.complete {
 		return w
 	}
 	w.LetGo = term
-	if s.former.open {
+	if s.former.pending {
 		w.Tasks = s.former.tasks
 		return w
 	}
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -57,7 +57,7 @@
 		}
 		if s.failures > 0 {
 			o.expire(s)
-		} else if s.known && s.idle() && !s.former.open {
+		} else if s.known && s.idle() && !s.former.pending {
 			o.bootEnded(s, "it is not listed and has nothing to do")
 		}
 	}
