--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -70,7 +70,7 @@
 // What is known to have been there is held against those tasks; if nothing is known, any task
 // of that time may have brought it down, and is noted before it starts again.
 func (o *Owner) lostUnheard(s *session) {
-	if !s.former.complete {
+	if !s.former.listed {
 		if !o.unheard {
 			o.unheard = true
 			o.record.note(s.worker) // the next record does not name it any more
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -10,7 +10,7 @@
 // last moment at which one could start something there, has ended, or its leases have run out.
 type formerTasks struct {
 	pending     bool
-	complete bool     // nothing but tasks is there
+	listed bool     // nothing but tasks is there
 	tasks    []string // names
 
 	from  time.Duration // from when on no former owner starts anything there
@@ -27,10 +27,10 @@
 func (o *Owner) inherit(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, from: o.alone, until: o.heldTo}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
-		s.former.complete, s.former.tasks = true, w.Tasks
+		s.former.listed, s.former.tasks = true, w.Tasks
 	}
 	o.held = true
-	o.heldAll = o.heldAll || !s.former.complete
+	o.heldAll = o.heldAll || !s.former.listed
 	for _, name := range s.former.tasks {
 		if t := o.book.Task(name); t != nil {
 			t.MaybeAt++
@@ -70,7 +70,7 @@
 		}
 		if s.former.pending {
 			o.held = true
-			o.heldAll = o.heldAll || !s.former.complete
+			o.heldAll = o.heldAll || !s.former.listed
 		}
 	}
 	if !o.held {
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -75,7 +75,7 @@
 	}
 	left := s.former
 	if next.former.pending {
-		left.complete = left.complete && next.former.complete
+		left.listed = left.listed && next.former.listed
 		left.from = max(left.from, next.former.from)
 		left.tasks = append(left.tasks, next.former.tasks...)
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -154,7 +154,7 @@
 // owner before has named, or any.
 func (s *session) leasedInTheEnd(term int64) leasedWorker {
 	w := s.leased()
-	if s.former.pending && !s.former.complete {
+	if s.former.pending && !s.former.listed {
 		return w
 	}
 	w.LetGo = term
