--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -99,7 +99,7 @@
 		return sum
 	}
 	for _, s := range o.sessions {
-		for _, name := range s.former.tasks {
+		for _, name := range s.former.names {
 			if t := o.book.Task(name); t != nil {
 				add(t.Step.Job.Account, t.Step.Spec.Needs)
 			}
--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -78,7 +78,7 @@
 		}
 		return
 	}
-	for _, name := range s.former.tasks {
+	for _, name := range s.former.names {
 		t := o.book.Task(name)
 		if t == nil || t.Done || t.Step.Job.State.Final() || s.leavesByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
 			continue // the owner that let go may have counted it
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -11,7 +11,7 @@
 type formerTasks struct {
 	pending     bool
 	listed bool     // nothing but tasks is there
-	tasks    []string // names
+	names    []string // names
 
 	from  time.Duration // from when on no former owner starts anything there
 	until time.Duration // when its leases there have run out
@@ -27,11 +27,11 @@
 func (o *Owner) inherit(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, from: o.alone, until: o.heldTo}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
-		s.former.listed, s.former.tasks = true, w.Tasks
+		s.former.listed, s.former.names = true, w.Tasks
 	}
 	o.held = true
 	o.heldAll = o.heldAll || !s.former.listed
-	for _, name := range s.former.tasks {
+	for _, name := range s.former.names {
 		if t := o.book.Task(name); t != nil {
 			t.MaybeAt++
 		}
@@ -46,7 +46,7 @@
 	if !s.known {
 		o.lostUnheard(s)
 	}
-	for _, name := range s.former.tasks {
+	for _, name := range s.former.names {
 		if t := o.book.Task(name); t != nil && t.MaybeAt > 0 {
 			t.MaybeAt--
 		}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -77,7 +77,7 @@
 	if next.former.pending {
 		left.listed = left.listed && next.former.listed
 		left.from = max(left.from, next.former.from)
-		left.tasks = append(left.tasks, next.former.tasks...)
+		left.names = append(left.names, next.former.names...)
 	}
 	left.until = next.lapsesAt
 	next.former, s.former = left, formerTasks{}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -159,7 +159,7 @@
 	}
 	w.LetGo = term
 	if s.former.pending {
-		w.Tasks = s.former.tasks
+		w.Tasks = s.former.names
 		return w
 	}
 	for name := range s.attempts {
