--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -13,8 +13,8 @@
 	listed bool     // nothing but tasks is there
 	names    []string // names
 
-	from  time.Duration // from when on no former owner starts anything there
-	until time.Duration // when its leases there have run out
+	startsEnd  time.Duration // from when on no former owner starts anything there
+	leasesEnd time.Duration // when its leases there have run out
 }
 
 // inherit begins to watch a worker that a former owner has recorded.
@@ -25,7 +25,7 @@
 // a start is not written anywhere: the word of an owner two terms ago says nothing of what
 // the last one has started.
 func (o *Owner) inherit(s *session, w leasedWorker) {
-	s.former = formerTasks{pending: true, from: o.alone, until: o.heldTo}
+	s.former = formerTasks{pending: true, startsEnd: o.alone, leasesEnd: o.heldTo}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.listed, s.former.names = true, w.Tasks
 	}
@@ -65,7 +65,7 @@
 	o.blind = o.blind && now < o.heldTo
 	o.held, o.heldAll = o.blind, o.blind
 	for _, s := range o.sessionsInOrder() {
-		if s.listedAfterFormer() || now >= s.former.until {
+		if s.listedAfterFormer() || now >= s.former.leasesEnd {
 			o.closeFormer(s)
 		}
 		if s.former.pending {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -78,7 +78,7 @@
 	o.alone = now
 	for _, s := range o.sessionsInOrder() {
 		if s.former.pending {
-			s.former.from = now
+			s.former.startsEnd = now
 			s.lookAgain()
 			s.kick()
 		}
@@ -125,8 +125,8 @@
 // blocksTakeover tells whether tasks wait for the next answer of a worker, since it shows what former owners
 // have started there. A look that waits for an end took 1.0 s longer to close a takeover (logs of a
 // day with a zone cut off).
-func (s *session) blocksTakeover(now time.Duration) bool { return s.former.pending && now >= s.former.from }
+func (s *session) blocksTakeover(now time.Duration) bool { return s.former.pending && now >= s.former.startsEnd }
 
 // listedAfterFormer tells whether a worker has listed what is there since no former owner could start
 // anything there any more.
-func (s *session) listedAfterFormer() bool { return s.known && s.heardAt >= s.former.from }
+func (s *session) listedAfterFormer() bool { return s.known && s.heardAt >= s.former.startsEnd }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -76,10 +76,10 @@
 	left := s.former
 	if next.former.pending {
 		left.listed = left.listed && next.former.listed
-		left.from = max(left.from, next.former.from)
+		left.startsEnd = max(left.startsEnd, next.former.startsEnd)
 		left.names = append(left.names, next.former.names...)
 	}
-	left.until = next.lapsesAt
+	left.leasesEnd = next.lapsesAt
 	next.former, s.former = left, formerTasks{}
 }
 
