--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -17,14 +17,14 @@
 	leasesEnd time.Duration // when its leases there have run out
 }
 
-// inherit begins to watch a worker that a former owner has recorded.
+// inheritWorker begins to watch a worker that a former owner has recorded.
 //
 // Beside one dark rack, tasks that are known to be nowhere else waited for each worker
 // of it: a planned handover took 2.15 s instead of 0.04 s. An owner that lets go by plan
 // says which tasks may be at a worker, and only those wait. After a crash any may be, since
 // a start is not written anywhere: the word of an owner two terms ago says nothing of what
 // the last one has started.
-func (o *Owner) inherit(s *session, w leasedWorker) {
+func (o *Owner) inheritWorker(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, startsEnd: o.alone, leasesEnd: o.heldTo}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.listed, s.former.names = true, w.Tasks
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -197,7 +197,7 @@
 		}
 		s := o.addSession(platform.WorkerRef{Boot: w.Boot, Address: w.Address}, w.VM)
 		s.recorded = true
-		o.inherit(s, w)
+		o.inheritWorker(s, w)
 	}
 	o.held = o.held || k.blind
 	o.heldAll = o.heldAll || k.blind
