--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// closeFormer notes that nothing of a former owner is at a worker unseen any more.
-func (o *Owner) closeFormer(s *session) {
+// resolveFormer notes that nothing of a former owner is at a worker unseen any more.
+func (o *Owner) resolveFormer(s *session) {
 	if !s.former.pending {
 		return
 	}
@@ -66,7 +66,7 @@
 	o.held, o.heldAll = o.blind, o.blind
 	for _, s := range o.sessionsInOrder() {
 		if s.listedAfterFormer() || now >= s.former.leasesEnd {
-			o.closeFormer(s)
+			o.resolveFormer(s)
 		}
 		if s.former.pending {
 			o.held = true
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -140,7 +140,7 @@
 	o.log.Info().Str("event", "worker_ended").Str("boot", s.ref.Boot).Str("vm", s.vm).Str("why", why).Int("attempts", len(s.attempts)).Send()
 	o.lose(s, LossEnded)
 	s.gone = true
-	o.closeFormer(s)
+	o.resolveFormer(s)
 	s.cancel()
 	delete(o.sessions, s.ref.Boot)
 	if o.present[s.worker] == s {
