--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -74,14 +74,14 @@
 		}
 	}
 	if !o.held {
-		o.allHeard()
+		o.onTakeoverComplete()
 		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.openedAt).Send()
 	}
 	o.kickPlacement()
 }
 
-// allHeard does what waits until all workers of former owners were heard or have ended.
-func (o *Owner) allHeard() {
+// onTakeoverComplete does what waits until all workers of former owners were heard or have ended.
+func (o *Owner) onTakeoverComplete() {
 	o.book.AllSeen()
 	o.giveUpRestored()
 }
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -208,7 +208,7 @@
 		Int("workers", len(o.sessions)).Int("leased", len(k.workers)).Send()
 	o.checkTakeoverComplete()
 	if !o.held {
-		o.allHeard()
+		o.onTakeoverComplete()
 	}
 	o.wg.Go(func() { o.commitLoop(o.ctx) })
 	o.wg.Go(func() { o.placeLoop(o.ctx) })
