--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -86,8 +86,8 @@
 	o.giveUpRestored()
 }
 
-// maybeElsewhere tells whether a task may be, or may have ended, at a worker that has
+// mayRunElsewhere tells whether a task may be, or may have ended, at a worker that has
 // not been heard since the takeover.
-func (o *Owner) maybeElsewhere(t *jobs.Task) bool {
+func (o *Owner) mayRunElsewhere(t *jobs.Task) bool {
 	return t.MaybeAt > 0 || o.heldAll && t.Step.Job.Restored
 }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -217,7 +217,7 @@
 		return nil
 	}
 	for _, t := range s.Tasks {
-		if !withHeld && o.maybeElsewhere(t) {
+		if !withHeld && o.mayRunElsewhere(t) {
 			continue
 		}
 		if t.Idle() || t.WantsCopy && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
