--- a/pkg/fleetops/orders.go
+++ b/pkg/fleetops/orders.go
@@ -27,7 +27,7 @@
 	}
 	now := r.now()
 	r.mu.Lock()
-	confirmed := now-r.confirmedAt < shard.ConfirmedFor/2
+	confirmed := now-r.confirmedAt < shard.ConfirmationTTL/2
 	r.mu.Unlock()
 	if confirmed {
 		return true
@@ -43,7 +43,7 @@
 		return false
 	}
 	r.Confirm(now)
-	return r.now()-now < shard.ConfirmedFor
+	return r.now()-now < shard.ConfirmationTTL
 }
 
 // holder names this entry to the VM service.
--- a/pkg/ownership/ping_test.go
+++ b/pkg/ownership/ping_test.go
@@ -68,6 +68,6 @@
 	}
 	m.SetOwners(map[string]bool{"me": true})
 	for _, k := range m.peers {
-		qt.Check(t, m.interval(k)+pingTimeout < shard.ConfirmedFor, qt.IsTrue)
+		qt.Check(t, m.interval(k)+pingTimeout < shard.ConfirmationTTL, qt.IsTrue)
 	}
 }
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// ConfirmedFor is how long after its ownership was last confirmed an owner
+// ConfirmationTTL is how long after its ownership was last confirmed an owner
 // gives leases and orders. One that is cut off from the table service and may
 // have been replaced stops then, so that a next owner knows when leases at
 // workers that only the former one reaches have run out.
-const ConfirmedFor = 1500 * time.Millisecond
+const ConfirmationTTL = 1500 * time.Millisecond
 
 // confirmed tells whether this entry may give leases and orders: it was the
 // owner a short time ago, so a next one will wait for what is given now.
-func (o *Owner) confirmed(now time.Duration) bool { return now-o.confirmedAt < ConfirmedFor }
+func (o *Owner) confirmed(now time.Duration) bool { return now-o.confirmedAt < ConfirmationTTL }
 
 // Confirm notes that this entry was the owner at a time on the owner's clock.
 func (o *Owner) Confirm(at time.Duration) {
@@ -27,7 +27,7 @@
 		return
 	}
 	now := o.now()
-	regained := !o.confirmed(now) && now-at < ConfirmedFor
+	regained := !o.confirmed(now) && now-at < ConfirmationTTL
 	o.confirmedAt = at
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
@@ -41,7 +41,7 @@
 // askOwnership reads the owner row when nothing else has confirmed it of late,
 // or while the table service is in trouble; the lock is held.
 func (o *Owner) askOwnership(now time.Duration) {
-	if o.asking || !o.troubled && now-o.confirmedAt < ConfirmedFor/2 {
+	if o.asking || !o.troubled && now-o.confirmedAt < ConfirmationTTL/2 {
 		return
 	}
 	if !o.confirmed(now) && !o.unconfirmed {
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -76,7 +76,7 @@
 	wait := orderTimeout
 	if d.start != nil {
 		// What is under way when the right to start it runs out is given up with it.
-		wait = min(wait, o.confirmedAt+ConfirmedFor-sentAt)
+		wait = min(wait, o.confirmedAt+ConfirmationTTL-sentAt)
 	}
 	o.mu.Unlock()
 	ctx, cancel := context.WithTimeout(o.ctx, wait)
--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -50,7 +50,7 @@
 
 // formerLeasesEnd is when the longest lease of a former owner has run out.
 func (o *Owner) formerLeasesEnd(now time.Duration) time.Duration {
-	return now + ConfirmedFor + outlasting(leaseLength)
+	return now + ConfirmationTTL + outlasting(leaseLength)
 }
 
 // outlasting is how long a lease of a length may run by our clock, whatever the worker's does.
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -21,7 +21,7 @@
 
 const (
 	// maxConfirmedWithDrift is how long by our clock a right of ConfirmedFor may last by another's.
-	maxConfirmedWithDrift = ConfirmedFor * (1000 + 2*maxClockDriftPerMille) / 1000
+	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often it is looked whether the predecessor's process has ended: no part of
 	// upkeepInterval, so that the two do not come together and the order of the log repeats.
 	predecessorPollInterval = 47 * time.Millisecond
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -53,7 +53,7 @@
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
 	inSilence := handover(t, func(*estate) {})
-	c.Check(inSilence > shard.ConfirmedFor, qt.IsTrue, qt.Commentf("%s", inSilence))
+	c.Check(inSilence > shard.ConfirmationTTL, qt.IsTrue, qt.Commentf("%s", inSilence))
 	c.Check(inSilence < 1600*time.Millisecond, qt.IsTrue, qt.Commentf("%s", inSilence))
 	ended := handover(t, func(e *estate) {
 		e.owners["a"].Close()
