--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// askOwnership reads the owner row when nothing else has confirmed it of late,
+// checkOwnership reads the owner row when nothing else has confirmed it of late,
 // or while the table service is in trouble; the lock is held.
-func (o *Owner) askOwnership(now time.Duration) {
+func (o *Owner) checkOwnership(now time.Duration) {
 	if o.asking || !o.troubled && now-o.confirmedAt < ConfirmationTTL/2 {
 		return
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -216,7 +216,7 @@
 	if o.held && o.alone > now {
 		o.wg.Go(o.awaitPredecessor)
 	}
-	o.askOwnership(now)
+	o.checkOwnership(now)
 	o.kickPlacement()
 }
 
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -32,7 +32,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	o.askOwnership(now)
+	o.checkOwnership(now)
 	for _, s := range o.sessionsInOrder() {
 		o.expire(s)
 		o.repeatStops(s, now)
