--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -55,7 +55,7 @@
 	}
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	row, err := shard.ReadOne(readCtx, r.cfg.Rows, progressKey(w.ID))
+	row, err := shard.ReadRow(readCtx, r.cfg.Rows, progressKey(w.ID))
 	if err != nil {
 		return err
 	}
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -14,8 +14,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// ReadOne returns a row, with version 0 when it is not there.
-func ReadOne(ctx context.Context, rows platform.Rows, key platform.RowKey) (platform.Row, error) {
+// ReadRow returns a row, with version 0 when it is not there.
+func ReadRow(ctx context.Context, rows platform.Rows, key platform.RowKey) (platform.Row, error) {
 	page, err := rows.ListRows(ctx, key.Table, key.Partition, key.Key)
 	if err != nil {
 		return platform.Row{}, err
@@ -157,14 +157,14 @@
 
 // ReadOwner returns the owner row of a shard, with version 0 when there is none.
 func ReadOwner(ctx context.Context, rows platform.Rows, pool string) (r platform.Row, err error) {
-	r, err = ReadOne(ctx, rows, ownerKey(pool))
+	r, err = ReadRow(ctx, rows, ownerKey(pool))
 	return r, errors.Wrapf(err, "read owner of shard %s", pool)
 }
 
 // FindJob tells whether the partition of a shard holds a job that the asker may see.
 func FindJob(ctx context.Context, rows platform.Rows, pool, id string, by Asker) (found bool, err error) {
 	defer func() { err = errors.Wrapf(err, "look for job %s", id) }()
-	r, err := ReadOne(ctx, rows, jobKey(pool, id))
+	r, err := ReadRow(ctx, rows, jobKey(pool, id))
 	if err != nil || r.Version == 0 {
 		return false, err
 	}
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -80,12 +80,12 @@
 func TakeOver(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, pool string, self Identity, seen ObservedOwner, ended func(OwnerRow) bool, sending func()) (c Claim, err error) {
 	defer func() { err = errors.Wrapf(err, "take over shard %s", pool) }()
 	started := time.Now()
-	owner, err := ReadOne(ctx, rows, ownerKey(pool))
+	owner, err := ReadRow(ctx, rows, ownerKey(pool))
 	if err != nil {
 		return c, err
 	}
 	pace := commitPace{mean: time.Since(started)} // reads and writes are slow together
-	commit, err := ReadOne(ctx, rows, commitKey(pool))
+	commit, err := ReadRow(ctx, rows, commitKey(pool))
 	if err != nil {
 		return c, err
 	}
