--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -179,7 +179,7 @@
 }
 
 // start begins to watch the workers and to write and place.
-func (o *Owner) start(k kept, workers []platform.Worker, now time.Duration) {
+func (o *Owner) start(k storedState, workers []platform.Worker, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	jobCount := 0
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -34,8 +34,8 @@
 	return all, err
 }
 
-// kept is what a shard's partition holds.
-type kept struct {
+// storedState is what a shard's partition holds.
+type storedState struct {
 	book       *jobs.Book
 	unreadable map[string]bool // IDs of jobs one of whose rows can't be read
 	workers    []leasedWorker
@@ -59,7 +59,7 @@
 // readKept reads the partition after the takeover, when no one else can write to it. A
 // job one of whose rows can't be read is left out, and with it nothing else: malformed is
 // told of each. Without the shares of accounts' limits nothing could be started safely.
-func readKept(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k kept, err error) {
+func readKept(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k storedState, err error) {
 	defer func() { err = errors.Wrapf(err, "read shard %s", pool) }()
 	k.book, k.unreadable = jobs.NewBook(term), map[string]bool{}
 	records, err := readAll(ctx, rows, tableJob, pool)
@@ -92,7 +92,7 @@
 
 // readProgress reads the progress of jobs, by ID. One of whose rows can't be read, or is missing,
 // must not begin again: its tasks may be done.
-func (k *kept) readProgress(rows []platform.Row, malformed func(errMalformedRow)) map[string]jobs.Progress {
+func (k *storedState) readProgress(rows []platform.Row, malformed func(errMalformedRow)) map[string]jobs.Progress {
 	byID := make(map[string]jobs.Progress, len(rows))
 	further := map[string][]jobs.Progress{}
 	for _, r := range rows {
@@ -119,7 +119,7 @@
 }
 
 // readWorkers reads the record of leased workers, and the shares beside it.
-func (k *kept) readWorkers(ctx context.Context, rows platform.Rows, pool string, malformed func(errMalformedRow)) error {
+func (k *storedState) readWorkers(ctx context.Context, rows platform.Rows, pool string, malformed func(errMalformedRow)) error {
 	sets, err := readAll(ctx, rows, tableWorkers, pool)
 	if err != nil {
 		return err
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -134,7 +134,7 @@
 }
 
 // takePart reads one row of the record; ok is false if it is none of its rows.
-func (k *kept) takePart(r platform.Row) (ok bool, err error) {
+func (k *storedState) takePart(r platform.Row) (ok bool, err error) {
 	part, ok := partNumber(r.Key)
 	switch {
 	case ok:
