--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -157,7 +157,7 @@
 		return nil, err
 	}
 	openedAt := cfg.Clock.Now()
-	k, err := readKept(ctx, cfg.Rows, cfg.Pool, c.Term, openedAt, func(e errMalformedRow) {
+	k, err := readStoredState(ctx, cfg.Rows, cfg.Pool, c.Term, openedAt, func(e errMalformedRow) {
 		cfg.Metrics.RowMalformed(e.key.Table)
 		cfg.Log.Error().Str("event", "row_malformed").Str("pool", cfg.Pool).Str("table", e.key.Table).Str("key", e.key.Key).Err(e.cause).Send()
 	})
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -56,10 +56,10 @@
 	return "row " + e.key.Table + "/" + e.key.Key + " can't be read: " + e.cause.Error()
 }
 
-// readKept reads the partition after the takeover, when no one else can write to it. A
+// readStoredState reads the partition after the takeover, when no one else can write to it. A
 // job one of whose rows can't be read is left out, and with it nothing else: malformed is
 // told of each. Without the shares of accounts' limits nothing could be started safely.
-func readKept(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k storedState, err error) {
+func readStoredState(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k storedState, err error) {
 	defer func() { err = errors.Wrapf(err, "read shard %s", pool) }()
 	k.book, k.unreadable = jobs.NewBook(term), map[string]bool{}
 	records, err := readAll(ctx, rows, tableJob, pool)
