--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -167,7 +167,7 @@
 	o = &Owner{
 		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.commitVersion,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
-		catalog: cat, book: k.book, unread: k.unreadable, blind: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
+		catalog: cat, book: k.book, unread: k.unreadable, blind: k.workersUnreadable, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
 		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*learned{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
@@ -199,8 +199,8 @@
 		s.recorded = true
 		o.inheritWorker(s, w)
 	}
-	o.held = o.held || k.blind
-	o.heldAll = o.heldAll || k.blind
+	o.held = o.held || k.workersUnreadable
+	o.heldAll = o.heldAll || k.workersUnreadable
 	o.arrivals.since = now
 	o.restoreSuspects()
 	o.setWorkers(workers)
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -41,7 +41,7 @@
 	workers    []leasedWorker
 	record     record
 	unheard    bool // a worker was lost before any owner after its last one has heard it
-	blind      bool // the record of workers can't be read: any may hold a lease
+	workersUnreadable      bool // the record of workers can't be read: any may hold a lease
 	shares     allowance.Row
 }
 
@@ -127,7 +127,7 @@
 	for _, r := range sets {
 		ok, err := k.takePart(r)
 		if err != nil {
-			k.blind = true
+			k.workersUnreadable = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
 		switch {
