--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -83,7 +83,7 @@
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
 		if !k.unreadable[r.Key] {
-			k.book.Restore(r.Key, record, byID[r.Key], now-ageOf(&record))
+			k.book.Restore(r.Key, record, byID[r.Key], now-jobAge(&record))
 		}
 	}
 	err = k.readWorkers(ctx, rows, pool, malformed)
@@ -96,7 +96,7 @@
 	byID := make(map[string]jobs.Progress, len(rows))
 	further := map[string][]jobs.Progress{}
 	for _, r := range rows {
-		id, number, isFurther := strings.Cut(r.Key, furtherRow)
+		id, number, isFurther := strings.Cut(r.Key, progressRowSeparator)
 		p, err := jobs.DecodeProgress(r.Value)
 		if err != nil {
 			k.unreadable[id] = true
@@ -146,13 +146,13 @@
 	return nil
 }
 
-// maxAge bounds how old a job may seem by clocks that differ; older ones are late anyway.
-const maxAge = time.Minute
+// maxJobAge bounds how old a job may seem by clocks that differ; older ones are late anyway.
+const maxJobAge = time.Minute
 
-// ageOf is how long ago a job was accepted, by the clock of the entry that took it
+// jobAge is how long ago a job was accepted, by the clock of the entry that took it
 // and ours. It only orders jobs, so that clocks that differ or jump do no harm.
-func ageOf(r *jobs.Record) time.Duration {
-	return min(max(0, time.Duration(time.Now().UnixNano())-r.AcceptedAt), maxAge)
+func jobAge(r *jobs.Record) time.Duration {
+	return min(max(0, time.Duration(time.Now().UnixNano())-r.AcceptedAt), maxJobAge)
 }
 
 // ReadOwner returns the owner row of a shard, with version 0 when there is none.
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -93,15 +93,15 @@
 	for i := range n {
 		key := id
 		if i > 0 {
-			key += furtherRow + strconv.Itoa(i)
+			key += progressRowSeparator + strconv.Itoa(i)
 		}
 		keys = append(keys, platform.RowKey{Table: tableProgress, Partition: pool, Key: key})
 	}
 	return keys
 }
 
-// furtherRow parts a job's ID from the number of a further row of its progress.
-const furtherRow = "~"
+// progressRowSeparator parts a job's ID from the number of a further row of its progress.
+const progressRowSeparator = "~"
 
 func encode(v any) ([]byte, error) {
 	raw, err := msgpack.Marshal(v)
