--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -147,7 +147,7 @@
 		return !timedOut && errors.As(err, new(peer.ErrLinkLost))
 	}
 	for _, o := range reply.Owners {
-		m.local.OwnerNews(o.Pool, shard.OwnerRowOf(o))
+		m.local.OwnerNews(o.Pool, shard.OwnerRowFromNews(o))
 	}
 	if int64(reply.CatalogVersion) > version {
 		m.local.CatalogNewer(k.caller, int64(reply.CatalogVersion))
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -117,7 +117,7 @@
 	return o, errors.Wrap(err, "decode owner row")
 }
 
-// OwnerRowOf turns news of an owner row from another entry into the row.
-func OwnerRowOf(o schema.OwnerNews) platform.Row {
+// OwnerRowFromNews turns news of an owner row from another entry into the row.
+func OwnerRowFromNews(o schema.OwnerNews) platform.Row {
 	return platform.Row{RowKey: ownerKey(o.Pool), Value: o.Row, Version: int64(o.Version)}
 }
