--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -26,7 +26,7 @@
 // the last one has started.
 func (o *Owner) inheritWorker(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, startsEnd: o.alone, leasesEnd: o.heldTo}
-	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
+	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
 		s.former.listed, s.former.names = true, w.Tasks
 	}
 	o.held = true
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -61,10 +61,10 @@
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
 	Address string `msgpack:"a"`
-	// LetGo is the term of the owner that wrote the row when it let go of the shard; then
+	// ReleaseTerm is the term of the owner that wrote the row when it let go of the shard; then
 	// Tasks names all that may run there or may have ended there without that being kept.
 	// With 0, and after the term that followed, any task of the shard may.
-	LetGo int64    `msgpack:"c,omitempty"`
+	ReleaseTerm int64    `msgpack:"c,omitempty"`
 	Tasks []string `msgpack:"t,omitempty"`
 }
 
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -157,7 +157,7 @@
 	if s.former.pending && !s.former.listed {
 		return w
 	}
-	w.LetGo = term
+	w.ReleaseTerm = term
 	if s.former.pending {
 		w.Tasks = s.former.names
 		return w
