--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -53,7 +53,7 @@
 // now; so the owner itself keeps it, with its next transaction, once it is alone.
 func remainingGrace(found OwnerRow, commit platform.Row, age time.Duration) time.Duration {
 	var c commitRow
-	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.Alone && c.Term == found.Term {
+	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.SoleOwner && c.Term == found.Term {
 		return 0
 	}
 	return max(0, found.FormerGrace-age)
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -53,7 +53,7 @@
 	Start int64  `msgpack:"s"`
 	Term  int64  `msgpack:"t"`
 	Seq   int64  `msgpack:"q"`           // counts the transactions of the term
-	Alone bool   `msgpack:"a,omitempty"` // no owner before that of the term can act any more
+	SoleOwner bool   `msgpack:"a,omitempty"` // no owner before that of the term can act any more
 }
 
 // leasedWorker is a boot that was given a lease and may still run tasks.
