--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -128,7 +128,7 @@
 	dirty      map[*jobs.Job]struct{}       // whose progress is to be written
 	singly     int                          // transactions to come that take one thing each
 	drops      []dropped                    // jobs whose rows are to be removed
-	record     record                       // of leased workers
+	record     workerRecord                       // of leased workers
 	urgent     bool                         // someone waits for the next transaction
 	committing bool                         // a transaction is under way
 	troubled   bool                         // the table service carries out no transactions
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -39,7 +39,7 @@
 	book       *jobs.Book
 	unreadable map[string]bool // IDs of jobs one of whose rows can't be read
 	workers    []leasedWorker
-	record     record
+	record     workerRecord
 	unheard    bool // a worker was lost before any owner after its last one has heard it
 	workersUnreadable      bool // the record of workers can't be read: any may hold a lease
 	shares     allowance.Row
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -18,8 +18,8 @@
 // as a record, and take it that any worker may hold a lease.
 const partsMarker = "in parts"
 
-// record is what this owner knows of the rows of the record of leased workers.
-type record struct {
+// workerRecord is what this owner knows of the rows of the workerRecord of leased workers.
+type workerRecord struct {
 	changed [recordParts]bool // to be written
 	kept    [recordParts]bool // a row is there
 	marked  bool              // the marker is there
@@ -30,13 +30,13 @@
 func partOf(worker string) int { return int(xxhash.Sum64String(worker) % recordParts) }
 
 // note has the part that names a worker written.
-func (r *record) note(worker string) {
+func (r *workerRecord) note(worker string) {
 	r.changed[partOf(worker)] = true
 	r.dirty = true
 }
 
 // noteAll has all parts written that there are, and those that are needed.
-func (r *record) noteAll() {
+func (r *workerRecord) noteAll() {
 	for i := range r.changed {
 		r.changed[i] = true
 	}
@@ -60,7 +60,7 @@
 // put adds the parts that have changed, and removes the rows of those that name nobody; it returns
 // them. The first time it adds the marker too: an earlier version that takes over has to find it
 // wherever it finds less than the whole record.
-func (r *record) put(b *batch, pool string, sets *[recordParts][]leasedWorker) (parts []int, err error) {
+func (r *workerRecord) put(b *batch, pool string, sets *[recordParts][]leasedWorker) (parts []int, err error) {
 	for i, set := range sets {
 		switch {
 		case !r.changed[i]:
@@ -108,7 +108,7 @@
 }
 
 // begin notes that the parts that have changed are in a transaction under way.
-func (r *record) begin(parts []int) {
+func (r *workerRecord) begin(parts []int) {
 	for _, i := range parts {
 		r.changed[i] = false
 	}
@@ -116,7 +116,7 @@
 }
 
 // settle notes what became of the parts in a transaction.
-func (r *record) settle(b *batch, happened bool) {
+func (r *workerRecord) settle(b *batch, happened bool) {
 	if !b.record {
 		return
 	}
