--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -73,7 +73,7 @@
 	if !s.former.listed {
 		if !o.unheard {
 			o.unheard = true
-			o.record.note(s.worker) // the next record does not name it any more
+			o.record.markChanged(s.worker) // the next record does not name it any more
 			o.kickCommit()
 		}
 		return
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -49,7 +49,7 @@
 		if s.recorded {
 			// It may leave now: a next owner need not look for leases there.
 			s.recorded = false
-			o.record.note(s.worker)
+			o.record.markChanged(s.worker)
 			o.kickCommit()
 		}
 	}
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -29,8 +29,8 @@
 // partOf is the part of the record that names a worker.
 func partOf(worker string) int { return int(xxhash.Sum64String(worker) % recordParts) }
 
-// note has the part that names a worker written.
-func (r *workerRecord) note(worker string) {
+// markChanged has the part that names a worker written.
+func (r *workerRecord) markChanged(worker string) {
 	r.changed[partOf(worker)] = true
 	r.dirty = true
 }
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -37,7 +37,7 @@
 		o.expire(s)
 		o.repeatStops(s, now)
 		if s.listed && !s.recorded && now >= s.cordonedTo {
-			o.record.note(s.worker)
+			o.record.markChanged(s.worker)
 			o.kickCommit()
 		}
 		if s.draining {
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -103,7 +103,7 @@
 	}
 	ref := platform.WorkerRef{Boot: w.Boot, Address: w.Address}
 	o.log.Info().Str("event", "worker_listed").Str("boot", w.Boot).Str("vm", w.VM).Str("address", w.Address).Send()
-	o.record.note(id)
+	o.record.markChanged(id)
 	if s == nil {
 		return o.addSession(ref, w.VM), false
 	}
@@ -152,7 +152,7 @@
 		o.tokens[s.worker] = s.token
 	}
 	o.inOrder = nil
-	o.record.note(s.worker)
+	o.record.markChanged(s.worker)
 	o.checkTakeoverComplete()
 	o.kickCommit()
 }
