--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -141,7 +141,7 @@
 		}
 	}
 	if !k.record.marked {
-		k.record.noteAll()
+		k.record.markAllChanged()
 	}
 	return nil
 }
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -35,8 +35,8 @@
 	r.dirty = true
 }
 
-// noteAll has all parts written that there are, and those that are needed.
-func (r *workerRecord) noteAll() {
+// markAllChanged has all parts written that there are, and those that are needed.
+func (r *workerRecord) markAllChanged() {
 	for i := range r.changed {
 		r.changed[i] = true
 	}
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -125,7 +125,7 @@
 		named[part] = append(named[part], s.leasedInTheEnd(o.claim.Term))
 		bare[part] = append(bare[part], s.leased())
 	}
-	o.record.noteAll()
+	o.record.markAllChanged()
 	if _, err := o.record.put(b, o.cfg.Pool, &named); err != nil {
 		return err
 	}
