--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// trustList is how long after a takeover the VM list is asked for first: it
+	// vmListDelay is how long after a takeover the VM list is asked for first: it
 	// lags behind, and must be of a later time than the last boot that the former
 	// owner has recorded.
-	trustList = 2 * time.Second
-	// askListAgain is the pause before the list is asked for again.
-	askListAgain = time.Second
+	vmListDelay = 2 * time.Second
+	// vmListInterval is the pause before the list is asked for again.
+	vmListInterval = time.Second
 )
 
 // askMachines looks for boots of the former owner that do not answer in the VM
@@ -21,7 +21,7 @@
 // The directory does not tell that: a heartbeat that was held up on the way may
 // write the row of an ended boot after that of its successor. The lock is held.
 func (o *Owner) askMachines(now time.Duration) {
-	if !o.held || now < o.openedAt+trustList || now < o.askedMachines+askListAgain {
+	if !o.held || now < o.openedAt+vmListDelay || now < o.askedMachines+vmListInterval {
 		return
 	}
 	o.askedMachines = now
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -27,7 +27,7 @@
 		}
 		o.answerWaiters(j)
 	}
-	o.record.settle(b, true)
+	o.record.applyOutcome(b, true)
 	for _, s := range b.workers {
 		s.recorded = true
 		s.kick()
@@ -71,7 +71,7 @@
 		o.dirty[j] = struct{}{}
 	}
 	o.drops = append(o.drops, b.drops...)
-	o.record.settle(b, false)
+	o.record.applyOutcome(b, false)
 	o.accounts.changed = o.accounts.changed || b.shares != nil
 }
 
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	for _, r := range sets {
-		ok, err := k.takePart(r)
+		ok, err := k.readPart(r)
 		if err != nil {
 			k.workersUnreadable = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
@@ -140,7 +140,7 @@
 			}
 		}
 	}
-	if !k.record.marked {
+	if !k.record.markerStored {
 		k.record.markAllChanged()
 	}
 	return nil
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -21,8 +21,8 @@
 // workerRecord is what this owner knows of the rows of the workerRecord of leased workers.
 type workerRecord struct {
 	changed [recordParts]bool // to be written
-	kept    [recordParts]bool // a row is there
-	marked  bool              // the marker is there
+	stored    [recordParts]bool // a row is there
+	markerStored  bool              // the marker is there
 	dirty   bool              // any is to be written
 }
 
@@ -65,7 +65,7 @@
 		switch {
 		case !r.changed[i]:
 			continue
-		case len(set) == 0 && r.kept[i]:
+		case len(set) == 0 && r.stored[i]:
 			b.txn.Remove = append(b.txn.Remove, partKey(pool, i))
 		case len(set) > 0:
 			raw, err := encode(set)
@@ -76,7 +76,7 @@
 		}
 		parts = append(parts, i)
 	}
-	if !r.marked {
+	if !r.markerStored {
 		raw, err := encode(partsMarker)
 		if err != nil {
 			return nil, err
@@ -102,21 +102,21 @@
 	if b.parts, err = o.record.put(b, o.cfg.Pool, b.leased); err != nil {
 		return err
 	}
-	o.record.begin(b.parts)
+	o.record.clearChanged(b.parts)
 	b.record = true
 	return o.putUnheard(b)
 }
 
-// begin notes that the parts that have changed are in a transaction under way.
-func (r *workerRecord) begin(parts []int) {
+// clearChanged notes that the parts that have changed are in a transaction under way.
+func (r *workerRecord) clearChanged(parts []int) {
 	for _, i := range parts {
 		r.changed[i] = false
 	}
 	r.dirty = false
 }
 
-// settle notes what became of the parts in a transaction.
-func (r *workerRecord) settle(b *batch, happened bool) {
+// applyOutcome notes what became of the parts in a transaction.
+func (r *workerRecord) applyOutcome(b *batch, happened bool) {
 	if !b.record {
 		return
 	}
@@ -127,24 +127,24 @@
 		r.dirty = true
 		return
 	}
-	r.marked = true
+	r.markerStored = true
 	for _, i := range b.parts {
-		r.kept[i] = len(b.leased[i]) > 0
+		r.stored[i] = len(b.leased[i]) > 0
 	}
 }
 
-// takePart reads one row of the record; ok is false if it is none of its rows.
-func (k *storedState) takePart(r platform.Row) (ok bool, err error) {
+// readPart reads one row of the record; ok is false if it is none of its rows.
+func (k *storedState) readPart(r platform.Row) (ok bool, err error) {
 	part, ok := partNumber(r.Key)
 	switch {
 	case ok:
-		k.record.kept[part] = true
+		k.record.stored[part] = true
 	case r.Key != singleKey:
 		return false, nil
 	default:
 		var marker string
 		if msgpack.Unmarshal(r.Value, &marker) == nil && marker == partsMarker {
-			k.record.marked = true
+			k.record.markerStored = true
 			return true, nil
 		}
 		// Of an earlier version, which did not touch the parts: what these name besides is out of
