--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -16,11 +16,11 @@
 	vmListInterval = time.Second
 )
 
-// askMachines looks for boots of the former owner that do not answer in the VM
+// checkVMList looks for boots of the former owner that do not answer in the VM
 // list: a VM that has another worker or another pool has ended the one we wait for.
 // The directory does not tell that: a heartbeat that was held up on the way may
 // write the row of an ended boot after that of its successor. The lock is held.
-func (o *Owner) askMachines(now time.Duration) {
+func (o *Owner) checkVMList(now time.Duration) {
 	if !o.held || now < o.openedAt+vmListDelay || now < o.askedMachines+vmListInterval {
 		return
 	}
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -47,7 +47,7 @@
 		}
 	}
 	o.checkTakeoverComplete()
-	o.askMachines(now)
+	o.checkVMList(now)
 	o.forgetFinals(now)
 	o.checkStragglers(now)
 	o.judgeRate(now)
