--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -35,12 +35,12 @@
 			o.log.Warn().Str("event", "machines_not_listed").Err(err).Send()
 			return
 		}
-		o.endReplaced(list)
+		o.endReplacedBoots(list)
 	})
 }
 
-// endReplaced ends the sessions of boots that the VM list shows to be over; the lock is held.
-func (o *Owner) endReplaced(list []platform.Machine) {
+// endReplacedBoots ends the sessions of boots that the VM list shows to be over; the lock is held.
+func (o *Owner) endReplacedBoots(list []platform.Machine) {
 	byVM := make(map[string]platform.Machine, len(list))
 	for _, m := range list {
 		byVM[m.VM] = m
