--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -12,10 +12,10 @@
 // to do with each other, and neither have their clocks. So each boot has a session of its own,
 // and whatever may have reached a boot under the name of the one before is settled with it.
 
-// answeredBy names the boot that a report is of; one that does not say is taken for the one
+// respondingBoot names the boot that a report is of; one that does not say is taken for the one
 // asked. Another one is the next, whatever it says of its start: the worker's clock may have
 // been set back.
-func (s *session) answeredBy(born int64) string {
+func (s *session) respondingBoot(born int64) string {
 	worker, own := platform.SplitBoot(s.ref.Boot)
 	if born == 0 || born == own {
 		return s.ref.Boot
