--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -115,7 +115,7 @@
 	}
 	if boot := s.respondingBoot(report.Born); boot != s.ref.Boot {
 		o.cfg.Metrics.Look(platform.ErrOtherBoot{Boot: boot})
-		o.restarted(s, platform.WorkerRef{Boot: boot, Address: s.ref.Address})
+		o.handleRestart(s, platform.WorkerRef{Boot: boot, Address: s.ref.Address})
 		return
 	}
 	o.cfg.Metrics.Look(nil)
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -30,9 +30,9 @@
 	return bornA > bornB
 }
 
-// restarted ends the session of a boot whose worker has started again under its ID, and begins
+// handleRestart ends the session of a boot whose worker has started again under its ID, and begins
 // one of the boot that is there now.
-func (o *Owner) restarted(s *session, ref platform.WorkerRef) {
+func (o *Owner) handleRestart(s *session, ref platform.WorkerRef) {
 	o.log.Warn().Str("event", "worker_restarted").Str("boot", ref.Boot).Str("before", s.ref.Boot).
 		Int64("seen_end", s.ends.counted).Int("attempts", len(s.attempts)).Send()
 	next := o.sessions[ref.Boot]
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -107,7 +107,7 @@
 	if s == nil {
 		return o.addSession(ref, w.VM), false
 	}
-	o.restarted(s, ref)
+	o.handleRestart(s, ref)
 	return o.sessions[w.Boot], false
 }
 
