--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -42,14 +42,14 @@
 	next.token = max(next.token, s.token+1) // orders that are on their way still are void there
 	next.lapsesAt = o.strangeLeasesEnd(o.now())
 	o.blame(s)
-	o.passAttempts(s, next)
-	o.passFormer(s, next)
+	o.transferAttempts(s, next)
+	o.transferFormer(s, next)
 	o.bootEnded(s, "it has started again under its ID")
 }
 
-// passAttempts passes on the attempts of which no report of their boot has told: their starts
+// transferAttempts passes on the attempts of which no report of their boot has told: their starts
 // may have reached the next one. The others were lost with it.
-func (o *Owner) passAttempts(s, next *session) {
+func (o *Owner) transferAttempts(s, next *session) {
 	for name, r := range byName(s.attempts) {
 		if !r.sent() || r.seenAt > 0 {
 			continue
@@ -64,9 +64,9 @@
 	}
 }
 
-// passFormer passes on what a former owner may have left, which is at the next boot if it was
+// transferFormer passes on what a former owner may have left, which is at the next boot if it was
 // started after the worker was.
-func (o *Owner) passFormer(s, next *session) {
+func (o *Owner) transferFormer(s, next *session) {
 	if !s.former.pending {
 		return
 	}
