--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -142,7 +142,7 @@
 func (o *Owner) begun(s *session, r *running, now time.Duration) {
 	if r.confirmedAt == 0 {
 		r.confirmedAt = now
-		o.absolve(r)
+		o.retractLoss(r)
 		if len(r.Task.Losses) > 0 {
 			s.lookAgain()
 		}
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -107,7 +107,7 @@
 	}
 	var attempt *jobs.Attempt
 	if a != nil && a.Number == e.Attempt {
-		o.absolve(a)
+		o.retractLoss(a)
 		attempt = a.Attempt
 		o.forgetAhead(attempt)
 		s.letGo(e.Task)
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -83,9 +83,9 @@
 	next.former, s.former = left, formerTasks{}
 }
 
-// absolve takes back the loss that was counted against a task when its boot ended, since the
+// retractLoss takes back the loss that was counted against a task when its boot ended, since the
 // attempt is or was at the next one.
-func (o *Owner) absolve(r *running) {
+func (o *Owner) retractLoss(r *running) {
 	if r.lostWith == "" {
 		return
 	}
