--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -166,7 +166,7 @@
 		s.letGo(name)
 		o.book.Drop(a.Attempt)
 		if a.lostWith != "" {
-			o.convict(a.Task, a.lostWith)
+			o.confirmLoss(a.Task, a.lostWith)
 		}
 		o.kickPlacement()
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -94,9 +94,9 @@
 	o.keep(r.Task.Step.Job, false)
 }
 
-// convict makes sure of the loss that was counted against a task, since its attempt has not
+// confirmLoss makes sure of the loss that was counted against a task, since its attempt has not
 // reached the next boot either.
-func (o *Owner) convict(t *jobs.Task, boot string) {
+func (o *Owner) confirmLoss(t *jobs.Task, boot string) {
 	t.SetLosses(t.Losses.MarkEnded(boot))
 	o.keep(t.Step.Job, false)
 	o.giveUpGuilty(t)
