--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -40,7 +40,7 @@
 		next = o.addSession(ref, s.vm)
 	}
 	next.token = max(next.token, s.token+1) // orders that are on their way still are void there
-	next.lapsesAt = o.strangeLeasesEnd(o.now())
+	next.lapsesAt = o.otherBootLeasesEnd(o.now())
 	o.blame(s)
 	o.transferAttempts(s, next)
 	o.transferFormer(s, next)
@@ -102,9 +102,9 @@
 	o.giveUpGuilty(t)
 }
 
-// unsettled tells whether an attempt of a task may be at the boot that followed the one it was
+// mayBeAtNextBoot tells whether an attempt of a task may be at the boot that followed the one it was
 // started at.
-func (o *Owner) unsettled(t *jobs.Task) bool {
+func (o *Owner) mayBeAtNextBoot(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
 		if r := o.running(a); r != nil && r.lostWith != "" {
 			return true
@@ -113,26 +113,26 @@
 	return false
 }
 
-// strangeLeasesEnd is when leases have run out that were given by the clock of another boot,
+// otherBootLeasesEnd is when leases have run out that were given by the clock of another boot,
 // from which they may have come out as long as a worker grants them.
-func (o *Owner) strangeLeasesEnd(now time.Duration) time.Duration {
+func (o *Owner) otherBootLeasesEnd(now time.Duration) time.Duration {
 	return now + outlasting(o.cfg.LongestLease)
 }
 
-// fellBack tells whether a clock in the answer to an order that was sent at sentAt is behind
+// clockWentBack tells whether a clock in the answer to an order that was sent at sentAt is behind
 // what this boot's clock must have been then: another boot has answered. It shows that a start
 // has reached a later boot before what ends there is acknowledged unseen; without it a task that
 // was done is started again where the table service takes 300 ms (TestStartReachesNextBoot).
-func (s *session) fellBack(ms int64, sentAt time.Duration) bool {
+func (s *session) clockWentBack(ms int64, sentAt time.Duration) bool {
 	if s.clockAt == 0 || sentAt < s.clockAt {
 		return false
 	}
 	passed := float64(sentAt-s.clockAt) / float64(time.Millisecond) * (1 - maxClockDrift)
-	return float64(ms) < float64(s.clockMs)+passed-clockRounding
+	return float64(ms) < float64(s.clockMs)+passed-clockRoundingMs
 }
 
-// clockRounding is what the rounding of two clocks to milliseconds may hide, in milliseconds.
-const clockRounding = 2
+// clockRoundingMs is what the rounding of two clocks to milliseconds may hide, in milliseconds.
+const clockRoundingMs = 2
 
 // takeClock takes the clock in the answer to an order, if there is one. A clock of 0 is one: taken for
 // none, a start that reached the next boot in its first millisecond was not noticed, and its end
@@ -141,7 +141,7 @@
 	if ms == platform.NoClock {
 		return
 	}
-	if s.fellBack(ms, sentAt) {
+	if s.clockWentBack(ms, sentAt) {
 		o.log.Warn().Str("event", "worker_clock_fell_back").Str("boot", s.ref.Boot).Int64("clock_ms", ms).Int64("before_ms", s.clockMs).
 			Dur("age", o.now()-s.clockAt).Send()
 		s.doubt()
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -92,7 +92,7 @@
 // judge gives up the tasks at a lost boot that are known to bring workers down.
 func (o *Owner) judge(s *session, kind LossKind) {
 	for _, t := range o.suspectsInOrder() {
-		if !t.Losses.HasBoot(s.ref.Boot) || o.unsettled(t) {
+		if !t.Losses.HasBoot(s.ref.Boot) || o.mayBeAtNextBoot(t) {
 			continue
 		}
 		if kind == LossEnded {
