--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -88,7 +88,7 @@
 	}
 	o.cfg.Metrics.Order(err)
 	o.noteAnswer(o.now()-sentAt, err)
-	o.takeClock(s, clockOf(clockMs, err), sentAt)
+	o.observeClock(s, clockOf(clockMs, err), sentAt)
 	d.answered(err)
 }
 
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -134,10 +134,10 @@
 // clockRoundingMs is what the rounding of two clocks to milliseconds may hide, in milliseconds.
 const clockRoundingMs = 2
 
-// takeClock takes the clock in the answer to an order, if there is one. A clock of 0 is one: taken for
+// observeClock takes the clock in the answer to an order, if there is one. A clock of 0 is one: taken for
 // none, a start that reached the next boot in its first millisecond was not noticed, and its end
 // acknowledged unseen (TestStartInFirstMillisecond).
-func (o *Owner) takeClock(s *session, ms int64, sentAt time.Duration) {
+func (o *Owner) observeClock(s *session, ms int64, sentAt time.Duration) {
 	if ms == platform.NoClock {
 		return
 	}
