--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -208,7 +208,7 @@
 	if s.failures == 1 {
 		o.log.Warn().Str("event", "worker_lost").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Err(err).Send()
 	}
-	if s.failures >= blameAfter {
+	if s.failures >= lossCountedAfter {
 		o.blame(s)
 	}
 	o.expire(s)
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -13,11 +13,11 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// blameAfter is how many calls in a row a worker leaves unanswered before its loss is
+// lossCountedAfter is how many calls in a row a worker leaves unanswered before its loss is
 // counted against what is there. It is not certain then, and taken back if the boot
 // answers again; but a worker that was brought down is known to have ended only when its
 // next boot answers, 3 s later, and an owner that goes meanwhile takes what it knows along.
-const blameAfter = 2
+const lossCountedAfter = 2
 
 // blame counts the loss of a worker against the tasks there.
 func (o *Owner) blame(s *session) {
