--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -209,7 +209,7 @@
 		o.log.Warn().Str("event", "worker_lost").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Err(err).Send()
 	}
 	if s.failures >= lossCountedAfter {
-		o.blame(s)
+		o.countLosses(s)
 	}
 	o.expire(s)
 }
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -21,7 +21,7 @@
 // had run: a worker goes with a dozen attempts, and when one of them has brought it down
 // nothing else tells which.
 func (o *Owner) lose(s *session, kind LossKind) {
-	o.blame(s)
+	o.countLosses(s)
 	now := o.now()
 	for name, r := range byName(s.attempts) {
 		if r.sent() {
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -41,7 +41,7 @@
 	}
 	next.token = max(next.token, s.token+1) // orders that are on their way still are void there
 	next.lapsesAt = o.otherBootLeasesEnd(o.now())
-	o.blame(s)
+	o.countLosses(s)
 	o.transferAttempts(s, next)
 	o.transferFormer(s, next)
 	o.bootEnded(s, "it has started again under its ID")
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -19,8 +19,8 @@
 // next boot answers, 3 s later, and an owner that goes meanwhile takes what it knows along.
 const lossCountedAfter = 2
 
-// blame counts the loss of a worker against the tasks there.
-func (o *Owner) blame(s *session) {
+// countLosses counts the loss of a worker against the tasks there.
+func (o *Owner) countLosses(s *session) {
 	now := o.now()
 	if s.blamed || s.leavesByPlan(now) {
 		return
