--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -80,7 +80,7 @@
 	}
 	for _, name := range s.former.names {
 		t := o.book.Task(name)
-		if t == nil || t.Done || t.Step.Job.State.Final() || s.leavesByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
+		if t == nil || t.Done || t.Step.Job.State.Final() || s.departsByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
 			continue // the owner that let go may have counted it
 		}
 		// Its attempt is not known: numbers of attempts are above 0.
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -22,7 +22,7 @@
 // countLosses counts the loss of a worker against the tasks there.
 func (o *Owner) countLosses(s *session) {
 	now := o.now()
-	if s.blamed || s.leavesByPlan(now) {
+	if s.blamed || s.departsByPlan(now) {
 		return
 	}
 	s.blamed = true
@@ -41,10 +41,10 @@
 	}
 }
 
-// leavesByPlan tells whether a worker was about to go before it was lost, so that its loss
+// departsByPlan tells whether a worker was about to go before it was lost, so that its loss
 // says nothing of its tasks. One that leaves without a word answers after its row has gone;
 // the row of one that was brought down may go before its silence is noticed.
-func (s *session) leavesByPlan(now time.Duration) bool {
+func (s *session) departsByPlan(now time.Duration) bool {
 	return s.draining || s.cordonedTo > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
 
