--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -182,7 +182,7 @@
 	}
 	s.failures, s.silentAt = 0, 0
 	if s.blamed || !s.known {
-		o.pardon(s, report)
+		o.retractBootLosses(s, report)
 	}
 	s.noteClock(report.ClockMs, o.now())
 	o.takeReport(s, report, sentAt)
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -57,11 +57,11 @@
 	o.keep(t.Step.Job, true)
 }
 
-// pardon takes back the losses of a boot that is alive, as its report shows. A start of a task that
+// retractBootLosses takes back the losses of a boot that is alive, as its report shows. A start of a task that
 // has others, which runs there still, is noted ahead again; if it was on trial, the worker is kept
 // for it again. A next owner that knew of neither started a crashing task beside the one on trial,
 // and gave up its job, which had done nothing (TestInnocentOnTrialAtTakeover).
-func (o *Owner) pardon(s *session, r *platform.WorkerReport) {
+func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
 	s.blamed = false
 	for _, t := range o.suspectsInOrder() {
 		if !t.Losses.HasBoot(s.ref.Boot) {
