--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -83,7 +83,7 @@
 // onTakeoverComplete does what waits until all workers of former owners were heard or have ended.
 func (o *Owner) onTakeoverComplete() {
 	o.book.AllSeen()
-	o.giveUpRestored()
+	o.failRestoredPoison()
 }
 
 // mayRunElsewhere tells whether a task may be, or may have ended, at a worker that has
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -31,7 +31,7 @@
 		}
 		o.drop(s, name)
 	}
-	o.judge(s, kind)
+	o.failPoisonTasks(s, kind)
 	s.trial = nil
 }
 
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -99,7 +99,7 @@
 func (o *Owner) confirmLoss(t *jobs.Task, boot string) {
 	t.SetLosses(t.Losses.MarkEnded(boot))
 	o.keep(t.Step.Job, false)
-	o.giveUpGuilty(t)
+	o.failIfPoison(t)
 }
 
 // mayBeAtNextBoot tells whether an attempt of a task may be at the boot that followed the one it was
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -63,12 +63,12 @@
 // and gave up its job, which had done nothing (TestInnocentOnTrialAtTakeover).
 func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
 	s.blamed = false
-	for _, t := range o.suspectsInOrder() {
+	for _, t := range o.sortedSuspects() {
 		if !t.Losses.HasBoot(s.ref.Boot) {
 			continue
 		}
 		left := t.Losses.WithoutBoot(s.ref.Boot)
-		if n, runs := runningThere(r, t.Name()); runs && (len(left) > 0 || o.unheard && t.Step.Job.Restored) {
+		if n, runs := runningAttempt(r, t.Name()); runs && (len(left) > 0 || o.unheard && t.Step.Job.Restored) {
 			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
@@ -80,8 +80,8 @@
 	}
 }
 
-// runningThere is the number of the attempt of a task that a report lists as running.
-func runningThere(r *platform.WorkerReport, task string) (number int64, runs bool) {
+// runningAttempt is the number of the attempt of a task that a report lists as running.
+func runningAttempt(r *platform.WorkerReport, task string) (number int64, runs bool) {
 	at := slices.IndexFunc(r.Running, func(a platform.RunningAttempt) bool { return a.Task == task })
 	if at < 0 {
 		return 0, false
@@ -89,9 +89,9 @@
 	return r.Running[at].Attempt, true
 }
 
-// judge gives up the tasks at a lost boot that are known to bring workers down.
-func (o *Owner) judge(s *session, kind LossKind) {
-	for _, t := range o.suspectsInOrder() {
+// failPoisonTasks gives up the tasks at a lost boot that are known to bring workers down.
+func (o *Owner) failPoisonTasks(s *session, kind LossKind) {
+	for _, t := range o.sortedSuspects() {
 		if !t.Losses.HasBoot(s.ref.Boot) || o.mayBeAtNextBoot(t) {
 			continue
 		}
@@ -99,12 +99,12 @@
 			t.SetLosses(t.Losses.MarkEnded(s.ref.Boot))
 			o.keep(t.Step.Job, false)
 		}
-		o.giveUpGuilty(t)
+		o.failIfPoison(t)
 	}
 }
 
-// giveUpGuilty ends the job of a task that is known to bring its workers down.
-func (o *Owner) giveUpGuilty(t *jobs.Task) {
+// failIfPoison ends the job of a task that is known to bring its workers down.
+func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
 	if t.Verdict() != blame.Guilty || !o.book.GiveUp(t) {
 		return
@@ -119,16 +119,16 @@
 	o.jobEnded(j)
 }
 
-// giveUpRestored ends the jobs of tasks that former owners knew enough of: the one that
+// failRestoredPoison ends the jobs of tasks that former owners knew enough of: the one that
 // counted the last loss may have gone before it had kept the end of the job.
-func (o *Owner) giveUpRestored() {
-	for _, t := range o.suspectsInOrder() {
-		o.giveUpGuilty(t)
+func (o *Owner) failRestoredPoison() {
+	for _, t := range o.sortedSuspects() {
+		o.failIfPoison(t)
 	}
 }
 
-// suspectsInOrder returns the tasks that workers lost are counted against, by name.
-func (o *Owner) suspectsInOrder() []*jobs.Task {
+// sortedSuspects returns the tasks that workers lost are counted against, by name.
+func (o *Owner) sortedSuspects() []*jobs.Task {
 	if len(o.suspects) == 0 {
 		return nil
 	}
@@ -142,16 +142,16 @@
 			for _, t := range s.Tasks {
 				if len(t.Losses) > 0 {
 					o.suspects[t] = struct{}{}
-					o.confirmUnrecorded(t)
+					o.markUnrecordedEnded(t)
 				}
 			}
 		}
 	}
 }
 
-// confirmUnrecorded makes sure of the losses at boots that the record of workers does not name any
+// markUnrecordedEnded makes sure of the losses at boots that the record of workers does not name any
 // more: it names each to which a start was sent until that has ended or nothing of ours is there.
-func (o *Owner) confirmUnrecorded(t *jobs.Task) {
+func (o *Owner) markUnrecordedEnded(t *jobs.Task) {
 	if o.blind {
 		return
 	}
@@ -165,7 +165,7 @@
 // clearSuspects clears the tasks that have run for longer than they had when a worker was
 // lost, as far as their worker has said so.
 func (o *Owner) clearSuspects() {
-	for _, t := range o.suspectsInOrder() {
+	for _, t := range o.sortedSuspects() {
 		if t.Done || t.Step.Job.State.Final() || len(t.Losses) == 0 {
 			delete(o.suspects, t)
 			continue
