--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -186,8 +186,8 @@
 	}
 }
 
-// watches tells whether a watched task runs at a worker that may still bring it down.
-func (s *session) watches() bool {
+// hasSuspect tells whether a watched task runs at a worker that may still bring it down.
+func (s *session) hasSuspect() bool {
 	for _, r := range s.attempts {
 		if r.Task.Suspect() {
 			return true
