--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -169,7 +169,7 @@
 	if s.known && !s.blocksTakeover(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
 		order.Wait = lookWait
 		if s.hasSuspect() {
-			order.Wait = watchLook
+			order.Wait = suspectPollWait
 		}
 	}
 	return order
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -196,6 +196,6 @@
 	return false
 }
 
-// watchLook is how long a look at a worker with a watched task waits for an end, so that
+// suspectPollWait is how long a look at a worker with a watched task waits for an end, so that
 // the task is cleared soon after it has run for long enough.
-const watchLook = 200 * time.Millisecond
+const suspectPollWait = 200 * time.Millisecond
