--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -27,7 +27,7 @@
 	if !maybeLost && !t.Suspect() || o.troubled && !strong {
 		return false
 	}
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.tries(r), Provisional: true}))
+	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
 	o.noted[j] = append(o.noted[j], noted{session: s, running: r, evidence: j.Evidence()})
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -31,7 +31,7 @@
 	for _, r := range byName(s.attempts) {
 		if r.sent() {
 			at = append(at, r)
-			attempts = append(attempts, blame.Attempt{Ran: s.ranFor(r, now), Trial: s.tries(r)})
+			attempts = append(attempts, blame.Attempt{Ran: s.ranFor(r, now), Trial: s.isOnTrial(r)})
 		}
 	}
 	for i, counted := range blame.Counted(attempts) {
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// trialQuiet is how long all else at a worker has run when a trial starts there, so
+	// trialSettleTime is how long all else at a worker has run when a trial starts there, so
 	// that what is lost with it is the doing of the task on trial.
 	// Nothing changes in TestStorm from 0.1 to 1.5 s (445 to 501 of 600 jobs in time, none
 	// failed wrongly).
-	trialQuiet = 500 * time.Millisecond
-	// trialPart bounds the workers that are kept for trials to one part in so many.
+	trialSettleTime = 500 * time.Millisecond
+	// trialWorkerDivisor bounds the workers that are kept for trials to one part in so many.
 	// Nothing changes in TestStorm from 2 to 6 (437 to 499 in time, none failed wrongly).
-	trialPart = 3
-	// trialPatience is how long a worker is kept for a trial that can't start.
-	trialPatience = 5 * time.Second
+	trialWorkerDivisor = 3
+	// trialStartTimeout is how long a worker is kept for a trial that can't start.
+	trialStartTimeout = 5 * time.Second
 )
 
 // trial is what a worker is kept for: while it lasts, nothing else starts there. A gang may
@@ -30,8 +30,8 @@
 	attempts []*jobs.Attempt // of them at this worker, none until they are started
 }
 
-// tries tells whether an attempt is on trial at the worker.
-func (s *session) tries(r *running) bool {
+// isOnTrial tells whether an attempt is on trial at the worker.
+func (s *session) isOnTrial(r *running) bool {
 	return s.trial != nil && slices.Contains(s.trial.attempts, r.Attempt)
 }
 
@@ -40,13 +40,13 @@
 func (o *Owner) startTrials(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		c := &cs[i]
-		kept := o.keptFor(c.Tasks[0])
-		if roomSoon(kept, c.Step) < len(c.Tasks) {
-			if s := o.keepWorker(c, len(kept) == 0, now); s != nil {
+		kept := o.reservedFor(c.Tasks[0])
+		if totalRoomSoon(kept, c.Step) < len(c.Tasks) {
+			if s := o.reserveWorker(c, len(kept) == 0, now); s != nil {
 				kept = append(kept, s)
 			}
 		}
-		if len(kept) == 0 || !allQuiet(kept, now) {
+		if len(kept) == 0 || !allSettled(kept, now) {
 			continue
 		}
 		var hosts []*placement.Host
@@ -85,8 +85,8 @@
 	}
 }
 
-// keptFor returns the workers that are kept for a trial, by its first task.
-func (o *Owner) keptFor(t *jobs.Task) (kept []*session) {
+// reservedFor returns the workers that are kept for a trial, by its first task.
+func (o *Owner) reservedFor(t *jobs.Task) (kept []*session) {
 	for _, s := range o.sessionsInOrder() {
 		if s.trial != nil && s.trial.tasks[0] == t {
 			kept = append(kept, s)
@@ -95,18 +95,18 @@
 	return kept
 }
 
-// roomSoon is how many tasks of a step workers have room for once what comes to an end there
+// totalRoomSoon is how many tasks of a step workers have room for once what comes to an end there
 // has ended.
-func roomSoon(ss []*session, step *jobs.StepRun) (n int) {
+func totalRoomSoon(ss []*session, step *jobs.StepRun) (n int) {
 	for _, s := range ss {
 		n += s.hostSoon().Room(step)
 	}
 	return n
 }
 
-// keepWorker keeps the worker for a trial that has least to lose, nil if there is none. Only
+// reserveWorker keeps the worker for a trial that has least to lose, nil if there is none. Only
 // the first one of a trial counts against the part of the workers that may be kept.
-func (o *Owner) keepWorker(c *placement.Candidate, first bool, now time.Duration) (chosen *session) {
+func (o *Owner) reserveWorker(c *placement.Candidate, first bool, now time.Duration) (chosen *session) {
 	usable, kept := 0, 0
 	for _, s := range o.sessionsInOrder() {
 		if !s.usable(now) {
@@ -124,25 +124,25 @@
 			chosen = s
 		}
 	}
-	if chosen == nil || first && kept >= max(1, usable/trialPart) {
+	if chosen == nil || first && kept >= max(1, usable/trialWorkerDivisor) {
 		return nil
 	}
 	chosen.trial = &trial{tasks: c.Tasks, since: now}
 	return chosen
 }
 
-// allQuiet tells whether a trial may start at workers that are kept for it.
-func allQuiet(ss []*session, now time.Duration) bool {
-	return !slices.ContainsFunc(ss, func(s *session) bool { return !s.quiet(now) })
+// allSettled tells whether a trial may start at workers that are kept for it.
+func allSettled(ss []*session, now time.Duration) bool {
+	return !slices.ContainsFunc(ss, func(s *session) bool { return !s.settled(now) })
 }
 
-// quiet tells whether what else is at a worker has run for a while.
-func (s *session) quiet(now time.Duration) bool {
+// settled tells whether what else is at a worker has run for a while.
+func (s *session) settled(now time.Duration) bool {
 	if !s.usable(now) || len(s.trial.attempts) > 0 || s.inFlight > 0 || len(s.orders) > 0 {
 		return false
 	}
 	for _, r := range s.attempts {
-		if r.confirmedAt == 0 || now-r.confirmedAt < trialQuiet {
+		if r.confirmedAt == 0 || now-r.confirmedAt < trialSettleTime {
 			return false
 		}
 	}
@@ -170,5 +170,5 @@
 		verdict = step.Verdict()
 	}
 	wanted := verdict == blame.OnTrial && !step.Job.State.Final()
-	return started || !wanted || !s.usable(now) || now-s.trial.since > trialPatience
+	return started || !wanted || !s.usable(now) || now-s.trial.since > trialStartTimeout
 }
