--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -17,10 +17,10 @@
 	LossVanished LossKind = "vanished"
 )
 
-// lose forgets what was at a worker that is lost, and says of each attempt how long it
+// handleLoss forgets what was at a worker that is lost, and says of each attempt how long it
 // had run: a worker goes with a dozen attempts, and when one of them has brought it down
 // nothing else tells which.
-func (o *Owner) lose(s *session, kind LossKind) {
+func (o *Owner) handleLoss(s *session, kind LossKind) {
 	o.countLosses(s)
 	now := o.now()
 	for name, r := range byName(s.attempts) {
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -120,7 +120,7 @@
 	if len(s.attempts) > 0 {
 		o.log.Warn().Str("event", "leases_lapsed").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Send()
 	}
-	o.lose(s, LossLapsed)
+	o.handleLoss(s, LossLapsed)
 	clear(s.foreign)
 	s.hostCache = nil
 	s.inDoubt = false
@@ -138,7 +138,7 @@
 		return
 	}
 	o.log.Info().Str("event", "worker_ended").Str("boot", s.ref.Boot).Str("vm", s.vm).Str("why", why).Int("attempts", len(s.attempts)).Send()
-	o.lose(s, LossEnded)
+	o.handleLoss(s, LossEnded)
 	s.gone = true
 	o.resolveFormer(s)
 	s.cancel()
