--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -7,8 +7,8 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// noted is a start that waits until a loss that is noted ahead of it is kept.
-type noted struct {
+// deferredStart is a start that waits until a loss that is deferredStart ahead of it is kept.
+type deferredStart struct {
 	session  *session
 	running  *running
 	evidence int // number of the change that has to be kept
@@ -30,7 +30,7 @@
 	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
-	o.noted[j] = append(o.noted[j], noted{session: s, running: r, evidence: j.Evidence()})
+	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.Evidence()})
 	o.keep(j, true)
 	return true
 }
@@ -40,7 +40,7 @@
 	if len(o.noted[j]) == 0 {
 		return
 	}
-	o.noted[j] = slices.DeleteFunc(o.noted[j], func(n noted) bool {
+	o.noted[j] = slices.DeleteFunc(o.noted[j], func(n deferredStart) bool {
 		if !j.EvidenceKept(n.evidence) {
 			return false
 		}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -106,7 +106,7 @@
 	advices   map[*jobs.StepRun]*advice // of steps whose queue has advice
 	durations map[string]*learned       // by queue
 	suspects  map[*jobs.Task]struct{}   // that lost workers are counted against
-	noted     map[*jobs.Job][]noted     // starts that are sent once what is noted ahead is kept
+	noted     map[*jobs.Job][]deferredStart     // starts that are sent once what is noted ahead is kept
 	unheard   bool                      // a former owner's worker was lost before this one heard it
 	rate      startrate.Rate            // of starts, while this owner is at its own limit
 	arrivals  arrivals                  // of jobs, which tell how much work is on its way
@@ -169,7 +169,7 @@
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
 		catalog: cat, book: k.book, unread: k.unreadable, blind: k.workersUnreadable, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
-		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*learned{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
+		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*learned{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]deferredStart{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
