--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -14,13 +14,13 @@
 	evidence int // number of the change that has to be kept
 }
 
-// noteAhead notes a start that may bring its worker down before it is sent, so that the loss
+// recordProvisionalLoss notes a start that may bring its worker down before it is sent, so that the loss
 // counts even if this owner goes with it; it reports whether the start has to wait for that.
 // In a row of owners each of which was gone before it had kept the loss, one task brought
 // down six workers and more (TestCrashes with workers that fall silent). Tasks that nothing
 // is known against start at once. So do those whose one worker was not lost right after their
 // start, while the table service carries out no transactions: they would wait for its return.
-func (o *Owner) noteAhead(s *session, r *running) bool {
+func (o *Owner) recordProvisionalLoss(s *session, r *running) bool {
 	t := r.Task
 	maybeLost := o.unheard && t.Step.Job.Restored
 	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.HasEarly()
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -31,7 +31,7 @@
 	name := a.Task.Name()
 	r := &running{Attempt: a}
 	s.hold(name, r)
-	if o.noteAhead(s, r) {
+	if o.recordProvisionalLoss(s, r) {
 		return // it is sent once that is kept
 	}
 	o.sendStart(s, name, r)
