--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -35,8 +35,8 @@
 	return true
 }
 
-// sendNoted sends the starts of a job whose notes are kept.
-func (o *Owner) sendNoted(j *jobs.Job) {
+// sendDeferred sends the starts of a job whose notes are kept.
+func (o *Owner) sendDeferred(j *jobs.Job) {
 	if len(o.noted[j]) == 0 {
 		return
 	}
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -20,7 +20,7 @@
 	}
 	for i, j := range b.jobs {
 		j.KeepEvidence(b.evidence[i])
-		o.sendNoted(j)
+		o.sendDeferred(j)
 		if b.states[i].Final() {
 			j.Kept = b.states[i]
 			o.finals = append(o.finals, finalJob{id: j.ID, at: now})
