--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -55,9 +55,9 @@
 	}
 }
 
-// forgetAhead takes back what was noted ahead of an attempt that did not start, or has ended
+// dropProvisionalLoss takes back what was noted ahead of an attempt that did not start, or has ended
 // and left its worker standing.
-func (o *Owner) forgetAhead(a *jobs.Attempt) {
+func (o *Owner) dropProvisionalLoss(a *jobs.Attempt) {
 	t := a.Task
 	if !t.Losses.HasProvisional(a.Number) {
 		return
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -109,7 +109,7 @@
 	if a != nil && a.Number == e.Attempt {
 		o.retractLoss(a)
 		attempt = a.Attempt
-		o.forgetAhead(attempt)
+		o.dropProvisionalLoss(attempt)
 		s.letGo(e.Task)
 		if e.Reason == platform.EndDone {
 			o.learn(a, now)
@@ -162,7 +162,7 @@
 // drop forgets an attempt that is not at the worker, or no longer.
 func (o *Owner) drop(s *session, name string) {
 	if a := s.attempts[name]; a != nil {
-		o.forgetAhead(a.Attempt)
+		o.dropProvisionalLoss(a.Attempt)
 		s.letGo(name)
 		o.book.Drop(a.Attempt)
 		if a.lostWith != "" {
