--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -66,10 +66,10 @@
 	o.keep(t.Step.Job, false)
 }
 
-// lostUnheard notes that a worker of a former owner was lost before this owner has heard it.
+// recordUnheardLoss notes that a worker of a former owner was lost before this owner has heard it.
 // What is known to have been there is held against those tasks; if nothing is known, any task
 // of that time may have brought it down, and is noted before it starts again.
-func (o *Owner) lostUnheard(s *session) {
+func (o *Owner) recordUnheardLoss(s *session) {
 	if !s.former.listed {
 		if !o.unheard {
 			o.unheard = true
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -21,14 +21,14 @@
 	raw    []byte
 
 	waiting int           // calls that wait for the outcome
-	settled chan struct{} // closed when the outcome is known
+	done chan struct{} // closed when the outcome is known
 	outcome Outcome       // set before that
 }
 
-// settle tells all who wait for the submission what became of it.
-func (s *submission) settle(out Outcome) {
+// resolve tells all who wait for the submission what became of it.
+func (s *submission) resolve(out Outcome) {
 	s.outcome = out
-	close(s.settled)
+	close(s.done)
 }
 
 // batch is the content of one transaction.
@@ -61,7 +61,7 @@
 
 // fits tells whether some rows more may be put, with one to spare.
 func (b *batch) fits(rows [][]byte) bool {
-	if b.single && b.things() > 0 {
+	if b.single && b.itemCount() > 0 {
 		return false
 	}
 	size := b.size
@@ -71,8 +71,8 @@
 	return len(b.txn.Put)+len(b.txn.Remove)+len(rows) < maxTxnRows && size < maxTxnBytes
 }
 
-// things counts what the batch keeps, each of which could be kept without the others.
-func (b *batch) things() int {
+// itemCount counts what the batch keeps, each of which could be kept without the others.
+func (b *batch) itemCount() int {
 	n := len(b.submissions) + len(b.jobs) + len(b.drops)
 	if b.record {
 		n++
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -60,7 +60,7 @@
 		o.log.Error().Str("event", "job_encode_failed").Str("job", id).Err(err).Send()
 		return schema.CallOutcomeRefused
 	}
-	s := &submission{id: id, record: r, raw: raw, waiting: 1, settled: make(chan struct{})}
+	s := &submission{id: id, record: r, raw: raw, waiting: 1, done: make(chan struct{})}
 	o.pending[id] = s
 	o.queued = append(o.queued, s)
 	o.hurry()
@@ -80,14 +80,14 @@
 // awaitSubmission returns the outcome of a submission. One that has not been sent
 // to the table service in time is withdrawn, unless others wait for it too.
 func (o *Owner) awaitSubmission(ctx context.Context, s *submission) Outcome {
-	if _, settled := receive(ctx, s.settled); settled {
+	if _, settled := receive(ctx, s.done); settled {
 		return s.outcome
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s.waiting--
 	select {
-	case <-s.settled:
+	case <-s.done:
 		return s.outcome
 	default:
 	}
@@ -97,7 +97,7 @@
 	}
 	o.queued = slices.Delete(o.queued, at, at+1)
 	delete(o.pending, s.id)
-	s.settle(schema.CallOutcomeRefused)
+	s.resolve(schema.CallOutcomeRefused)
 	return schema.CallOutcomeRefused
 }
 
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -13,14 +13,14 @@
 
 // Pace of transactions.
 const (
-	// gatherEnds is how long ends wait for others before they are kept; ends that
+	// batchDelay is how long ends wait for others before they are kept; ends that
 	// are not acknowledged stay at their worker, so waiting loses nothing.
-	gatherEnds = 40 * time.Millisecond
+	batchDelay = 40 * time.Millisecond
 	// commitTimeout bounds the tries of one transaction; the service answers in
 	// milliseconds, and up to 60 times slower when it is in trouble.
 	commitTimeout = 2 * time.Second
-	// retryCommit is the pause after a try that failed.
-	retryCommit = 150 * time.Millisecond
+	// commitRetryDelay is the pause after a try that failed.
+	commitRetryDelay = 150 * time.Millisecond
 )
 
 // Outcome tells what became of a call.
@@ -34,14 +34,14 @@
 			return
 		case <-o.commitWake:
 		}
-		o.gather(ctx)
+		o.awaitBatch(ctx)
 		for ctx.Err() == nil && o.commitOnce(ctx) {
 		}
 	}
 }
 
-// gather waits for more ends unless someone waits for what is there.
-func (o *Owner) gather(ctx context.Context) {
+// awaitBatch waits for more ends unless someone waits for what is there.
+func (o *Owner) awaitBatch(ctx context.Context) {
 	o.mu.Lock()
 	urgent := o.urgent
 	o.mu.Unlock()
@@ -51,7 +51,7 @@
 	select {
 	case <-ctx.Done():
 	case <-o.urgentWake:
-	case <-time.After(gatherEnds):
+	case <-time.After(batchDelay):
 	}
 }
 
@@ -68,7 +68,7 @@
 	if b.empty() {
 		return false
 	}
-	version, err := o.settle(ctx, b)
+	version, err := o.commitBatch(ctx, b)
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.committing = false
@@ -84,17 +84,17 @@
 	return ctx.Err() == nil && !o.over
 }
 
-// settle carries a transaction out. A try without an answer is repeated, with
+// commitBatch carries a transaction out. A try without an answer is repeated, with
 // the same content, until its outcome is known: the commit row's version lets
 // it happen once only.
-func (o *Owner) settle(ctx context.Context, b *batch) (version int64, err error) {
+func (o *Owner) commitBatch(ctx context.Context, b *batch) (version int64, err error) {
 	inDoubt := false
 	for {
-		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitPace.hedge(), o.noteCommit)
+		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitPace.hedge(), o.observeCommit)
 		var conflict platform.ErrConflict
 		switch {
 		case t.err == nil:
-			o.setTrouble(false, nil)
+			o.setTroubled(false, nil)
 			o.Confirm(t.sentAt)
 			return t.version, nil
 		case errors.As(t.err, &conflict):
@@ -102,24 +102,24 @@
 		case platform.IsRefused(t.err):
 			return 0, t.err // as every try of it is, so that none before was carried out
 		case platform.IsNotDone(t.err):
-			o.setTrouble(true, t.err)
+			o.setTroubled(true, t.err)
 			if !inDoubt {
 				return 0, t.err
 			}
 		default:
 			inDoubt = true
-			o.setTrouble(true, t.err)
+			o.setTroubled(true, t.err)
 		}
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
-		case <-time.After(retryCommit):
+		case <-time.After(commitRetryDelay):
 		}
 	}
 }
 
-// noteCommit takes the outcome of one try; only the loop of transactions calls it.
-func (o *Owner) noteCommit(took time.Duration, err error) {
+// observeCommit takes the outcome of one try; only the loop of transactions calls it.
+func (o *Owner) observeCommit(took time.Duration, err error) {
 	o.cfg.Metrics.Commit(took, err)
 	if err == nil {
 		o.commitPace.note(took)
@@ -137,7 +137,7 @@
 			return 0, errors.Wrap(err, "decode commit row")
 		}
 		if row.Entry == o.cfg.Self.Entry && row.Start == o.cfg.Self.Start && row.Term == o.claim.Term && row.Seq == b.seq {
-			o.setTrouble(false, nil)
+			o.setTroubled(false, nil)
 			return r.Version, nil
 		}
 		return 0, ErrNotOwner{Owner: OwnerRow{Entry: row.Entry, Start: row.Start, Term: row.Term}}
@@ -145,15 +145,15 @@
 	return 0, conflict
 }
 
-// setTrouble notes whether the table service carries out transactions.
-func (o *Owner) setTrouble(on bool, cause error) {
+// setTroubled notes whether the table service carries out transactions.
+func (o *Owner) setTroubled(on bool, cause error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.noteTrouble(on, cause)
+	o.setTroubledLocked(on, cause)
 }
 
-// noteTrouble does what setTrouble does; the lock is held.
-func (o *Owner) noteTrouble(on bool, cause error) {
+// setTroubledLocked does what setTrouble does; the lock is held.
+func (o *Owner) setTroubledLocked(on bool, cause error) {
 	if on == o.troubled {
 		return
 	}
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -68,7 +68,7 @@
 		o.unconfirmed = false
 		if o.troubled && len(o.dirty) == 0 {
 			// Nothing else would find out that transactions may be carried out again.
-			o.noteTrouble(false, nil)
+			o.setTroubledLocked(false, nil)
 		}
 		o.noteConfirmed(sentAt)
 	})
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -44,7 +44,7 @@
 		return
 	}
 	if !s.known {
-		o.lostUnheard(s)
+		o.recordUnheardLoss(s)
 	}
 	for _, name := range s.former.names {
 		if t := o.book.Task(name); t != nil && t.MaybeAt > 0 {
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -16,7 +16,7 @@
 		o.book.Add(s.id, s.record, now)
 		o.noteArrival(&s.record, now)
 		o.cfg.Metrics.Job("accepted")
-		s.settle(schema.CallOutcomeOk)
+		s.resolve(schema.CallOutcomeOk)
 	}
 	for i, j := range b.jobs {
 		j.KeepEvidence(b.evidence[i])
@@ -54,7 +54,7 @@
 	}
 	for _, s := range b.submissions {
 		delete(o.pending, s.id)
-		s.settle(outcome)
+		s.resolve(outcome)
 	}
 	o.putBack(b)
 	if outcome == schema.CallOutcomeUnknown {
@@ -62,7 +62,7 @@
 		return
 	}
 	o.refuseQueued()
-	time.AfterFunc(retryCommit, o.kickCommit)
+	time.AfterFunc(commitRetryDelay, o.kickCommit)
 }
 
 // putBack has what a batch did not keep written again, submissions apart.
@@ -79,7 +79,7 @@
 func (o *Owner) refuseQueued() {
 	for _, s := range o.queued {
 		delete(o.pending, s.id)
-		s.settle(schema.CallOutcomeRefused)
+		s.resolve(schema.CallOutcomeRefused)
 	}
 	o.queued = nil
 }
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -18,8 +18,8 @@
 // is written one thing at a time, and what is refused alone is set apart.
 func (o *Owner) batchRefused(b *batch, cause error) {
 	o.log.Error().Str("event", "transaction_refused").Int("rows", len(b.txn.Put)+len(b.txn.Remove)).Int("bytes", b.size).
-		Int("longest_row", b.longest()).Int("things", b.things()).Err(cause).Send()
-	if n := b.things(); n > 1 {
+		Int("longest_row", b.longest()).Int("things", b.itemCount()).Err(cause).Send()
+	if n := b.itemCount(); n > 1 {
 		o.singly += n
 		o.queued = append(b.submissions, o.queued...)
 		o.putBack(b)
@@ -29,14 +29,14 @@
 	for _, s := range b.submissions {
 		delete(o.pending, s.id)
 		o.log.Error().Str("event", "submission_not_kept").Str("request", s.id).Str("account", s.record.Account).Int("bytes", len(s.raw)).Send()
-		s.settle(schema.CallOutcomeRefused)
+		s.resolve(schema.CallOutcomeRefused)
 	}
 	for _, j := range b.jobs {
 		o.setApart[j] = cause
 	}
 	if b.record || b.shares != nil {
 		// Nothing starts at the workers whose names are not kept.
-		o.noteTrouble(true, cause)
+		o.setTroubledLocked(true, cause)
 		o.putBack(b)
 		time.AfterFunc(refusedAgain, o.kickCommit)
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if !s.known {
-		o.lostUnheard(s)
+		o.recordUnheardLoss(s)
 	}
 	left := s.former
 	if next.former.pending {
