--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -43,15 +43,15 @@
 	leased      *[recordParts][]leasedWorker
 	shares      *allowance.Row // of accounts' limits, as they are written, nil if they are not
 	acks        map[*session]int64
-	drops       []dropped
+	drops       []expiredJob
 	txn         platform.RowTxn
 	size        int // of the values that txn puts, in bytes
 	seq         int64
 	single      bool // it takes one thing only, to find out what can't be kept
 }
 
-// dropped is a job whose rows are to be removed.
-type dropped struct {
+// expiredJob is a job whose rows are to be removed.
+type expiredJob struct {
 	id   string
 	rows int // of its progress
 }
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -70,7 +70,7 @@
 // forgetFinals removes jobs that callers no longer ask for.
 func (o *Owner) forgetFinals(now time.Duration) {
 	for len(o.finals) > 0 && now-o.finals[0].at > o.cfg.Retention {
-		d := dropped{id: o.finals[0].id, rows: 1}
+		d := expiredJob{id: o.finals[0].id, rows: 1}
 		o.finals = o.finals[1:]
 		if j := o.book.Job(d.id); j != nil {
 			d.rows = j.Rows()
