--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -103,8 +103,8 @@
 	}
 	o.putSubmissions(b)
 	o.putProgress(b)
-	o.removeForgotten(b)
-	o.noteAcks(b)
+	o.removeExpired(b)
+	o.collectAcks(b)
 	if err := o.putShares(b); err != nil {
 		return nil, err
 	}
@@ -134,8 +134,8 @@
 	}
 }
 
-// removeForgotten removes the rows of jobs whose retention is over.
-func (o *Owner) removeForgotten(b *batch) {
+// removeExpired removes the rows of jobs whose retention is over.
+func (o *Owner) removeExpired(b *batch) {
 	for len(o.drops) > 0 && b.room() {
 		d := o.drops[0]
 		o.drops = o.drops[1:]
@@ -145,9 +145,9 @@
 	}
 }
 
-// noteAcks notes the ends that may be acknowledged once the batch is kept: those
+// collectAcks notes the ends that may be acknowledged once the batch is kept: those
 // seen by now, if the batch leaves no changed job for a later one.
-func (o *Owner) noteAcks(b *batch) {
+func (o *Owner) collectAcks(b *batch) {
 	if len(o.dirty)+len(o.setApart) > 0 {
 		return
 	}
@@ -167,7 +167,7 @@
 		}
 		rows, err := j.Progress().Encode(o.cfg.RowBytes)
 		if err != nil {
-			o.failUnkept(j, err)
+			o.failUnstorable(j, err)
 			rows, err = j.Progress().Encode(o.cfg.RowBytes)
 		}
 		if err != nil {
@@ -189,9 +189,9 @@
 	}
 }
 
-// failUnkept ends a job whose progress can't be kept: nothing more of it could be told to anybody,
+// failUnstorable ends a job whose progress can't be kept: nothing more of it could be told to anybody,
 // and what ended of it would run again after the next takeover.
-func (o *Owner) failUnkept(j *jobs.Job, cause error) {
+func (o *Owner) failUnstorable(j *jobs.Job, cause error) {
 	if !o.book.Fail(j) {
 		return
 	}
--- a/pkg/shard/hedge.go
+++ b/pkg/shard/hedge.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// hedgeAfter is how long a transaction may go unanswered before it is sent once
+	// minHedgeDelay is how long a transaction may go unanswered before it is sent once
 	// more beside the first: above what the service takes under load, and below
 	// what callers wait.
-	hedgeAfter = 250 * time.Millisecond
+	minHedgeDelay = 250 * time.Millisecond
 	// hedgeFactor times what transactions take of late is waited in a service that
 	// is slow: it carries a partition's transactions out one after the other, so
 	// that a try that was not needed holds up the next transaction.
 	hedgeFactor = 3
-	// longestHedge bounds that wait.
-	longestHedge = time.Second
-	// hedgesAtOnce bounds the tries of one transaction that are under way together.
-	hedgesAtOnce = 3
+	// maxHedgeDelay bounds that wait.
+	maxHedgeDelay = time.Second
+	// maxConcurrentTries bounds the tries of one transaction that are under way together.
+	maxConcurrentTries = 3
 )
 
 // try is one sending of a transaction and its outcome.
@@ -49,7 +49,7 @@
 
 // hedge is when a transaction without an answer is to be sent again.
 func (p *commitPace) hedge() time.Duration {
-	return min(longestHedge, max(hedgeAfter, hedgeFactor*p.mean))
+	return min(maxHedgeDelay, max(minHedgeDelay, hedgeFactor*p.mean))
 }
 
 // commitHedged carries out a transaction whose preconditions let it happen once
@@ -60,7 +60,7 @@
 func commitHedged(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, txn platform.RowTxn, after time.Duration, note func(took time.Duration, err error)) (t try) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	results := make(chan try, hedgesAtOnce)
+	results := make(chan try, maxConcurrentTries)
 	send := func() {
 		sent := try{sentAt: clock.Now()}
 		go func() {
@@ -77,7 +77,7 @@
 	for underWay > 0 {
 		select {
 		case <-again.C:
-			if sends < hedgesAtOnce {
+			if sends < maxConcurrentTries {
 				send()
 				underWay++
 				sends++
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -52,7 +52,7 @@
 			o.keep(j, false) // there is nothing less to be kept of it
 			continue
 		}
-		o.failUnkept(j, cause)
+		o.failUnstorable(j, cause)
 	}
 }
 
