--- a/pkg/shard/hedge.go
+++ b/pkg/shard/hedge.go
@@ -39,16 +39,16 @@
 	return t.err == nil || errors.As(t.err, new(platform.ErrConflict))
 }
 
-// commitPace is how long transactions take of late, as far as they are answered.
-type commitPace struct {
+// commitLatency is how long transactions take of late, as far as they are answered.
+type commitLatency struct {
 	mean time.Duration
 }
 
 // note takes the time of an answered try; a slow service shows within two.
-func (p *commitPace) note(took time.Duration) { p.mean = (p.mean + took) / 2 }
+func (p *commitLatency) note(took time.Duration) { p.mean = (p.mean + took) / 2 }
 
 // hedge is when a transaction without an answer is to be sent again.
-func (p *commitPace) hedge() time.Duration {
+func (p *commitLatency) hedge() time.Duration {
 	return min(maxHedgeDelay, max(minHedgeDelay, hedgeFactor*p.mean))
 }
 
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -88,7 +88,7 @@
 	commitWake chan struct{}
 	urgentWake chan struct{} // a transaction is not to wait for more
 
-	commitPace commitPace // used by the loop of transactions only
+	commitPace commitLatency // used by the loop of transactions only
 
 	mu        sync.Mutex
 	over      bool
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return c, err
 	}
-	pace := commitPace{mean: time.Since(started)} // reads and writes are slow together
+	pace := commitLatency{mean: time.Since(started)} // reads and writes are slow together
 	commit, err := ReadRow(ctx, rows, commitKey(pool))
 	if err != nil {
 		return c, err
