--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -161,7 +161,7 @@
 // putProgress adds the progress of jobs that have changed. A job whose progress can't be kept has
 // failed, which can.
 func (o *Owner) putProgress(b *batch) {
-	for _, j := range byID(o.dirty) {
+	for _, j := range sortedByID(o.dirty) {
 		if !b.room() {
 			break
 		}
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -78,7 +78,7 @@
 	case err != nil:
 		o.batchFailed(b, err)
 	default:
-		o.batchKept(b, version)
+		o.batchCommitted(b, version)
 		return true
 	}
 	return ctx.Err() == nil && !o.over
@@ -90,7 +90,7 @@
 func (o *Owner) commitBatch(ctx context.Context, b *batch) (version int64, err error) {
 	inDoubt := false
 	for {
-		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitPace.hedge(), o.observeCommit)
+		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitPace.hedgeDelay(), o.observeCommit)
 		var conflict platform.ErrConflict
 		switch {
 		case t.err == nil:
@@ -122,7 +122,7 @@
 func (o *Owner) observeCommit(took time.Duration, err error) {
 	o.cfg.Metrics.Commit(took, err)
 	if err == nil {
-		o.commitPace.note(took)
+		o.commitPace.observe(took)
 	}
 }
 
--- a/pkg/shard/hedge.go
+++ b/pkg/shard/hedge.go
@@ -44,11 +44,11 @@
 	mean time.Duration
 }
 
-// note takes the time of an answered try; a slow service shows within two.
-func (p *commitLatency) note(took time.Duration) { p.mean = (p.mean + took) / 2 }
+// observe takes the time of an answered try; a slow service shows within two.
+func (p *commitLatency) observe(took time.Duration) { p.mean = (p.mean + took) / 2 }
 
-// hedge is when a transaction without an answer is to be sent again.
-func (p *commitLatency) hedge() time.Duration {
+// hedgeDelay is when a transaction without an answer is to be sent again.
+func (p *commitLatency) hedgeDelay() time.Duration {
 	return min(maxHedgeDelay, max(minHedgeDelay, hedgeFactor*p.mean))
 }
 
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -7,8 +7,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// batchKept applies a transaction that happened.
-func (o *Owner) batchKept(b *batch, version int64) {
+// batchCommitted applies a transaction that happened.
+func (o *Owner) batchCommitted(b *batch, version int64) {
 	o.chain, o.seq = version, b.seq
 	now := o.now()
 	for _, s := range b.submissions {
@@ -36,7 +36,7 @@
 		o.accounts.shares.Keep(*b.shares)
 	}
 	o.acknowledge(b)
-	o.failSetApart()
+	o.failRefused()
 	o.kickPlacement()
 }
 
@@ -56,7 +56,7 @@
 		delete(o.pending, s.id)
 		s.resolve(outcome)
 	}
-	o.putBack(b)
+	o.requeue(b)
 	if outcome == schema.CallOutcomeUnknown {
 		o.giveUp(err)
 		return
@@ -65,8 +65,8 @@
 	time.AfterFunc(commitRetryDelay, o.kickCommit)
 }
 
-// putBack has what a batch did not keep written again, submissions apart.
-func (o *Owner) putBack(b *batch) {
+// requeue has what a batch did not keep written again, submissions apart.
+func (o *Owner) requeue(b *batch) {
 	for _, j := range b.jobs {
 		o.dirty[j] = struct{}{}
 	}
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -10,8 +10,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// refusedAgain is the pause before what the shard cannot do without is written again.
-const refusedAgain = time.Second
+// refusedRetryDelay is the pause before what the shard cannot do without is written again.
+const refusedRetryDelay = time.Second
 
 // batchRefused deals with a transaction that the table service will never carry out, whose content
 // it refuses: tried again as it was, it would hold up all else of the shard for ever. What it kept
@@ -22,7 +22,7 @@
 	if n := b.itemCount(); n > 1 {
 		o.singly += n
 		o.queued = append(b.submissions, o.queued...)
-		o.putBack(b)
+		o.requeue(b)
 		o.kickCommit()
 		return
 	}
@@ -37,15 +37,15 @@
 	if b.record || b.shares != nil {
 		// Nothing starts at the workers whose names are not kept.
 		o.setTroubledLocked(true, cause)
-		o.putBack(b)
-		time.AfterFunc(refusedAgain, o.kickCommit)
+		o.requeue(b)
+		time.AfterFunc(refusedRetryDelay, o.kickCommit)
 	}
 }
 
-// failSetApart ends the jobs whose progress the table service has refused, now that it has taken
+// failRefused ends the jobs whose progress the table service has refused, now that it has taken
 // something else: it is not the service that is at fault. Those that are final are written again.
-func (o *Owner) failSetApart() {
-	for _, j := range byID(o.setApart) {
+func (o *Owner) failRefused() {
+	for _, j := range sortedByID(o.setApart) {
 		cause := o.setApart[j]
 		delete(o.setApart, j)
 		if j.State.Final() {
@@ -56,7 +56,7 @@
 	}
 }
 
-// byID returns jobs in the order of their IDs.
-func byID[V any](set map[*jobs.Job]V) []*jobs.Job {
+// sortedByID returns jobs in the order of their IDs.
+func sortedByID[V any](set map[*jobs.Job]V) []*jobs.Job {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -118,7 +118,7 @@
 	}
 	sending()
 	c.sentAt = clock.Now()
-	t := commitHedged(ctx, rows, clock, txn, pace.hedge(), func(time.Duration, error) {})
+	t := commitHedged(ctx, rows, clock, txn, pace.hedgeDelay(), func(time.Duration, error) {})
 	if version, ok := ownTakeover(t.err, pool, self, c.Term); ok {
 		t.version, t.err = version, nil
 	}
