--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -41,8 +41,8 @@
 	return n.answerLocal(ctx, o, q)
 }
 
-func askerOf(q *schema.Call) shard.Asker {
-	return shard.Asker{Account: q.Account, Operator: q.Operator}
+func askerOf(q *schema.Call) shard.Requester {
+	return shard.Requester{Account: q.Account, Operator: q.Operator}
 }
 
 // answerLocal answers a call from a shard of this entry.
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -64,7 +64,7 @@
 }
 
 // State asks for the state of a job.
-func (n *Node) State(ctx context.Context, q *catalog.Queue, id string, by shard.Asker) (jobs.State, schema.CallOutcome) {
+func (n *Node) State(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) (jobs.State, schema.CallOutcome) {
 	reply := n.askForCaller(ctx, callFor(schema.CallKindState, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
@@ -76,13 +76,13 @@
 }
 
 // callFor is a question about a job.
-func callFor(kind schema.CallKind, q *catalog.Queue, id string, by shard.Asker) *schema.Call {
+func callFor(kind schema.CallKind, q *catalog.Queue, id string, by shard.Requester) *schema.Call {
 	return &schema.Call{Kind: kind, Pool: q.Pool, Queue: q.Name, Job: id, Account: by.Account, Operator: by.Operator}
 }
 
 // confirmAbsent asks the table itself before a job is said not to exist: the
 // owner that was asked may have been replaced without knowing it yet.
-func (n *Node) confirmAbsent(ctx context.Context, q *catalog.Queue, id string, by shard.Asker) schema.CallOutcome {
+func (n *Node) confirmAbsent(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
 	ctx, ended := n.untilEnd(ctx)
 	defer ended()
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
@@ -100,7 +100,7 @@
 }
 
 // Cancel ends a job.
-func (n *Node) Cancel(ctx context.Context, q *catalog.Queue, id string, by shard.Asker) schema.CallOutcome {
+func (n *Node) Cancel(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
 	reply := n.askForCaller(ctx, callFor(schema.CallKindCancel, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -204,7 +204,7 @@
 	for i := 1; i <= submitted; i++ {
 		id := fmt.Sprintf("%016x", i)
 		eventually(c, "job "+id+" is done", func() bool {
-			state, out := other.State(context.Background(), q, id, shard.Asker{Account: testAccount})
+			state, out := other.State(context.Background(), q, id, shard.Requester{Account: testAccount})
 			return out == schema.CallOutcomeOk && state == jobs.StateCompleted
 		})
 	}
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -14,14 +14,14 @@
 // its outcome is told as unknown.
 const submitWait = 1500 * time.Millisecond
 
-// Asker is who asks for a job.
-type Asker struct {
+// Requester is who asks for a job.
+type Requester struct {
 	Account  string // client account, empty for none
 	Operator bool   // who may see the jobs of all accounts
 }
 
 // maySee tells whether the asker may learn of a job.
-func (a Asker) maySee(r *jobs.Record) bool { return a.Operator || r.BelongsTo(a.Account) }
+func (a Requester) maySee(r *jobs.Record) bool { return a.Operator || r.BelongsTo(a.Account) }
 
 // Submit keeps a job and starts it; it may be called again for the same ID. An ID
 // under which another account has handed in a job is refused as any other submission
@@ -116,7 +116,7 @@
 }
 
 // Cancel ends a job.
-func (o *Owner) Cancel(ctx context.Context, id string, by Asker) Outcome {
+func (o *Owner) Cancel(ctx context.Context, id string, by Requester) Outcome {
 	o.mu.Lock()
 	j, out := o.find(id, by)
 	if out != schema.CallOutcomeOk {
@@ -144,7 +144,7 @@
 }
 
 // State returns the state of a job that callers may be told.
-func (o *Owner) State(id string, by Asker) (jobs.State, Outcome) {
+func (o *Owner) State(id string, by Requester) (jobs.State, Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	j, out := o.find(id, by)
@@ -155,7 +155,7 @@
 }
 
 // find returns a job that the asker may see; one of another account is not there. The lock is held.
-func (o *Owner) find(id string, by Asker) (*jobs.Job, Outcome) {
+func (o *Owner) find(id string, by Requester) (*jobs.Job, Outcome) {
 	if o.over {
 		return nil, schema.CallOutcomeNotOwner
 	}
--- a/pkg/shard/calls_test.go
+++ b/pkg/shard/calls_test.go
@@ -89,7 +89,7 @@
 		c.Assert(accepted, qt.HasLen, jobCount)
 		taken := 0
 		for id, ok := range accepted {
-			state, out := e.owners["b"].State(id, shard.Asker{})
+			state, out := e.owners["b"].State(id, shard.Requester{})
 			if ok {
 				taken++
 				c.Check(string(out)+" "+string(state), qt.Equals, "ok completed", qt.Commentf("job %s", id))
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -83,7 +83,7 @@
 		synctest.Wait()
 		done := 0
 		for i := range 200 {
-			if state, _ := e.owners["a"].State(fmt.Sprintf("%016x", i), shard.Asker{}); state == "completed" {
+			if state, _ := e.owners["a"].State(fmt.Sprintf("%016x", i), shard.Requester{}); state == "completed" {
 				done++
 			}
 		}
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -160,8 +160,8 @@
 	}
 	id := jobID(rapid.IntRange(1, m.jobs).Draw(m.t, "job"))
 	job := m.e.owners[m.present]
-	state, _ := job.State(id, shard.Asker{Operator: true})
-	if out := job.Cancel(context.Background(), id, shard.Asker{Operator: true}); out == schema.CallOutcomeOk && !state.Final() {
+	state, _ := job.State(id, shard.Requester{Operator: true})
+	if out := job.Cancel(context.Background(), id, shard.Requester{Operator: true}); out == schema.CallOutcomeOk && !state.Final() {
 		m.e.locked(func() { m.e.witness.cancelled[id] = time.Now() })
 	}
 }
@@ -315,7 +315,7 @@
 		m.t.Fatalf("broken: %s\n%s", strings.Join(broken, "\n"), m.e.log.String())
 	}
 	for id := range m.accepted {
-		state, out := m.e.owners[m.present].State(id, shard.Asker{Operator: true})
+		state, out := m.e.owners[m.present].State(id, shard.Requester{Operator: true})
 		if out != schema.CallOutcomeOk || !state.Final() {
 			m.t.Fatalf("job %s is %s %s in the end\n%s", id, out, state, m.e.log.String())
 		}
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -162,7 +162,7 @@
 }
 
 // FindJob tells whether the partition of a shard holds a job that the asker may see.
-func FindJob(ctx context.Context, rows platform.Rows, pool, id string, by Asker) (found bool, err error) {
+func FindJob(ctx context.Context, rows platform.Rows, pool, id string, by Requester) (found bool, err error) {
 	defer func() { err = errors.Wrapf(err, "look for job %s", id) }()
 	r, err := ReadRow(ctx, rows, jobKey(pool, id))
 	if err != nil || r.Version == 0 {
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -30,7 +30,7 @@
 
 // stateOf is the state of a job as an owner tells it.
 func (e *estate) stateOf(entry, id string) string {
-	return strings.TrimSpace(e.state(entry, id, shard.Asker{Operator: true}))
+	return strings.TrimSpace(e.state(entry, id, shard.Requester{Operator: true}))
 }
 
 // earlierRecord is the record of leased workers as earlier versions keep it, in one row.
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -78,7 +78,7 @@
 		return true
 	}
 	for n := range m.jobs {
-		state, out := o.State(jobID(n+1), shard.Asker{Operator: true})
+		state, out := o.State(jobID(n+1), shard.Requester{Operator: true})
 		if out != schema.CallOutcomeNotFound && !state.Final() {
 			return true
 		}
@@ -151,7 +151,7 @@
 		e.restart("w1", true, time.Second)
 		time.Sleep(5 * time.Second)
 		c.Check(e.witness.promises(), qt.Equals, "kept\n")
-		state, _ := e.owners["a"].State("j1", shard.Asker{Operator: true})
+		state, _ := e.owners["a"].State("j1", shard.Requester{Operator: true})
 		c.Check(state, qt.Equals, jobs.StateCompleted)
 	})
 }
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -120,9 +120,9 @@
 		e.schedule = schedule{times: times, interval: interval}
 		return e.submit(entry, arg("account", ""), arg("id", ""), strings.TrimSpace(d.Input))
 	case "cancel":
-		return string(e.owners[entry].Cancel(context.Background(), arg("id", ""), shard.Asker{Account: arg("account", "")})) + "\n"
+		return string(e.owners[entry].Cancel(context.Background(), arg("id", ""), shard.Requester{Account: arg("account", "")})) + "\n"
 	case "state":
-		return e.state(entry, arg("id", ""), shard.Asker{Account: arg("account", ""), Operator: arg("operator", "") != ""})
+		return e.state(entry, arg("id", ""), shard.Requester{Account: arg("account", ""), Operator: arg("operator", "") != ""})
 	case "waiting":
 		n, out := e.owners[entry].Waiting(queue)
 		return fmt.Sprintf("%s %d\n", out, n)
@@ -232,7 +232,7 @@
 }
 
 // state is what an owner tells of a job.
-func (e *estate) state(entry, id string, by shard.Asker) string {
+func (e *estate) state(entry, id string, by shard.Requester) string {
 	state, out := e.owners[entry].State(id, by)
 	return fmt.Sprintf("%s %s\n", out, state)
 }
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -64,7 +64,7 @@
 			e.own("b")
 		}
 		for id, s := range open {
-			state, _ := e.owners[owner].State(id, shard.Asker{Operator: true})
+			state, _ := e.owners[owner].State(id, shard.Requester{Operator: true})
 			if state.Final() {
 				delete(open, id)
 				got.ended(s, state, time.Since(start)-s.at)
