--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -10,9 +10,9 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// submitWait is how long a submission or a cancellation waits for its row before
+// callWaitTimeout is how long a submission or a cancellation waits for its row before
 // its outcome is told as unknown.
-const submitWait = 1500 * time.Millisecond
+const callWaitTimeout = 1500 * time.Millisecond
 
 // Requester is who asks for a job.
 type Requester struct {
@@ -34,7 +34,7 @@
 	}
 	if j := o.book.Job(id); j != nil {
 		o.mu.Unlock()
-		return o.submittedBefore(id, &j.Record, &r)
+		return o.answerDuplicate(id, &j.Record, &r)
 	}
 	if o.unread[id] {
 		o.mu.Unlock()
@@ -43,7 +43,7 @@
 	if s := o.pending[id]; s != nil {
 		if !s.record.BelongsTo(r.Account) {
 			o.mu.Unlock()
-			return o.submittedBefore(id, &s.record, &r)
+			return o.answerDuplicate(id, &s.record, &r)
 		}
 		s.waiting++ // its first arrival is on its way to the table
 		o.mu.Unlock()
@@ -68,8 +68,8 @@
 	return o.awaitSubmission(ctx, s)
 }
 
-// submittedBefore answers a submission whose ID is taken.
-func (o *Owner) submittedBefore(id string, first, r *jobs.Record) Outcome {
+// answerDuplicate answers a submission whose ID is taken.
+func (o *Owner) answerDuplicate(id string, first, r *jobs.Record) Outcome {
 	if first.BelongsTo(r.Account) {
 		return schema.CallOutcomeOk
 	}
@@ -104,7 +104,7 @@
 // receive waits for what a channel gives, as long as a call waits for its row; it
 // reports whether something came, also when the channel was closed.
 func receive[T any](ctx context.Context, c <-chan T) (v T, came bool) {
-	t := time.NewTimer(submitWait)
+	t := time.NewTimer(callWaitTimeout)
 	defer t.Stop()
 	select {
 	case v = <-c:
