--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -31,7 +31,7 @@
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
 	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.Evidence()})
-	o.keep(j, true)
+	o.persist(j, true)
 	return true
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	t.SetLosses(t.Losses.WithoutProvisional(a.Number))
-	o.keep(t.Step.Job, false)
+	o.persist(t.Step.Job, false)
 }
 
 // recordUnheardLoss notes that a worker of a former owner was lost before this owner has heard it.
@@ -86,6 +86,6 @@
 		// Its attempt is not known: numbers of attempts are above 0.
 		t.SetLosses(t.Losses.With(blame.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Ended: s.gone}))
 		o.suspects[t] = struct{}{}
-		o.keep(t.Step.Job, false)
+		o.persist(t.Step.Job, false)
 	}
 }
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -134,7 +134,7 @@
 	}
 	done := make(chan Outcome, 1)
 	o.waiters[j] = append(o.waiters[j], done)
-	o.keep(j, true)
+	o.persist(j, true)
 	o.mu.Unlock()
 	out, came := receive(ctx, done)
 	if !came {
@@ -192,8 +192,8 @@
 	delete(o.waiters, j)
 }
 
-// keep marks a job's progress to be written, at once if someone waits for it; the lock is held.
-func (o *Owner) keep(j *jobs.Job, soon bool) {
+// persist marks a job's progress to be written, at once if someone waits for it; the lock is held.
+func (o *Owner) persist(j *jobs.Job, soon bool) {
 	o.dirty[j] = struct{}{}
 	if soon {
 		o.hurry()
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -188,7 +188,7 @@
 		}
 	}
 	o.forgetAdvice(j)
-	o.keep(j, true)
+	o.persist(j, true)
 }
 
 // stopAttempt ends an attempt wherever it is; the lock is held.
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -49,7 +49,7 @@
 		cause := o.setApart[j]
 		delete(o.setApart, j)
 		if j.State.Final() {
-			o.keep(j, false) // there is nothing less to be kept of it
+			o.persist(j, false) // there is nothing less to be kept of it
 			continue
 		}
 		o.failUnstorable(j, cause)
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -119,7 +119,7 @@
 	effect := o.book.End(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
 	ev.Str("job_state", string(t.Step.Job.State)).Send()
 	if effect.Keep {
-		o.keep(t.Step.Job, effect.JobEnded)
+		o.persist(t.Step.Job, effect.JobEnded)
 	}
 	for _, surplus := range effect.Surplus {
 		o.stopAttempt(surplus, "another copy was done")
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -91,14 +91,14 @@
 	}
 	r.lostWith = ""
 	r.Task.SetLosses(r.Task.Losses.WithoutAttempt(r.Number))
-	o.keep(r.Task.Step.Job, false)
+	o.persist(r.Task.Step.Job, false)
 }
 
 // confirmLoss makes sure of the loss that was counted against a task, since its attempt has not
 // reached the next boot either.
 func (o *Owner) confirmLoss(t *jobs.Task, boot string) {
 	t.SetLosses(t.Losses.MarkEnded(boot))
-	o.keep(t.Step.Job, false)
+	o.persist(t.Step.Job, false)
 	o.failIfPoison(t)
 }
 
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -54,7 +54,7 @@
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
 		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.cut).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
-	o.keep(t.Step.Job, true)
+	o.persist(t.Step.Job, true)
 }
 
 // retractBootLosses takes back the losses of a boot that is alive, as its report shows. A start of a task that
@@ -76,7 +76,7 @@
 		}
 		t.SetLosses(left)
 		o.log.Info().Str("event", "loss_taken_back").Str("task", t.Name()).Str("boot", s.ref.Boot).Int("losses", len(t.Losses)).Send()
-		o.keep(t.Step.Job, false)
+		o.persist(t.Step.Job, false)
 	}
 }
 
@@ -97,7 +97,7 @@
 		}
 		if kind == LossEnded {
 			t.SetLosses(t.Losses.MarkEnded(s.ref.Boot))
-			o.keep(t.Step.Job, false)
+			o.persist(t.Step.Job, false)
 		}
 		o.failIfPoison(t)
 	}
@@ -178,7 +178,7 @@
 			o.log.Info().Str("event", "task_cleared").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", a.Boot).
 				Dur("ran", r.seenAt-r.confirmedAt).Int("losses", len(t.Losses)).Send()
 			t.SetLosses(nil)
-			o.keep(t.Step.Job, false)
+			o.persist(t.Step.Job, false)
 			delete(o.suspects, t)
 			o.sessions[a.Boot].hostCache = nil
 			break
