--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -10,22 +10,22 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// logLimitEvery is the time between two lines about an account that is at its limit.
-const logLimitEvery = time.Second
+// limitLogInterval is the time between two lines about an account that is at its limit.
+const limitLogInterval = time.Second
 
 // accounts is what an owner knows of client accounts, beside the catalog.
 type accounts struct {
 	shares   *allowance.Shard
 	changed  bool                          // the shares are to be written
-	departed map[string]platform.Resources // limits of accounts that have left the configuration
-	logged   map[string]time.Duration      // when an account was last said to be at its limit
-	promised map[string]*promise           // what is left of the jobs a second that an account has been promised
+	removed map[string]platform.Resources // limits of accounts that have left the configuration
+	loggedAt   map[string]time.Duration      // when an account was last said to be at its limit
+	guaranteed map[string]*guaranteedRate           // what is left of the jobs a second that an account has been promised
 }
 
 func newAccounts(kept allowance.Row) accounts {
 	return accounts{
-		shares: allowance.NewShard(kept), departed: map[string]platform.Resources{}, logged: map[string]time.Duration{},
-		promised: map[string]*promise{},
+		shares: allowance.NewShard(kept), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
+		guaranteed: map[string]*guaranteedRate{},
 	}
 }
 
@@ -34,7 +34,7 @@
 func (a *accounts) departFrom(old, c *catalog.Catalog) {
 	for i := range old.Accounts {
 		if was := &old.Accounts[i]; c.Account(was.Name) == nil {
-			a.departed[was.Name] = was.Limit
+			a.removed[was.Name] = was.Limit
 		}
 	}
 }
@@ -47,7 +47,7 @@
 	if a := o.catalog.Account(account); a != nil {
 		return a.Limit
 	}
-	return o.accounts.departed[account]
+	return o.accounts.removed[account]
 }
 
 // TakeGrant takes shares of accounts' limits.
@@ -138,10 +138,10 @@
 func (o *Owner) noteAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
-		if b == nil || !b.Short || o.accounts.logged[account] > 0 && now-o.accounts.logged[account] < logLimitEvery {
+		if b == nil || !b.Short || o.accounts.loggedAt[account] > 0 && now-o.accounts.loggedAt[account] < limitLogInterval {
 			continue
 		}
-		o.accounts.logged[account] = now
+		o.accounts.loggedAt[account] = now
 		o.cfg.Metrics.AccountAtLimit(account)
 		o.log.Info().Str("event", "account_at_limit").Str("account", account).Float64("share", o.accounts.shares.Share(account)).
 			Int("limit_cpu", b.Limit.CPU).Int("limit_memory_mb", b.Limit.MemoryMB).Int("cpu_left", b.Left.CPU).Int("memory_left_mb", b.Left.MemoryMB).
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -53,7 +53,7 @@
 		o.mu.Unlock()
 		return schema.CallOutcomeRefused
 	}
-	r.Excess = o.beyondPromise(r.Account)
+	r.Excess = o.exceedsGuarantee(r.Account)
 	raw, err := r.Encode()
 	if err != nil {
 		o.mu.Unlock()
@@ -63,7 +63,7 @@
 	s := &submission{id: id, record: r, raw: raw, waiting: 1, done: make(chan struct{})}
 	o.pending[id] = s
 	o.queued = append(o.queued, s)
-	o.hurry()
+	o.expediteCommit()
 	o.mu.Unlock()
 	return o.awaitSubmission(ctx, s)
 }
@@ -196,14 +196,14 @@
 func (o *Owner) persist(j *jobs.Job, soon bool) {
 	o.dirty[j] = struct{}{}
 	if soon {
-		o.hurry()
+		o.expediteCommit()
 		return
 	}
 	o.kickCommit()
 }
 
-// hurry has the next transaction written without waiting for more; the lock is held.
-func (o *Owner) hurry() {
+// expediteCommit has the next transaction written without waiting for more; the lock is held.
+func (o *Owner) expediteCommit() {
 	o.urgent = true
 	pause.Wake(o.urgentWake)
 	o.kickCommit()
--- a/pkg/shard/promise.go
+++ b/pkg/shard/promise.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// promiseBurst is the time of which an account may hand in the jobs that it has been
+// guaranteedBurst is the time of which an account may hand in the jobs that it has been
 // promised at once.
-const promiseBurst = time.Second
+const guaranteedBurst = time.Second
 
-// promise is a bucket of the jobs that an account may still hand in within its promise.
-type promise struct {
-	left float64
-	at   time.Duration // when left was last reckoned
+// guaranteedRate is a bucket of the jobs that an account may still hand in within its guaranteedRate.
+type guaranteedRate struct {
+	tokens float64
+	refilledAt   time.Duration // when left was last reckoned
 }
 
 // take takes one job of a promise of so many jobs a second; it reports whether there was one left.
-func (p *promise) take(perSecond float64, now time.Duration) bool {
-	most := max(1, perSecond*promiseBurst.Seconds())
-	p.left = min(most, p.left+perSecond*(now-p.at).Seconds())
-	p.at = now
-	if p.left < 1 {
+func (p *guaranteedRate) take(perSecond float64, now time.Duration) bool {
+	most := max(1, perSecond*guaranteedBurst.Seconds())
+	p.tokens = min(most, p.tokens+perSecond*(now-p.refilledAt).Seconds())
+	p.refilledAt = now
+	if p.tokens < 1 {
 		return false
 	}
-	p.left--
+	p.tokens--
 	return true
 }
 
-// beyondPromise tells whether a job that an account hands in now is more than it has
+// exceedsGuarantee tells whether a job that an account hands in now is more than it has
 // been promised; an account that has been promised nothing is always beyond.
-func (o *Owner) beyondPromise(account string) bool {
+func (o *Owner) exceedsGuarantee(account string) bool {
 	if account == "" || o.catalog == nil {
 		return false
 	}
@@ -34,10 +34,10 @@
 	if a == nil || a.Weight <= 0 {
 		return a != nil
 	}
-	p := o.accounts.promised[account]
+	p := o.accounts.guaranteed[account]
 	if p == nil {
-		p = &promise{left: a.Weight * promiseBurst.Seconds(), at: o.now()}
-		o.accounts.promised[account] = p
+		p = &guaranteedRate{tokens: a.Weight * guaranteedBurst.Seconds(), refilledAt: o.now()}
+		o.accounts.guaranteed[account] = p
 	}
 	return !p.take(a.Weight, o.now())
 }
--- a/pkg/shard/promise_test.go
+++ b/pkg/shard/promise_test.go
@@ -19,7 +19,7 @@
 		{25, 25},
 		{1000, 5},
 	} {
-		p := promise{left: 5}
+		p := guaranteedRate{tokens: 5}
 		within := 0
 		for i := range 100 {
 			if p.take(5, time.Duration(i)*time.Second/time.Duration(test.perSecond)) {
