--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// departFrom keeps the limits of accounts that leave the configuration: what they have
+// retainRemoved keeps the limits of accounts that leave the configuration: what they have
 // handed in is still run, within the limit they had.
-func (a *accounts) departFrom(old, c *catalog.Catalog) {
+func (a *accounts) retainRemoved(old, c *catalog.Catalog) {
 	for i := range old.Accounts {
 		if was := &old.Accounts[i]; c.Account(was.Name) == nil {
 			a.removed[was.Name] = was.Limit
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -232,7 +232,7 @@
 func (o *Owner) SetCatalog(c *catalog.Catalog) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.accounts.departFrom(o.catalog, c)
+	o.accounts.retainRemoved(o.catalog, c)
 	o.catalog = c
 	o.kickPlacement()
 }
