--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -37,7 +37,7 @@
 func (o *Owner) reportAccounts(full bool) allowance.Report {
 	r := o.accounts.shares.Report()
 	r.Full = full
-	besides := o.besides()
+	besides := o.unbookedUsage()
 	uses := map[string]*allowance.Use{}
 	use := func(account string) *allowance.Use {
 		u := uses[account]
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// besides is what each account has or may have running besides the attempts in the
+// unbookedUsage is what each account has or may have running unbookedUsage the attempts in the
 // book: attempts that a former owner started and that are being stopped, and what its
 // tasks may take at workers that have not been heard since the takeover.
-func (o *Owner) besides() map[string]platform.Resources {
+func (o *Owner) unbookedUsage() map[string]platform.Resources {
 	sum := map[string]platform.Resources{}
 	add := func(account string, needs platform.Resources) {
 		if account != "" && needs != (platform.Resources{}) {
@@ -111,12 +111,12 @@
 // budgets are what accounts may still have started in this pass of placement.
 type budgets struct {
 	o       *Owner
-	besides map[string]platform.Resources
+	unbooked map[string]platform.Resources
 	byName  map[string]*placement.Budget
 }
 
 func (o *Owner) newBudgets() *budgets {
-	return &budgets{o: o, besides: o.besides(), byName: map[string]*placement.Budget{}}
+	return &budgets{o: o, unbooked: o.unbookedUsage(), byName: map[string]*placement.Budget{}}
 }
 
 // of returns the budget of an account, nil if no limit binds it.
@@ -127,7 +127,7 @@
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
 	if limit != (platform.Resources{}) && b.o.accounts.shares.Bound() {
-		running := b.o.book.Held(account).Add(b.besides[account])
+		running := b.o.book.Held(account).Add(b.unbooked[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
 	b.byName[account] = budget
