--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -134,8 +134,8 @@
 	return budget
 }
 
-// noteAtLimit says in the log which accounts had tasks that were held back by their limit.
-func (o *Owner) noteAtLimit(cs []placement.Candidate, now time.Duration) {
+// logAtLimit says in the log which accounts had tasks that were held back by their limit.
+func (o *Owner) logAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
 		if b == nil || !b.Short || o.accounts.loggedAt[account] > 0 && now-o.accounts.loggedAt[account] < limitLogInterval {
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -75,7 +75,7 @@
 		hosts = o.hosts(now) // without those that are kept for trials
 	}
 	starts := placement.Plan(candidates, hosts, o.rate.Room(now))
-	o.noteAtLimit(candidates, now)
+	o.logAtLimit(candidates, now)
 	o.rate.Spend(len(starts))
 	var gangs []*jobs.StepRun
 	boots := map[*jobs.StepRun][]string{}
