--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -119,7 +119,7 @@
 		n.log.Error().Str("event", "grant_malformed").Err(err).Send()
 		return false
 	}
-	o.TakeGrant(g)
+	o.ApplyGrant(g)
 	return g.Full
 }
 
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -50,8 +50,8 @@
 	return o.accounts.removed[account]
 }
 
-// TakeGrant takes shares of accounts' limits.
-func (o *Owner) TakeGrant(g allowance.Grant) {
+// ApplyGrant takes shares of accounts' limits.
+func (o *Owner) ApplyGrant(g allowance.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.over || o.releasing || !o.accounts.shares.Take(g) {
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -353,7 +353,7 @@
 
 // grant gives an owner a share of an account's limit, as the holder of a term does.
 func (e *estate) grant(entry string, term, seq int64, account string, share float64) {
-	e.owners[entry].TakeGrant(allowance.Grant{Term: term, Seq: seq, Shares: map[string]float64{account: share}})
+	e.owners[entry].ApplyGrant(allowance.Grant{Term: term, Seq: seq, Shares: map[string]float64{account: share}})
 }
 
 type noMetrics struct{}
--- a/pkg/shard/load_bench_test.go
+++ b/pkg/shard/load_bench_test.go
@@ -37,7 +37,7 @@
 		shares[name] = 1
 	}
 	e.own("a")
-	e.owners["a"].TakeGrant(allowance.Grant{Term: 1, Seq: 1, Shares: shares})
+	e.owners["a"].ApplyGrant(allowance.Grant{Term: 1, Seq: 1, Shares: shares})
 	time.Sleep(time.Second)
 	for i := range 510 {
 		account := ""
