--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -61,11 +61,11 @@
 	Watched Verdict = "watched"  // where no other watched task starts
 	OnTrial Verdict = "on_trial" // where nothing else starts
 	Held    Verdict = "held"     // nowhere until it is known what became of its workers
-	Guilty  Verdict = "guilty"   // nowhere any more
+	Poison  Verdict = "guilty"   // nowhere any more
 )
 
 // severity orders the verdicts.
-var severity = []Verdict{Clear, Watched, OnTrial, Held, Guilty}
+var severity = []Verdict{Clear, Watched, OnTrial, Held, Poison}
 
 // Worse returns the one of two verdicts that allows less.
 func Worse(a, b Verdict) Verdict {
@@ -99,7 +99,7 @@
 	}
 	switch {
 	case proven && n > trialThreshold && firm >= minDelivered || sure >= maxLosses:
-		return Guilty
+		return Poison
 	case n >= maxLosses:
 		return Held
 	case strong >= trialThreshold || n > trialThreshold:
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -23,7 +23,7 @@
 		{"one soon after its start", nil, blame.Losses{soon}, blame.Watched},
 		{"as many later ones", blame.Losses{late, late}, blame.Losses{soon, soon}, blame.OnTrial},
 		{"more later ones", blame.Losses{late, late}, blame.Losses{soon}, blame.Watched},
-		{"one given up", blame.Losses{late, late, late}, blame.Losses{soon, soon, proof}, blame.Guilty},
+		{"one given up", blame.Losses{late, late, late}, blame.Losses{soon, soon, proof}, blame.Poison},
 	} {
 		for _, order := range [][2]blame.Losses{{tc.first, tc.second}, {tc.second, tc.first}} {
 			s := &StepRun{Tasks: []*Task{{Losses: order[0]}, {Losses: order[1]}}}
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -165,7 +165,7 @@
 		switch c.Step.Verdict() {
 		case blame.OnTrial:
 			return nil, []placement.Candidate{c}
-		case blame.Held, blame.Guilty:
+		case blame.Held, blame.Poison:
 			return nil, nil
 		default:
 			return []placement.Candidate{c}, nil
@@ -185,7 +185,7 @@
 		case blame.OnTrial:
 			onTrial = append(onTrial, one)
 		case blame.Held: // until its workers are heard again or known to have ended
-		case blame.Guilty: // it is given up once its last worker is known to be lost
+		case blame.Poison: // it is given up once its last worker is known to be lost
 		}
 	}
 	if len(clean.Tasks) > 0 {
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -106,7 +106,7 @@
 // failIfPoison ends the job of a task that is known to bring its workers down.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != blame.Guilty || !o.book.GiveUp(t) {
+	if t.Verdict() != blame.Poison || !o.book.GiveUp(t) {
 		return
 	}
 	boots := zerolog.Arr()
