--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -42,7 +42,7 @@
 	use := func(account string) *allowance.Use {
 		u := uses[account]
 		if u == nil {
-			running := placement.PartOf(o.book.Held(account).Add(besides[account]), o.limitOf(account))
+			running := placement.MaxFraction(o.book.Held(account).Add(besides[account]), o.limitOf(account))
 			u = &allowance.Use{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
 			uses[account] = u
 		}
@@ -77,7 +77,7 @@
 // addWaiting adds n tasks that wait to what an account wants.
 func addWaiting(u *allowance.Use, st *jobs.Step, n int, limit platform.Resources) {
 	part := func(tasks int) float64 {
-		return placement.PartOf(placement.Binding(st.Needs, limit, tasks), limit)
+		return placement.MaxFraction(placement.LimitCharge(st.Needs, limit, tasks), limit)
 	}
 	u.Wanted += float64(n) * part(1)
 	step := part(1)
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -138,7 +138,7 @@
 func (o *Owner) logAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
-		if b == nil || !b.Short || o.accounts.loggedAt[account] > 0 && now-o.accounts.loggedAt[account] < limitLogInterval {
+		if b == nil || !b.Exceeded || o.accounts.loggedAt[account] > 0 && now-o.accounts.loggedAt[account] < limitLogInterval {
 			continue
 		}
 		o.accounts.loggedAt[account] = now
