--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -19,7 +19,7 @@
 	Free     platform.Resources
 	Penalty  float64 // 0 for a worker without findings, higher for one that does badly
 
-	Watching int // watched tasks here that are not cleared yet
+	WatchedTasks int // watched tasks here that are not cleared yet
 
 	lasting int                   // long-running tasks that are here
 	perStep map[*jobs.StepRun]int // tasks of a step that are here
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -149,7 +149,7 @@
 		}
 		h.place(c.Step)
 		if c.Watched {
-			h.Watching++
+			h.WatchedTasks++
 		}
 		starts = append(starts, Start{Task: t, Host: h})
 		last = h
@@ -179,7 +179,7 @@
 	s := c.Step
 	var top float64
 	for _, h := range hosts {
-		if c.Watched && h.Watching > 0 {
+		if c.Watched && h.WatchedTasks > 0 {
 			continue
 		}
 		if !h.takes(s) || c.Allowed != nil && !c.Allowed(h.Boot) || runsAt(t, h.Boot) {
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -91,7 +91,7 @@
 			}
 			h.place(c.Step)
 			if c.Watched {
-				h.Watching++
+				h.WatchedTasks++
 			}
 			starts = append(starts, Start{Task: t, Host: h})
 		}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -212,7 +212,7 @@
 		h.Free = h.Free.Sub(placement.Charge(a.Task.Step.Spec))
 		h.Count(a.Task.Step)
 		if a.Task.Suspect() {
-			h.Watching++
+			h.WatchedTasks++
 		}
 	}
 	return h
