--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -21,7 +21,7 @@
 
 	WatchedTasks int // watched tasks here that are not cleared yet
 
-	lasting int                   // long-running tasks that are here
+	longRunning int                   // long-running tasks that are here
 	perStep map[*jobs.StepRun]int // tasks of a step that are here
 }
 
@@ -32,7 +32,7 @@
 	}
 	h.perStep[s]++
 	if s.Spec.LongRunning {
-		h.lasting++
+		h.longRunning++
 	}
 }
 
@@ -89,6 +89,6 @@
 	h.Free = h.Free.Add(Charge(s.Spec))
 	h.perStep[s]--
 	if s.Spec.LongRunning {
-		h.lasting--
+		h.longRunning--
 	}
 }
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -206,7 +206,7 @@
 	}
 	if s.Spec.LongRunning {
 		score -= spreadWeight * float64(h.perStep[s])
-		if h.lasting > 0 {
+		if h.longRunning > 0 {
 			score += togetherWeight
 		}
 	}
