--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -25,8 +25,8 @@
 	perStep map[*jobs.StepRun]int // tasks of a step that are here
 }
 
-// Count notes that a task of the step is at the host.
-func (h *Host) Count(s *jobs.StepRun) {
+// CountTask notes that a task of the step is at the host.
+func (h *Host) CountTask(s *jobs.StepRun) {
 	if h.perStep == nil {
 		h.perStep = map[*jobs.StepRun]int{}
 	}
@@ -81,7 +81,7 @@
 // place takes the resources of one task.
 func (h *Host) place(s *jobs.StepRun) {
 	h.Free = h.Free.Sub(Charge(s.Spec))
-	h.Count(s)
+	h.CountTask(s)
 }
 
 // unplace gives them back.
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -210,7 +210,7 @@
 	}
 	for _, a := range s.attempts {
 		h.Free = h.Free.Sub(placement.Charge(a.Task.Step.Spec))
-		h.Count(a.Task.Step)
+		h.CountTask(a.Task.Step)
 		if a.Task.Suspect() {
 			h.WatchedTasks++
 		}
