--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -53,8 +53,8 @@
 	return Charge(st).Fits(h.Capacity)
 }
 
-// takes tells whether one more task of the step may start now.
-func (h *Host) takes(s *jobs.StepRun) bool {
+// canStart tells whether one more task of the step may start now.
+func (h *Host) canStart(s *jobs.StepRun) bool {
 	if s.Spec.MaxPerWorker > 0 && h.perStep[s] >= s.Spec.MaxPerWorker {
 		return false
 	}
@@ -63,7 +63,7 @@
 
 // Room is how many more tasks of the step may start now.
 func (h *Host) Room(s *jobs.StepRun) int {
-	if !h.takes(s) {
+	if !h.canStart(s) {
 		return 0
 	}
 	charge, n := Charge(s.Spec), maxRoom
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -15,15 +15,15 @@
 	dataRackWeight = 4.0
 	// spreadWeight keeps tasks of one long-running step on different workers.
 	spreadWeight = 1.5
-	// togetherWeight keeps long-running tasks of different steps on few workers, so that the others can leave the pool.
-	togetherWeight = 1.0
+	// packWeight keeps long-running tasks of different steps on few workers, so that the others can leave the pool.
+	packWeight = 1.0
 )
 
 // Under overload the job with least slack is the one that is about to be late;
 // the margin keeps resources from jobs that would miss by a little.
 const (
-	marginPart  = 10 // one part in so many of the work that is left
-	marginLeast = 100 * time.Millisecond
+	marginDivisor  = 10 // one part in so many of the work that is left
+	minMargin = 100 * time.Millisecond
 )
 
 // Candidate is a step with tasks that may start now, and its place in the order.
@@ -81,7 +81,7 @@
 // late puts jobs that can hardly be done in time behind those that can, and
 // those that are of little use any more behind all others.
 func (c *Candidate) late(now time.Duration) int {
-	switch end := now + c.Left + c.Left/marginPart + marginLeast; {
+	switch end := now + c.Left + c.Left/marginDivisor + minMargin; {
 	case c.Lost != 0 && end > c.Lost:
 		return 2
 	case end > c.Deadline:
@@ -135,7 +135,7 @@
 		h := last
 		// A host that got a task is fuller than before, so that it suits the next
 		// one best as long as it has room; only long-running tasks keep apart.
-		if h == nil || copied || c.Step.Spec.LongRunning || !h.takes(c.Step) {
+		if h == nil || copied || c.Step.Spec.LongRunning || !h.canStart(c.Step) {
 			h = best(c, t, hosts)
 		}
 		if h == nil && copied {
@@ -182,7 +182,7 @@
 		if c.Watched && h.WatchedTasks > 0 {
 			continue
 		}
-		if !h.takes(s) || c.Allowed != nil && !c.Allowed(h.Boot) || runsAt(t, h.Boot) {
+		if !h.canStart(s) || c.Allowed != nil && !c.Allowed(h.Boot) || runsAt(t, h.Boot) {
 			continue
 		}
 		if score := h.score(s); chosen == nil || score > top {
@@ -207,7 +207,7 @@
 	if s.Spec.LongRunning {
 		score -= spreadWeight * float64(h.perStep[s])
 		if h.longRunning > 0 {
-			score += togetherWeight
+			score += packWeight
 		}
 	}
 	return score
