--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -33,7 +33,7 @@
 	Priority int                    // of its queue, 0 goes first
 	Deadline time.Duration          // when its job should be done, on the clock of now
 	Allowed  func(boot string) bool // which hosts the advice service lets run the step, nil for any
-	Lost     time.Duration          // when its job is of little use any more, 0 for never
+	Expiry     time.Duration          // when its job is of little use any more, 0 for never
 	Left     time.Duration          // estimated work of its job that is still to be done, one step after the other
 	Budget   *Budget                // of its client account, nil for no limit
 	Watched  bool                   // workers were lost with its one task, so that it keeps away from others like it
@@ -82,7 +82,7 @@
 // those that are of little use any more behind all others.
 func (c *Candidate) late(now time.Duration) int {
 	switch end := now + c.Left + c.Left/marginDivisor + minMargin; {
-	case c.Lost != 0 && end > c.Lost:
+	case c.Expiry != 0 && end > c.Expiry:
 		return 2
 	case end > c.Deadline:
 		return 1
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -238,7 +238,7 @@
 			due = now - (time.Duration(time.Now().UnixNano()) - at)
 		}
 		c.Deadline = due + objective
-		c.Lost = due + lostFactor*objective
+		c.Expiry = due + lostFactor*objective
 	}
 	c.Excess = j.Excess && now-j.AddedAt < excessPatience
 	return c
