--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -110,7 +110,7 @@
 		var cs []Candidate
 		for _, j := range book.Active() {
 			s := j.Steps[0]
-			c := Candidate{Step: s, Deadline: j.AddedAt + objective, Expiry: j.AddedAt + 3*objective, Left: taskTime, Excess: j.Excess && now-j.AddedAt < 10*time.Second}
+			c := Candidate{Step: s, Deadline: j.AddedAt + objective, Expiry: j.AddedAt + 3*objective, RemainingWork: taskTime, Excess: j.Excess && now-j.AddedAt < 10*time.Second}
 			for _, t := range s.Tasks {
 				if t.Idle() {
 					c.Tasks = append(c.Tasks, t)
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -34,7 +34,7 @@
 	Deadline time.Duration          // when its job should be done, on the clock of now
 	Allowed  func(boot string) bool // which hosts the advice service lets run the step, nil for any
 	Expiry     time.Duration          // when its job is of little use any more, 0 for never
-	Left     time.Duration          // estimated work of its job that is still to be done, one step after the other
+	RemainingWork     time.Duration          // estimated work of its job that is still to be done, one step after the other
 	Budget   *Budget                // of its client account, nil for no limit
 	Watched  bool                   // workers were lost with its one task, so that it keeps away from others like it
 	Excess   bool                   // its job came beyond what its account has been promised
@@ -54,7 +54,7 @@
 			cmp.Compare(b.serving(), a.serving()),
 			cmp.Compare(a.excess(), b.excess()),
 			cmp.Compare(a.late(now), b.late(now)),
-			cmp.Compare(a.Deadline-a.Left, b.Deadline-b.Left),
+			cmp.Compare(a.Deadline-a.RemainingWork, b.Deadline-b.RemainingWork),
 		)
 	})
 }
@@ -81,7 +81,7 @@
 // late puts jobs that can hardly be done in time behind those that can, and
 // those that are of little use any more behind all others.
 func (c *Candidate) late(now time.Duration) int {
-	switch end := now + c.Left + c.Left/marginDivisor + minMargin; {
+	switch end := now + c.RemainingWork + c.RemainingWork/marginDivisor + minMargin; {
 	case c.Expiry != 0 && end > c.Expiry:
 		return 2
 	case end > c.Deadline:
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -229,7 +229,7 @@
 
 func (o *Owner) candidate(s *jobs.StepRun, idle []*jobs.Task, left, now time.Duration) placement.Candidate {
 	j := s.Job
-	c := placement.Candidate{Step: s, Tasks: idle, Left: left, Deadline: j.AddedAt + left}
+	c := placement.Candidate{Step: s, Tasks: idle, RemainingWork: left, Deadline: j.AddedAt + left}
 	if q := o.catalog.Queue(j.Queue); q != nil {
 		objective := q.TargetLatency + time.Duration(q.Stretch*float64(o.longestChain(j)))
 		c.Priority = q.Priority
