--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -13,25 +13,25 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// load is a pool at its limit: twenty accounts hand in jobs of eight tasks, each as many
+// workload is a pool at its limit: twenty accounts hand in jobs of eight tasks, each as many
 // as it has been promised but for one, which sends more.
-type load struct {
+type workload struct {
 	accounts int
-	greed    float64       // times its promise that account 0 sends
+	overload    float64       // times its promise that account 0 sends
 	hosts    int           // of 32 cores
-	length   time.Duration // of the load
+	duration   time.Duration // of the load
 }
 
 const (
-	perAccount = 2.0 // jobs a second that an account has been promised
+	guaranteedPerAccount = 2.0 // jobs a second that an account has been promised
 	taskTime   = 640 * time.Millisecond
 	objective  = 600*time.Millisecond + 1600*time.Millisecond*640/1000
 	tick       = 20 * time.Millisecond
 )
 
-// order puts candidates into the order in which they get hosts; running is what each
+// ordering puts candidates into the ordering in which they get hosts; running is what each
 // account has running.
-type order func(cs []Candidate, now time.Duration, running map[string]int)
+type ordering func(cs []Candidate, now time.Duration, running map[string]int)
 
 func bySlack(cs []Candidate, now time.Duration, _ map[string]int) {
 	for i := range cs {
@@ -40,7 +40,7 @@
 	Sort(cs, now)
 }
 
-func promisedFirst(cs []Candidate, now time.Duration, _ map[string]int) { Sort(cs, now) }
+func guaranteedFirst(cs []Candidate, now time.Duration, _ map[string]int) { Sort(cs, now) }
 
 // byShare is weighted max-min: the account with least running comes first.
 func byShare(cs []Candidate, now time.Duration, running map[string]int) {
@@ -50,13 +50,13 @@
 	})
 }
 
-// played is what the callers of an account got.
-type played struct{ sent, inTime, done int }
+// result is what the callers of an account got.
+type result struct{ sent, inTime, done int }
 
-// play lets the load pass through Sort and Plan and returns what each account got.
-func (l load) play(o order) []played {
+// simulate lets the load pass through Sort and Plan and returns what each account got.
+func (l workload) simulate(o ordering) []result {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	got := make([]played, l.accounts)
+	got := make([]result, l.accounts)
 	book := jobs.NewBook(1)
 	var hosts []*Host
 	for i := range l.hosts {
@@ -71,18 +71,18 @@
 	var ends []end
 	running := map[string]int{}
 	number := 0
-	for now := time.Duration(0); now < l.length+20*time.Second; now += tick {
+	for now := time.Duration(0); now < l.duration+20*time.Second; now += tick {
 		for a := range l.accounts {
-			rate := perAccount
+			rate := guaranteedPerAccount
 			if a == 0 {
-				rate *= l.greed
+				rate *= l.overload
 			}
-			if now >= l.length || rnd.Float64() > rate*tick.Seconds() {
+			if now >= l.duration || rnd.Float64() > rate*tick.Seconds() {
 				continue
 			}
 			number++
 			// What is beyond the promise is drawn: the mean decides here, not the moment.
-			excess := a == 0 && rnd.Float64() > 1/l.greed
+			excess := a == 0 && rnd.Float64() > 1/l.overload
 			book.Add(fmt.Sprintf("%016x", number), jobs.Record{
 				Account: fmt.Sprint(a), Excess: excess, MaxAttempts: 1,
 				Spec: jobs.Spec{Steps: []jobs.Step{{Count: 8, Needs: platform.Resources{CPU: 3000}}}},
@@ -129,8 +129,8 @@
 	return got
 }
 
-// inTime is the part of the jobs of accounts that was in time.
-func inTime(got []played) float64 {
+// inTimeFraction is the part of the jobs of accounts that was in time.
+func inTimeFraction(got []result) float64 {
 	sent, good := 0, 0
 	for _, p := range got {
 		sent += p.sent
@@ -144,14 +144,14 @@
 // all that it sent is done in the end.
 func TestExcess(t *testing.T) {
 	c := qt.New(t)
-	l := load{accounts: 20, greed: 5, hosts: 21, length: 30 * time.Second}
-	alone := load{accounts: 20, greed: 1, hosts: 21, length: 30 * time.Second}.play(promisedFirst)
-	for name, o := range map[string]order{"by slack": bySlack, "by share": byShare, "promised first": promisedFirst} {
-		got := l.play(o)
-		t.Logf("%s: %.2f of the jobs of the nineteen in time (%.2f without excess), %.2f of the one", name, inTime(got[1:]), inTime(alone[1:]), inTime(got[:1]))
+	l := workload{accounts: 20, overload: 5, hosts: 21, duration: 30 * time.Second}
+	alone := workload{accounts: 20, overload: 1, hosts: 21, duration: 30 * time.Second}.simulate(guaranteedFirst)
+	for name, o := range map[string]ordering{"by slack": bySlack, "by share": byShare, "promised first": guaranteedFirst} {
+		got := l.simulate(o)
+		t.Logf("%s: %.2f of the jobs of the nineteen in time (%.2f without excess), %.2f of the one", name, inTimeFraction(got[1:]), inTimeFraction(alone[1:]), inTimeFraction(got[:1]))
 	}
-	got := l.play(promisedFirst)
-	c.Check(inTime(alone[1:])-inTime(got[1:]) <= 0.03, qt.IsTrue)
+	got := l.simulate(guaranteedFirst)
+	c.Check(inTimeFraction(alone[1:])-inTimeFraction(got[1:]) <= 0.03, qt.IsTrue)
 	for i, p := range got {
 		c.Check(p.done, qt.Equals, p.sent, qt.Commentf("account %d", i))
 	}
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -51,36 +51,36 @@
 	slices.SortStableFunc(cs, func(a, b Candidate) int {
 		return cmp.Or(
 			cmp.Compare(a.Priority, b.Priority),
-			cmp.Compare(b.serving(), a.serving()),
-			cmp.Compare(a.excess(), b.excess()),
-			cmp.Compare(a.late(now), b.late(now)),
+			cmp.Compare(b.servingRank(), a.servingRank()),
+			cmp.Compare(a.excessRank(), b.excessRank()),
+			cmp.Compare(a.latenessRank(now), b.latenessRank(now)),
 			cmp.Compare(a.Deadline-a.RemainingWork, b.Deadline-b.RemainingWork),
 		)
 	})
 }
 
-// serving puts tasks that serve callers of their own first: their absence counts at once.
-func (c *Candidate) serving() int {
+// servingRank puts tasks that serve callers of their own first: their absence counts at once.
+func (c *Candidate) servingRank() int {
 	if c.Step.Spec.LongRunning && !c.Step.Spec.Filler {
 		return 1
 	}
 	return 0
 }
 
-// excess puts what came beyond its account's promise behind what was promised to others.
+// excessRank puts what came beyond its account's promise behind what was promised to others.
 // With a pool full and one account of twenty sending five times its part, 0.86 of the
 // jobs of the nineteen are in time when all are ordered by slack, 0.91 when the account
 // with least running comes first, 1.00 with this (TestExcess).
-func (c *Candidate) excess() int {
+func (c *Candidate) excessRank() int {
 	if c.Excess {
 		return 1
 	}
 	return 0
 }
 
-// late puts jobs that can hardly be done in time behind those that can, and
+// latenessRank puts jobs that can hardly be done in time behind those that can, and
 // those that are of little use any more behind all others.
-func (c *Candidate) late(now time.Duration) int {
+func (c *Candidate) latenessRank(now time.Duration) int {
 	switch end := now + c.RemainingWork + c.RemainingWork/marginDivisor + minMargin; {
 	case c.Expiry != 0 && end > c.Expiry:
 		return 2
@@ -94,7 +94,7 @@
 // Plan chooses hosts for the candidates, which are in order; it changes the hosts'
 // free resources. It ends once there are limit starts; a gang is planned whole.
 func Plan(cs []Candidate, hosts []*Host, limit int) (starts []Start) {
-	full := map[need]bool{} // what no host has room for any more
+	full := map[fitKey]bool{} // what no host has room for any more
 	for i := range cs {
 		c := &cs[i]
 		if len(starts) >= limit {
@@ -104,25 +104,25 @@
 			starts = append(starts, planGang(*c, hosts)...)
 			continue
 		}
-		if full[needOf(c.Step.Spec)] {
+		if full[fitKeyOf(c.Step.Spec)] {
 			continue
 		}
 		more, roomLeft := planStep(c, hosts, limit-len(starts))
 		starts = append(starts, more...)
 		if !roomLeft && c.Allowed == nil && !c.Watched && c.Step.Spec.MaxPerWorker == 0 {
-			full[needOf(c.Step.Spec)] = true
+			full[fitKeyOf(c.Step.Spec)] = true
 		}
 	}
 	return starts
 }
 
-// need is what decides which hosts have room for a step, but for advice and limits a worker.
-type need struct {
+// fitKey is what decides which hosts have room for a step, but for advice and limits a worker.
+type fitKey struct {
 	charge platform.Resources
 	label  string
 }
 
-func needOf(st *jobs.Step) need { return need{charge: Charge(st), label: st.Label} }
+func fitKeyOf(st *jobs.Step) fitKey { return fitKey{charge: Charge(st), label: st.Label} }
 
 // planStep chooses hosts for a step's tasks; it reports whether the last one found room.
 func planStep(c *Candidate, hosts []*Host, limit int) (starts []Start, roomLeft bool) {
@@ -136,7 +136,7 @@
 		// A host that got a task is fuller than before, so that it suits the next
 		// one best as long as it has room; only long-running tasks keep apart.
 		if h == nil || copied || c.Step.Spec.LongRunning || !h.canStart(c.Step) {
-			h = best(c, t, hosts)
+			h = bestHost(c, t, hosts)
 		}
 		if h == nil && copied {
 			continue // a copy, which may not start everywhere
@@ -163,7 +163,7 @@
 // Reserve takes room for one more task of a step at the host that suits it most;
 // it reports whether there is one.
 func Reserve(s *jobs.StepRun, hosts []*Host) bool {
-	h := best(&Candidate{Step: s}, nil, hosts)
+	h := bestHost(&Candidate{Step: s}, nil, hosts)
 	if h == nil {
 		return false
 	}
@@ -171,11 +171,11 @@
 	return true
 }
 
-// best returns the host that suits a task of the step most, nil if none has room.
+// bestHost returns the host that suits a task of the step most, nil if none has room.
 // A copy goes to another host than the attempts that its task, nil for any, has:
 // beside its first attempt it was not charged there, and a worker that does not
 // reject what does not fit went over its capacity on 2 of 112 plays of a day.
-func best(c *Candidate, t *jobs.Task, hosts []*Host) (chosen *Host) {
+func bestHost(c *Candidate, t *jobs.Task, hosts []*Host) (chosen *Host) {
 	s := c.Step
 	var top float64
 	for _, h := range hosts {
@@ -234,7 +234,7 @@
 
 func placeAll(c Candidate, hosts []*Host) (starts []Start) {
 	for _, t := range c.Tasks {
-		h := best(&c, nil, hosts)
+		h := bestHost(&c, nil, hosts)
 		if h == nil {
 			for _, s := range starts {
 				s.Host.unplace(c.Step)
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -22,7 +22,7 @@
 			hosts[i].Boot = fmt.Sprintf("w%d", i)
 		}
 		got := names(Plan(cs, cloned(hosts), math.MaxInt))
-		want := names(planByLooking(cs, cloned(hosts)))
+		want := names(planNaively(cs, cloned(hosts)))
 		if fmt.Sprint(got) != fmt.Sprint(want) {
 			t.Fatalf("got %v, want %v", got, want)
 		}
@@ -78,11 +78,11 @@
 	return out
 }
 
-// planByLooking chooses the best of all hosts for each task.
-func planByLooking(cs []Candidate, hosts []*Host) (starts []Start) {
+// planNaively chooses the best of all hosts for each task.
+func planNaively(cs []Candidate, hosts []*Host) (starts []Start) {
 	for _, c := range cs {
 		for _, t := range c.Tasks {
-			h := best(&c, t, hosts)
+			h := bestHost(&c, t, hosts)
 			if h == nil && len(t.Attempts) > 0 {
 				continue
 			}
