--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -108,7 +108,7 @@
 	suspects  map[*jobs.Task]struct{}   // that lost workers are counted against
 	noted     map[*jobs.Job][]deferredStart     // starts that are sent once what is noted ahead is kept
 	unheard   bool                      // a former owner's worker was lost before this one heard it
-	rate      startrate.Rate            // of starts, while this owner is at its own limit
+	rate      startrate.Limiter            // of starts, while this owner is at its own limit
 	arrivals  arrivals                  // of jobs, which tell how much work is on its way
 	idleTasks bool                      // tasks wait for room, or for a time
 
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -32,9 +32,9 @@
 	rateBurst = 200 * time.Millisecond
 )
 
-// Rate bounds the starts of an owner while it is at its own limit. The zero value
+// Limiter bounds the starts of an owner while it is at its own limit. The zero value
 // bounds nothing.
-type Rate struct {
+type Limiter struct {
 	limit float64 // starts a second, 0 for no bound
 	saved float64 // starts that may be made at once
 	savedAt,
@@ -44,7 +44,7 @@
 }
 
 // Note takes what became of an order.
-func (r *Rate) Note(took time.Duration, answered bool) {
+func (r *Limiter) Note(took time.Duration, answered bool) {
 	if !answered {
 		r.window.Lost++
 		return
@@ -56,18 +56,18 @@
 }
 
 // Spend notes starts that were decided.
-func (r *Rate) Spend(n int) {
+func (r *Limiter) Spend(n int) {
 	r.saved -= float64(n)
 }
 
 // PerSecond is the bound in starts a second, 0 for none.
-func (r *Rate) PerSecond() float64 { return r.limit }
+func (r *Limiter) PerSecond() float64 { return r.limit }
 
 // AtLimit tells whether the owner is held to a rate.
-func (r *Rate) AtLimit() bool { return r.limit > 0 }
+func (r *Limiter) AtLimit() bool { return r.limit > 0 }
 
 // Room is how many tasks may be started now.
-func (r *Rate) Room(now time.Duration) int {
+func (r *Limiter) Room(now time.Duration) int {
 	if r.limit == 0 {
 		return math.MaxInt
 	}
@@ -85,7 +85,7 @@
 
 // Judge sees what the window that is over tells and returns it; changed tells
 // whether the owner has come to its limit, or has left it.
-func (r *Rate) Judge(now time.Duration) (w Window, changed bool) {
+func (r *Limiter) Judge(now time.Duration) (w Window, changed bool) {
 	if r.windowAt == 0 {
 		r.windowAt = now
 	}
--- a/pkg/startrate/rate_test.go
+++ b/pkg/startrate/rate_test.go
@@ -14,7 +14,7 @@
 // TestRate plays testdata/rate: what became of the orders of windows of 250 ms, and
 // how many tasks may be started then.
 func TestRate(t *testing.T) {
-	var r startrate.Rate
+	var r startrate.Limiter
 	var now time.Duration
 	datadriven.RunTest(t, "testdata/rate", func(t *testing.T, d *datadriven.TestData) (out string) {
 		arg := func(key string) string {
@@ -34,7 +34,7 @@
 		}
 		switch d.Cmd {
 		case "new":
-			r = startrate.Rate{}
+			r = startrate.Limiter{}
 			return ""
 		case "windows":
 			fastest, err := time.ParseDuration(arg("fastest"))
