--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -112,8 +112,8 @@
 func (o *Owner) noteAnswer(took time.Duration, err error) {
 	switch {
 	case !platform.IsNotDone(err):
-		o.rate.Note(took, !platform.IsUnknown(err))
+		o.rate.Observe(took, !platform.IsUnknown(err))
 	case took >= orderTimeout:
-		o.rate.Note(took, false)
+		o.rate.Observe(took, false)
 	}
 }
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -43,8 +43,8 @@
 	window Window // that is not over yet
 }
 
-// Note takes what became of an order.
-func (r *Limiter) Note(took time.Duration, answered bool) {
+// Observe takes what became of an order.
+func (r *Limiter) Observe(took time.Duration, answered bool) {
 	if !answered {
 		r.window.Lost++
 		return
--- a/pkg/startrate/rate_test.go
+++ b/pkg/startrate/rate_test.go
@@ -49,10 +49,10 @@
 				}
 				now += 250 * time.Millisecond
 				for i := range answers {
-					r.Note(fastest+time.Duration(i)*time.Millisecond, true)
+					r.Observe(fastest+time.Duration(i)*time.Millisecond, true)
 				}
 				for range number("lost") {
-					r.Note(time.Second, false)
+					r.Observe(time.Second, false)
 				}
 				_, changed := r.Judge(now)
 				out += fmt.Sprintf("%d answered, at limit %v, changed %v, %.0f a second\n", answers, r.AtLimit(), changed, r.PerSecond())
