--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -74,7 +74,7 @@
 		o.startTrials(onTrial, now)
 		hosts = o.hosts(now) // without those that are kept for trials
 	}
-	starts := placement.Plan(candidates, hosts, o.rate.Room(now))
+	starts := placement.Plan(candidates, hosts, o.rate.Available(now))
 	o.logAtLimit(candidates, now)
 	o.rate.Spend(len(starts))
 	var gangs []*jobs.StepRun
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -66,8 +66,8 @@
 // AtLimit tells whether the owner is held to a rate.
 func (r *Limiter) AtLimit() bool { return r.limit > 0 }
 
-// Room is how many tasks may be started now.
-func (r *Limiter) Room(now time.Duration) int {
+// Available is how many tasks may be started now.
+func (r *Limiter) Available(now time.Duration) int {
 	if r.limit == 0 {
 		return math.MaxInt
 	}
--- a/pkg/startrate/rate_test.go
+++ b/pkg/startrate/rate_test.go
@@ -44,7 +44,7 @@
 			for range number("count") {
 				answers := number("answered")
 				if most := number("demand"); most > 0 {
-					answers = min(most, r.Room(now))
+					answers = min(most, r.Available(now))
 					r.Spend(answers)
 				}
 				now += 250 * time.Millisecond
