--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -59,7 +59,7 @@
 
 // judgeRate sees whether this owner has come to its own limit.
 func (o *Owner) judgeRate(now time.Duration) {
-	w, changed := o.rate.Judge(now)
+	w, changed := o.rate.Update(now)
 	if !changed {
 		return
 	}
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -83,9 +83,9 @@
 	Lost     int // orders without an answer
 }
 
-// Judge sees what the window that is over tells and returns it; changed tells
+// Update sees what the window that is over tells and returns it; changed tells
 // whether the owner has come to its limit, or has left it.
-func (r *Limiter) Judge(now time.Duration) (w Window, changed bool) {
+func (r *Limiter) Update(now time.Duration) (w Window, changed bool) {
 	if r.windowStart == 0 {
 		r.windowStart = now
 	}
--- a/pkg/startrate/rate_test.go
+++ b/pkg/startrate/rate_test.go
@@ -54,7 +54,7 @@
 				for range number("lost") {
 					r.Observe(time.Second, false)
 				}
-				_, changed := r.Judge(now)
+				_, changed := r.Update(now)
 				out += fmt.Sprintf("%d answered, at limit %v, changed %v, %.0f a second\n", answers, r.AtLimit(), changed, r.PerSecond())
 			}
 			return out
