--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -13,9 +13,9 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// handover is how long after a takeover a task starts that was waiting before it, beside a
+// startDelay is how long after a takeover a task starts that was waiting before it, beside a
 // predecessor that goes on.
-func handover(t *testing.T, set func(*estate)) (after time.Duration) {
+func startDelay(t *testing.T, set func(*estate)) (after time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEstate(t)
 		defer e.close()
@@ -32,7 +32,7 @@
 		set(e)
 		from := time.Now()
 		qt.Assert(t, e.own("b"), qt.Equals, "term 2\n")
-		for after = time.Since(from); after < 5*time.Second && e.begun() < 2; after = time.Since(from) {
+		for after = time.Since(from); after < 5*time.Second && e.startCount() < 2; after = time.Since(from) {
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
@@ -41,8 +41,8 @@
 	return after
 }
 
-// begun is how many tasks were started so far.
-func (e *estate) begun() (n int) {
+// startCount is how many tasks were started so far.
+func (e *estate) startCount() (n int) {
 	e.locked(func() { n = e.witness.starts })
 	return n
 }
@@ -52,15 +52,15 @@
 // has ended, or stands down when it is told to.
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
-	inSilence := handover(t, func(*estate) {})
+	inSilence := startDelay(t, func(*estate) {})
 	c.Check(inSilence > shard.ConfirmationTTL, qt.IsTrue, qt.Commentf("%s", inSilence))
 	c.Check(inSilence < 1600*time.Millisecond, qt.IsTrue, qt.Commentf("%s", inSilence))
-	ended := handover(t, func(e *estate) {
+	ended := startDelay(t, func(e *estate) {
 		e.owners["a"].Close()
 		e.setOwner("a", nil)
 	})
 	c.Check(ended < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%s", ended))
-	told := handover(t, func(e *estate) {
+	told := startDelay(t, func(e *estate) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool {
 			e.owners["a"].Close()
 			return true
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -95,7 +95,7 @@
 	}
 	before := r.limit
 	w = r.window
-	r.limit = w.next(r.limit, length)
+	r.limit = w.nextLimit(r.limit, length)
 	r.windowStart, r.window = now, Window{}
 	if before == 0 && r.limit > 0 {
 		r.tokens, r.refilledAt = 0, now
@@ -103,8 +103,8 @@
 	return w, (before == 0) != (r.limit == 0)
 }
 
-// next is the bound that follows from a window of some length and the present one.
-func (w *Window) next(limit float64, length time.Duration) float64 {
+// nextLimit is the bound that follows from a window of some length and the present one.
+func (w *Window) nextLimit(limit float64, length time.Duration) float64 {
 	answered := float64(w.Answered) / length.Seconds()
 	switch {
 	case w.Fastest > slowAnswer:
