--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -24,7 +24,7 @@
 func TestCoursesRepeat(t *testing.T) {
 	for name, course := range map[string]func(func(*estate)) func(*rapid.T){
 		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": shortLists,
-		"mixed": mixed, "rivals": rivals, "evacuations": evacuations,
+		"mixed": mixed, "rivals": concurrentOwners, "evacuations": evacuations,
 	} {
 		t.Run(name, func(t *testing.T) {
 			differ := 0
