--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -344,7 +344,7 @@
 			e.breakWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
 		"ends acknowledged too early": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return &hasty{Workers: w, last: map[string]int64{}} }
+			e.breakWorkers = func(w platform.Workers) platform.Workers { return &eagerAcks{Workers: w, last: map[string]int64{}} }
 		},
 		"transactions without preconditions": func(e *estate) {
 			e.breakRows = func(r platform.Rows) platform.Rows { return unconditional{r} }
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -23,14 +23,14 @@
 	return u.Workers.RenewLeases(ctx, w, o)
 }
 
-// hasty acknowledges every end that it has seen.
-type hasty struct {
+// eagerAcks acknowledges every end that it has seen.
+type eagerAcks struct {
 	platform.Workers
 	mu   sync.Mutex
 	last map[string]int64
 }
 
-func (h *hasty) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
+func (h *eagerAcks) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	h.mu.Lock()
 	o.AckedEnd = max(o.AckedEnd, h.last[w.Boot])
 	h.mu.Unlock()
