--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -350,7 +350,7 @@
 			e.breakRows = func(r platform.Rows) platform.Rows { return unconditional{r} }
 		},
 		"shares forgotten at a takeover": func(e *estate) {
-			e.breakRows = func(r platform.Rows) platform.Rows { return forgetful{r} }
+			e.breakRows = func(r platform.Rows) platform.Rows { return withoutShares{r} }
 		},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue) })
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -43,10 +43,10 @@
 	return r, err
 }
 
-// forgetful does not show the shares of accounts' limits.
-type forgetful struct{ platform.Rows }
+// withoutShares does not show the shares of accounts' limits.
+type withoutShares struct{ platform.Rows }
 
-func (f forgetful) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+func (f withoutShares) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
 	page, err := f.Rows.ListRows(ctx, table, partition, from)
 	page.Rows = slices.DeleteFunc(page.Rows, func(r platform.Row) bool { return r.Key == "shares" })
 	return page, err
