--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -33,8 +33,8 @@
 	return strings.TrimSpace(e.state(entry, id, shard.Requester{Operator: true}))
 }
 
-// earlierRecord is the record of leased workers as earlier versions keep it, in one row.
-type earlierRecord []struct {
+// oldRecord is the record of leased workers as earlier versions keep it, in one row.
+type oldRecord []struct {
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
 	Address string `msgpack:"a"`
@@ -57,7 +57,7 @@
 		e.owners["a"].Close()
 		e.setOwner("a", nil)
 
-		raw, err := msgpack.Marshal(earlierRecord{{Boot: "w1", VM: "w1", Address: "w1"}})
+		raw, err := msgpack.Marshal(oldRecord{{Boot: "w1", VM: "w1", Address: "w1"}})
 		c.Assert(err, qt.IsNil)
 		txn := platform.RowTxn{Put: []platform.Row{recordRow(raw)}}
 		for part := range 64 {
@@ -89,7 +89,7 @@
 		page, err := e.rows.As("earlier").ListRows(context.Background(), "workers", pool, "row")
 		c.Assert(err, qt.IsNil)
 		c.Assert(page.Rows, qt.Not(qt.HasLen), 0)
-		var set earlierRecord
+		var set oldRecord
 		c.Check(msgpack.Unmarshal(page.Rows[0].Value, &set), qt.IsNotNil)
 	})
 }
@@ -100,20 +100,20 @@
 	for name, hidden := range map[string]int{"no parts": 64, "all but the first": 1} {
 		t.Run(name, func(t *testing.T) {
 			plant := func(e *estate) {
-				e.breakRows = func(r platform.Rows) platform.Rows { return partless{Rows: r, hidden: hidden} }
+				e.breakRows = func(r platform.Rows) platform.Rows { return withoutParts{Rows: r, hidden: hidden} }
 			}
 			qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue)
 		})
 	}
 }
 
-// partless hides the first parts of the record of leased workers.
-type partless struct {
+// withoutParts hides the first parts of the record of leased workers.
+type withoutParts struct {
 	platform.Rows
 	hidden int
 }
 
-func (p partless) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+func (p withoutParts) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
 	page, err := p.Rows.ListRows(ctx, table, partition, from)
 	hidden := 0
 	page.Rows = slices.DeleteFunc(page.Rows, func(r platform.Row) bool {
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -52,17 +52,17 @@
 	m.send(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// mostAtWork is how many workers start again by chance in one course while a job is open. After
+// maxRestartsAtWork is how many workers start again by chance in one course while a job is open. After
 // three that go within moments of a task's starts, the last of them kept for it alone, nobody
 // could tell that it was not the task's doing.
-const mostAtWork = 2
+const maxRestartsAtWork = 2
 
 // restart has a worker start again under its ID; the directory may tell of it late.
 func (m *machine) restart() {
 	listed := m.e.directory()
 	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
-	if m.anyOpen() {
-		if m.atWork++; m.atWork > mostAtWork || m.mayRuin {
+	if m.hasActiveJobs() {
+		if m.atWork++; m.atWork > maxRestartsAtWork || m.mayRuin {
 			return
 		}
 	}
@@ -71,8 +71,8 @@
 	m.e.restart(worker, silent, listAfter)
 }
 
-// anyOpen tells whether a job that was handed in may have work left.
-func (m *machine) anyOpen() bool {
+// hasActiveJobs tells whether a job that was handed in may have work left.
+func (m *machine) hasActiveJobs() bool {
 	o := m.e.owners[m.present]
 	if o == nil {
 		return true
