--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -46,7 +46,7 @@
 			e.breakWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
 		"boots are not told apart": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
+			e.breakWorkers = func(w platform.Workers) platform.Workers { return withoutStartTime{w} }
 		},
 		"losses forgotten at a takeover": func(e *estate) {
 			e.breakRows = func(r platform.Rows) platform.Rows { return lossless{r} }
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -94,7 +94,7 @@
 func TestRestartsFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*estate){
 		"boots are not told apart": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
+			e.breakWorkers = func(w platform.Workers) platform.Workers { return withoutStartTime{w} }
 		},
 		"numbers of ends outlive their boot": func(e *estate) {
 			e.breakWorkers = func(w platform.Workers) platform.Workers {
@@ -106,10 +106,10 @@
 	}
 }
 
-// bornless does not show when the boot that answers has started.
-type bornless struct{ platform.Workers }
+// withoutStartTime does not show when the boot that answers has started.
+type withoutStartTime struct{ platform.Workers }
 
-func (b bornless) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
+func (b withoutStartTime) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	r, err := b.Workers.RenewLeases(ctx, w, o)
 	r.Born = 0
 	return r, err
