--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -98,7 +98,7 @@
 		},
 		"numbers of ends outlive their boot": func(e *estate) {
 			e.breakWorkers = func(w platform.Workers) platform.Workers {
-				return &forgetless{Workers: w, acked: map[string]int64{}}
+				return &staleAcks{Workers: w, acked: map[string]int64{}}
 			}
 		},
 	} {
@@ -115,14 +115,14 @@
 	return r, err
 }
 
-// forgetless acknowledges with each look what was acknowledged before to any boot of the worker.
-type forgetless struct {
+// staleAcks acknowledges with each look what was acknowledged before to any boot of the worker.
+type staleAcks struct {
 	platform.Workers
 	mu    sync.Mutex
 	acked map[string]int64
 }
 
-func (f *forgetless) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
+func (f *staleAcks) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	f.mu.Lock()
 	id, _ := platform.SplitBoot(w.Boot)
 	f.acked[id] = max(f.acked[id], o.AckedEnd)
