--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -48,15 +48,15 @@
 // have counted.
 func TestCrashesFindsPlanted(t *testing.T) {
 	plant := func(e *estate) {
-		e.breakRows = func(r platform.Rows) platform.Rows { return lossless{r} }
+		e.breakRows = func(r platform.Rows) platform.Rows { return withoutLosses{r} }
 	}
 	qt.Assert(t, prop.Finds(t, crashes(plant)), qt.IsTrue)
 }
 
-// lossless does not show the losses that are kept of tasks.
-type lossless struct{ platform.Rows }
+// withoutLosses does not show the losses that are kept of tasks.
+type withoutLosses struct{ platform.Rows }
 
-func (l lossless) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+func (l withoutLosses) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
 	page, err := l.Rows.ListRows(ctx, table, partition, from)
 	for i := range page.Rows {
 		p, decodeErr := jobs.DecodeProgress(page.Rows[i].Value)
