--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -23,7 +23,7 @@
 // Courses have to repeat to the line of the owners' logs.
 func TestCoursesRepeat(t *testing.T) {
 	for name, course := range map[string]func(func(*estate)) func(*rapid.T){
-		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": shortLists,
+		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": suspensions, "short lists": shortLists,
 		"mixed": mixed, "rivals": concurrentOwners, "evacuations": evacuations,
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -116,9 +116,9 @@
 	return report, err
 }
 
-// dozes suspends owners of a pool in which tasks wait for room, while others take the shard
+// suspensions suspends owners of a pool in which tasks wait for room, while others take the shard
 // over that do not reach all of its workers.
-func dozes(plant func(*estate)) func(*rapid.T) {
+func suspensions(plant func(*estate)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -145,9 +145,9 @@
 }
 
 // TestSuspended holds the promises over owners whose machines are suspended.
-func TestSuspended(t *testing.T) { prop.Check(t, dozes(nil)) }
+func TestSuspended(t *testing.T) { prop.Check(t, suspensions(nil)) }
 
 // TestSuspendedFindsPlanted shows that it finds owners that know the steady clock only.
 func TestSuspendedFindsPlanted(t *testing.T) {
-	qt.Assert(t, prop.Finds(t, dozes(func(e *estate) { e.steadyOnly = true })), qt.IsTrue)
+	qt.Assert(t, prop.Finds(t, suspensions(func(e *estate) { e.steadyOnly = true })), qt.IsTrue)
 }
