--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -16,9 +16,9 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// narrowLink passes the calls of an owner to its workers one after the other, each
+// slowLink passes the calls of an owner to its workers one after the other, each
 // taking a time of the link, as an owner's own processor or link does at its limit.
-type narrowLink struct {
+type slowLink struct {
 	platform.Workers
 
 	mu   sync.Mutex
@@ -27,7 +27,7 @@
 }
 
 // pass waits until the link has carried a call.
-func (l *narrowLink) pass(ctx context.Context) error {
+func (l *slowLink) pass(ctx context.Context) error {
 	l.mu.Lock()
 	now := time.Now()
 	if l.free.Before(now) {
@@ -44,14 +44,14 @@
 	}
 }
 
-func (l *narrowLink) StartAttempt(ctx context.Context, w platform.WorkerRef, o platform.StartOrder) (int64, error) {
+func (l *slowLink) StartAttempt(ctx context.Context, w platform.WorkerRef, o platform.StartOrder) (int64, error) {
 	if err := l.pass(ctx); err != nil {
 		return 0, err
 	}
 	return l.Workers.StartAttempt(ctx, w, o)
 }
 
-func (l *narrowLink) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
+func (l *slowLink) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	if err := l.pass(ctx); err != nil {
 		return platform.WorkerReport{}, err
 	}
@@ -67,7 +67,7 @@
 		c := qt.New(t)
 		e := newEstate(t)
 		defer e.close()
-		link := &narrowLink{cost: 6600 * time.Microsecond}
+		link := &slowLink{cost: 6600 * time.Microsecond}
 		e.breakWorkers = func(w platform.Workers) platform.Workers {
 			link.Workers = w
 			return link
@@ -97,30 +97,30 @@
 	})
 }
 
-// darkRack passes no call to some workers: no connection to them can be opened.
-type darkRack struct {
+// unreachableWorkers passes no call to some workers: no connection to them can be opened.
+type unreachableWorkers struct {
 	platform.Workers
 
 	mu   sync.Mutex
-	dark map[string]bool // boots
+	unreachable map[string]bool // boots
 }
 
-func (d *darkRack) isDark(boot string) bool {
+func (d *unreachableWorkers) isUnreachable(boot string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.dark[boot]
+	return d.unreachable[boot]
 }
 
-func (d *darkRack) StartAttempt(ctx context.Context, w platform.WorkerRef, o platform.StartOrder) (int64, error) {
-	if d.isDark(w.Boot) {
+func (d *unreachableWorkers) StartAttempt(ctx context.Context, w platform.WorkerRef, o platform.StartOrder) (int64, error) {
+	if d.isUnreachable(w.Boot) {
 		<-ctx.Done()
 		return 0, platform.ErrNotDone{Op: "start", Cause: "no connection"}
 	}
 	return d.Workers.StartAttempt(ctx, w, o)
 }
 
-func (d *darkRack) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
-	if d.isDark(w.Boot) {
+func (d *unreachableWorkers) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
+	if d.isUnreachable(w.Boot) {
 		<-ctx.Done()
 		return platform.WorkerReport{}, platform.ErrNotDone{Op: "renew", Cause: "no connection"}
 	}
@@ -135,7 +135,7 @@
 		c := qt.New(t)
 		e := newEstate(t)
 		defer e.close()
-		rack := &darkRack{dark: map[string]bool{}}
+		rack := &unreachableWorkers{unreachable: map[string]bool{}}
 		e.breakWorkers = func(w platform.Workers) platform.Workers {
 			rack.Workers = w
 			return rack
@@ -145,7 +145,7 @@
 		time.Sleep(3 * time.Second)
 		rack.mu.Lock()
 		for i := range 12 {
-			rack.dark[fmt.Sprintf("w%d", i)] = true
+			rack.unreachable[fmt.Sprintf("w%d", i)] = true
 		}
 		rack.mu.Unlock()
 		for i := range 4 {
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -14,12 +14,12 @@
 // cancelBound is how long after a confirmed cancel a task may still start.
 const cancelBound = 3 * time.Second
 
-// mostDown is how many workers a task may bring down: two more than the three after
+// maxWorkersDown is how many workers a task may bring down: two more than the three after
 // which callers count on its being given up.
-const mostDown = 5
+const maxWorkersDown = 5
 
-// leastLost is how many workers have to be lost with a task before it may be given up.
-const leastLost = 2
+// minWorkersLost is how many workers have to be lost with a task before it may be given up.
+const minWorkersLost = 2
 
 // witness holds the promises against what workers do and callers were told.
 type witness struct {
@@ -49,7 +49,7 @@
 	}
 }
 
-func (w *witness) breaks(format string, args ...any) {
+func (w *witness) violated(format string, args ...any) {
 	w.broken = append(w.broken, fmt.Sprintf(format, args...))
 }
 
@@ -61,25 +61,25 @@
 	w.estate.did("began", boot, task, attempt)
 	job, _, _ := strings.Cut(task, ".")
 	if others := w.running[task]; len(others) > 0 && !w.copies[job] {
-		w.breaks("%s attempt %d started at %s while it runs at %s", task, attempt, boot, others)
+		w.violated("%s attempt %d started at %s while it runs at %s", task, attempt, boot, others)
 	}
 	if w.done[task] {
-		w.breaks("%s attempt %d started at %s after it was done", task, attempt, boot)
+		w.violated("%s attempt %d started at %s after it was done", task, attempt, boot)
 	}
 	if w.failed[task] >= maxAttempts {
-		w.breaks("%s attempt %d started at %s after %d failures", task, attempt, boot, w.failed[task])
+		w.violated("%s attempt %d started at %s after %d failures", task, attempt, boot, w.failed[task])
 	}
-	if w.down[task] >= mostDown {
-		w.breaks("%s attempt %d started at %s after it had brought %d workers down", task, attempt, boot, w.down[task])
+	if w.down[task] >= maxWorkersDown {
+		w.violated("%s attempt %d started at %s after it had brought %d workers down", task, attempt, boot, w.down[task])
 	}
 	if w.refused[job] {
-		w.breaks("%s started at %s though its job was refused", task, boot)
+		w.violated("%s started at %s though its job was refused", task, boot)
 	}
 	if at, ok := w.cancelled[job]; ok && time.Since(at) > cancelBound {
-		w.breaks("%s started at %s %s after its job was cancelled", task, boot, time.Since(at))
+		w.violated("%s started at %s %s after its job was cancelled", task, boot, time.Since(at))
 	}
 	if zone, since, ok := w.estate.zones.outAt(boot); ok && since > evacuateBound {
-		w.breaks("%s started at %s %s after its zone %s was taken out of use", task, boot, since, zone)
+		w.violated("%s started at %s %s after its zone %s was taken out of use", task, boot, since, zone)
 	}
 	w.checkOrder(task, job)
 	w.running[task] = append(w.running[task], boot)
@@ -99,7 +99,7 @@
 		}
 	}
 	if sum > allowed {
-		w.breaks("%s started with %d of %s running, which may have %d", task, sum, account, allowed)
+		w.violated("%s started with %d of %s running, which may have %d", task, sum, account, allowed)
 	}
 }
 
@@ -115,7 +115,7 @@
 func (w *witness) checkOrder(task, job string) {
 	text, ok := w.steps[job]
 	if !ok {
-		w.breaks("%s started though no such job was submitted", task)
+		w.violated("%s started though no such job was submitted", task)
 		return
 	}
 	occurrence := strings.Split(task, ".")[1]
@@ -125,7 +125,7 @@
 		before, _ := parseStep(strings.Fields(text)[a])
 		for i := range before.Count {
 			if name := fmt.Sprintf("%s.%s.%d.%d", job, occurrence, a, i); !w.ended[name] {
-				w.breaks("%s started before %s was done", task, name)
+				w.violated("%s started before %s was done", task, name)
 			}
 		}
 	}
@@ -150,14 +150,14 @@
 // mayBeGivenUp tells whether a task may be given up for the workers lost with it: it
 // brings them down, and enough were lost.
 func (w *witness) mayBeGivenUp(task string) bool {
-	return w.down[task] > 0 && w.under[task] >= leastLost
+	return w.down[task] > 0 && w.under[task] >= minWorkersLost
 }
 
 // Overfilled implements fake.Witness.
 func (w *witness) Overfilled(boot, task string) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
-	w.breaks("%s started at %s, which has no room for it", task, boot)
+	w.violated("%s started at %s, which has no room for it", task, boot)
 }
 
 // BroughtDown implements fake.Witness.
