--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -311,7 +311,7 @@
 	synctest.Wait()
 	m.e.mu.Lock()
 	defer m.e.mu.Unlock()
-	if broken := m.e.witness.broken; len(broken) > 0 {
+	if broken := m.e.witness.violations; len(broken) > 0 {
 		m.t.Fatalf("broken: %s\n%s", strings.Join(broken, "\n"), m.e.log.String())
 	}
 	for id := range m.accepted {
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -37,7 +37,7 @@
 	allowed   map[string]int       // processors that an account may have running, in thousandths; others any
 	down      map[string]int       // workers that a task has brought down
 	under     map[string]int       // workers that went while a task was there
-	broken    []string
+	violations    []string
 	starts    int
 }
 
@@ -50,7 +50,7 @@
 }
 
 func (w *witness) violated(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // Started implements fake.Witness.
@@ -183,18 +183,18 @@
 func (w *witness) report() string {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
-	if len(w.broken) == 0 {
+	if len(w.violations) == 0 {
 		return fmt.Sprintf("%d starts, nothing broken\n", w.starts)
 	}
-	return strings.Join(w.broken, "\n") + "\n"
+	return strings.Join(w.violations, "\n") + "\n"
 }
 
 // promises tells whether all promises were kept, however many starts that took.
 func (w *witness) promises() string {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
-	if len(w.broken) == 0 {
+	if len(w.violations) == 0 {
 		return "kept\n"
 	}
-	return strings.Join(w.broken, "\n") + "\n"
+	return strings.Join(w.violations, "\n") + "\n"
 }
