--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -36,7 +36,7 @@
 	accounts  map[string]string    // of jobs
 	allowed   map[string]int       // processors that an account may have running, in thousandths; others any
 	down      map[string]int       // workers that a task has brought down
-	under     map[string]int       // workers that went while a task was there
+	lostWith     map[string]int       // workers that went while a task was there
 	violations    []string
 	starts    int
 }
@@ -45,7 +45,7 @@
 	return &witness{
 		estate: e, running: map[string][]string{}, ended: map[string]bool{}, done: map[string]bool{}, failed: map[string]int{}, failures: map[string]int{},
 		refused: map[string]bool{}, steps: map[string]string{}, cancelled: map[string]time.Time{}, copies: map[string]bool{},
-		accounts: map[string]string{}, allowed: map[string]int{}, down: map[string]int{}, under: map[string]int{},
+		accounts: map[string]string{}, allowed: map[string]int{}, down: map[string]int{}, lostWith: map[string]int{},
 	}
 }
 
@@ -143,14 +143,14 @@
 	case platform.EndFailed:
 		w.failures[task]++
 	case fake.EndCrashed:
-		w.under[task]++
+		w.lostWith[task]++
 	}
 }
 
 // mayBeGivenUp tells whether a task may be given up for the workers lost with it: it
 // brings them down, and enough were lost.
 func (w *witness) mayBeGivenUp(task string) bool {
-	return w.down[task] > 0 && w.under[task] >= minWorkersLost
+	return w.down[task] > 0 && w.lostWith[task] >= minWorkersLost
 }
 
 // Overfilled implements fake.Witness.
