--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -322,7 +322,7 @@
 		task := id + ".0.0.0"
 		if state == jobs.StateFailed && m.e.witness.failures[task] < maxAttempts && !m.e.witness.mayBeGivenUp(task) {
 			m.t.Fatalf("job %s has failed after %d failures and %d workers, of which it brought %d down\n%s", id,
-				m.e.witness.failures[task], m.e.witness.lostWith[task], m.e.witness.down[task], m.e.log.String())
+				m.e.witness.failures[task], m.e.witness.lostWith[task], m.e.witness.crashedBy[task], m.e.log.String())
 		}
 	}
 }
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -80,7 +80,7 @@
 			got.open++
 		}
 	}
-	got.down = slices.Collect(maps.Values(e.witness.down))
+	got.down = slices.Collect(maps.Values(e.witness.crashedBy))
 	for i := range stormLasting {
 		for k := range 5 {
 			got.lasting += len(e.witness.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -35,7 +35,7 @@
 	copies    map[string]bool      // jobs whose tasks may run more than once at a time
 	accounts  map[string]string    // of jobs
 	allowed   map[string]int       // processors that an account may have running, in thousandths; others any
-	down      map[string]int       // workers that a task has brought down
+	crashedBy      map[string]int       // workers that a task has brought down
 	lostWith     map[string]int       // workers that went while a task was there
 	violations    []string
 	starts    int
@@ -45,7 +45,7 @@
 	return &witness{
 		estate: e, running: map[string][]string{}, ended: map[string]bool{}, done: map[string]bool{}, failed: map[string]int{}, failures: map[string]int{},
 		refused: map[string]bool{}, steps: map[string]string{}, cancelled: map[string]time.Time{}, copies: map[string]bool{},
-		accounts: map[string]string{}, allowed: map[string]int{}, down: map[string]int{}, lostWith: map[string]int{},
+		accounts: map[string]string{}, allowed: map[string]int{}, crashedBy: map[string]int{}, lostWith: map[string]int{},
 	}
 }
 
@@ -69,8 +69,8 @@
 	if w.failed[task] >= maxAttempts {
 		w.violated("%s attempt %d started at %s after %d failures", task, attempt, boot, w.failed[task])
 	}
-	if w.down[task] >= maxWorkersDown {
-		w.violated("%s attempt %d started at %s after it had brought %d workers down", task, attempt, boot, w.down[task])
+	if w.crashedBy[task] >= maxWorkersDown {
+		w.violated("%s attempt %d started at %s after it had brought %d workers down", task, attempt, boot, w.crashedBy[task])
 	}
 	if w.refused[job] {
 		w.violated("%s started at %s though its job was refused", task, boot)
@@ -150,7 +150,7 @@
 // mayBeGivenUp tells whether a task may be given up for the workers lost with it: it
 // brings them down, and enough were lost.
 func (w *witness) mayBeGivenUp(task string) bool {
-	return w.down[task] > 0 && w.lostWith[task] >= minWorkersLost
+	return w.crashedBy[task] > 0 && w.lostWith[task] >= minWorkersLost
 }
 
 // Overfilled implements fake.Witness.
@@ -164,7 +164,7 @@
 func (w *witness) BroughtDown(_, task string) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
-	w.down[task]++
+	w.crashedBy[task]++
 }
 
 // Acked implements fake.Witness.
