--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -36,7 +36,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		qt.Check(t, e.witness.promises(), qt.Equals, "kept\n")
+		qt.Check(t, e.witness.invariants(), qt.Equals, "kept\n")
 	})
 	return after
 }
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -74,7 +74,7 @@
 		e.addWorker("w2", "w2", "w2", "4000", "0")
 		c.Assert(e.own("b"), qt.Equals, "term 2\n")
 		time.Sleep(30 * time.Second)
-		c.Check(e.witness.promises(), qt.Equals, "kept\n")
+		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
 		c.Check(e.workers.Running("w2"), qt.HasLen, 1)
 	})
 }
@@ -150,7 +150,7 @@
 		for _, id := range []string{"j1", "j2", "j3"} {
 			c.Check(e.stateOf("a", id), qt.Equals, "ok completed")
 		}
-		c.Check(e.witness.promises(), qt.Equals, "kept\n")
+		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
 	})
 }
 
@@ -179,6 +179,6 @@
 		c.Check(e.submit("b", "", "j2", "1x1000/1s"), qt.Equals, "ok\n")
 		synctest.Wait()
 		c.Check(strings.Contains(e.log.String(), "row_malformed"), qt.IsTrue)
-		c.Check(e.witness.promises(), qt.Equals, "kept\n")
+		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
 	})
 }
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -150,7 +150,7 @@
 		time.Sleep(100 * time.Millisecond)
 		e.restart("w1", true, time.Second)
 		time.Sleep(5 * time.Second)
-		c.Check(e.witness.promises(), qt.Equals, "kept\n")
+		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
 		state, _ := e.owners["a"].State("j1", shard.Requester{Operator: true})
 		c.Check(state, qt.Equals, jobs.StateCompleted)
 	})
@@ -179,7 +179,7 @@
 			}()
 			qt.Assert(t, e.submit("a", "", "j1", "3x500/50ms 1x2000/10ms<0"), qt.Equals, "ok\n")
 			time.Sleep(5 * time.Second)
-			qt.Check(t, e.witness.promises(), qt.Equals, "kept\n", qt.Commentf("started again after %s", at))
+			qt.Check(t, e.witness.invariants(), qt.Equals, "kept\n", qt.Commentf("started again after %s", at))
 		})
 	}
 }
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -222,7 +222,7 @@
 	case "check":
 		return e.witness.report()
 	case "promises":
-		return e.witness.promises()
+		return e.witness.invariants()
 	case "log":
 		return e.log.String()
 	default:
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -86,7 +86,7 @@
 			got.lasting += len(e.witness.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
 		}
 	}
-	if kept := e.witness.promises(); kept != "kept\n" {
+	if kept := e.witness.invariants(); kept != "kept\n" {
 		t.Fatalf("broken: %s", kept)
 	}
 	return got
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -189,8 +189,8 @@
 	return strings.Join(w.violations, "\n") + "\n"
 }
 
-// promises tells whether all promises were kept, however many starts that took.
-func (w *witness) promises() string {
+// invariants tells whether all invariants were kept, however many starts that took.
+func (w *witness) invariants() string {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
 	if len(w.violations) == 0 {
