--- a/pkg/shard/innocent_test.go
+++ b/pkg/shard/innocent_test.go
@@ -14,13 +14,13 @@
 // verdict guilty, task_given_up, and then worker_regained for the same boots.
 func TestInnocentBesideSilence(t *testing.T) { prop.Once(t, 2142713, crashes(nil)) }
 
-// TestInnocentOnTrialAtTakeover: a job that did nothing was given up. Its task was started on trial,
+// TestTrialSurvivesTakeover: a job that did nothing was given up. Its task was started on trial,
 // alone at its worker; the owner went, and the next one adopted the attempt and did not know that
 // the worker was kept for it. It started a crashing task beside it, and that loss was the fourth one
 // counted against the task on trial, though none of the four was of a worker kept for it at the
 // time. Evidence: trial_started by the one owner, attempt_found and start_ordered for that worker by
 // the next, then loss_counted with trial false and the verdict guilty.
-func TestInnocentOnTrialAtTakeover(t *testing.T) { prop.Once(t, 14215917, restarts(nil)) }
+func TestTrialSurvivesTakeover(t *testing.T) { prop.Once(t, 14215917, restarts(nil)) }
 
 // TestMostWorkersDown: a task brought six workers down, one more than callers are promised. The first
 // of them was counted while its owner was handing the shard over by plan. It had waited for the silent
--- a/pkg/shard/promise_test.go
+++ b/pkg/shard/promise_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestPromise hands in jobs at several rates against a promise of five a second.
-func TestPromise(t *testing.T) {
+// TestGuaranteedRate hands in jobs at several rates against a promise of five a second.
+func TestGuaranteedRate(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		perSecond, within int // of 100 jobs
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -48,11 +48,11 @@
 	m.send(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// TestRivals holds the promises while two owners are there.
-func TestRivals(t *testing.T) { prop.Check(t, concurrentOwners(nil)) }
+// TestConcurrentOwners holds the promises while two owners are there.
+func TestConcurrentOwners(t *testing.T) { prop.Check(t, concurrentOwners(nil)) }
 
-// TestRivalsFindsPlanted shows that it finds an owner that does not wait for its predecessor's right.
-func TestRivalsFindsPlanted(t *testing.T) {
+// TestConcurrentOwnersFindsPlanted shows that it finds an owner that does not wait for its predecessor's right.
+func TestConcurrentOwnersFindsPlanted(t *testing.T) {
 	plant := func(e *estate) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool { return true }
 	}
