--- a/pkg/blame/bench_test.go
+++ b/pkg/blame/bench_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// BenchmarkLostWorker counts a lost worker against the thirteen tasks that were there, and
-// judges each: 0.65 us and 11 allocations; nothing of it is done while no worker is lost.
+// BenchmarkLostWorker measures counting a lost worker against its thirteen tasks.
 func BenchmarkLostWorker(b *testing.B) {
 	attempts := make([]Attempt, 13)
 	for i := range attempts {
@@ -22,8 +21,8 @@
 	}
 }
 
-// BenchmarkVerdictClear judges a task without losses, as each pass of placement does while
-// others have some: 4 ns, no allocation.
+// BenchmarkVerdictClear measures the verdict on a task without losses, which every placement
+// pass asks for.
 func BenchmarkVerdictClear(b *testing.B) {
 	var ls Losses
 	b.ReportAllocs()
--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestVerdict names what each history of losses leads to.
+// TestVerdict checks the verdict for each kind of loss history.
 func TestVerdict(t *testing.T) {
 	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
 	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestCounted sees that a trial takes the whole blame, and that what has run for long takes none.
+// TestCounted checks that only the attempts on trial are counted if there are any, and that
+// attempts that had run for long are not.
 func TestCounted(t *testing.T) {
 	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Ran: maxCountedRun}, {Ran: time.Second}}), qt.DeepEquals, []bool{true, false, true})
 	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Trial: true}, {Ran: time.Second}}), qt.DeepEquals, []bool{false, true, false})
@@ -51,8 +52,7 @@
 	qt.Check(t, Counted(nil), qt.HasLen, 0)
 }
 
-// TestLosses draws losses that are counted, made sure and taken back in any order and
-// compares with a map.
+// TestLosses compares adding, confirming and removing losses in any order with a map.
 func TestLosses(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ls Losses
--- a/pkg/placement/budget.go
+++ b/pkg/placement/budget.go
@@ -7,18 +7,17 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// shareRounding is the part of an account's limit by which sums of shares may be off from
-// rounding; limits are kept to a tenth and one task.
+// shareRounding is added to a share to make up for rounding when shares are summed up.
 const shareRounding = 1e-6
 
-// Budget is what a client account may still have started in a pool.
+// Budget is what a client account may still start in a pool.
 type Budget struct {
-	Limit platform.Resources // of the account over all pools, 0 for none
-	Left  platform.Resources // of what it may have running in this pool
-	Exceeded bool               // a task that had a host was not started for want of it
+	Limit    platform.Resources // of the account over all pools, 0 for none
+	Left     platform.Resources // unused part of the account's share in this pool
+	Exceeded bool               // a task was not started although a host had room for it
 }
 
-// NewBudget returns what is left of a share of an account's limit above what runs.
+// NewBudget returns the budget of an account with a share of its limit, given what it has running.
 func NewBudget(limit platform.Resources, share float64, running platform.Resources) *Budget {
 	part := func(limit, running int) int {
 		return int(math.Floor((share+shareRounding)*float64(limit))) - running
@@ -28,7 +27,7 @@
 	}}
 }
 
-// covers tells whether n tasks of a step may start; a nil budget covers any.
+// covers reports whether n tasks of a step may start; a nil budget covers any.
 func (b *Budget) covers(st *jobs.Step, n int) bool {
 	if b == nil {
 		return true
@@ -40,8 +39,8 @@
 	return ok
 }
 
-// take takes n tasks of a step out of the budget; it reports false, and takes nothing,
-// if it does not cover them.
+// take takes n tasks of a step out of the budget. If the budget does not cover them, it takes
+// nothing and reports false.
 func (b *Budget) take(st *jobs.Step, n int) bool {
 	if !b.covers(st, n) {
 		return false
@@ -52,7 +51,7 @@
 	return true
 }
 
-// TakeUpTo takes as many of n tasks of a step as the budget covers, and returns how many.
+// TakeUpTo takes as many of n tasks of a step as the budget covers, and returns their number.
 func (b *Budget) TakeUpTo(st *jobs.Step, n int) int {
 	taken := 0
 	for taken < n && b.take(st, 1) {
@@ -61,8 +60,8 @@
 	return taken
 }
 
-// LimitCharge is what n tasks that start together take of a limit. One that needs more than
-// the whole limit takes all of it: it may run when nothing else of its account does.
+// LimitCharge returns how much of a limit n tasks that start together use. A task that needs more
+// than the whole limit uses all of it, and so may run while nothing else of its account does.
 func LimitCharge(needs, limit platform.Resources, n int) platform.Resources {
 	part := func(needs, limit int) int {
 		if limit == 0 {
@@ -75,7 +74,7 @@
 	}
 }
 
-// MaxFraction is the greatest part of a limit that an amount takes, of the kinds that have one.
+// MaxFraction returns the largest fraction that an amount takes of any limited resource.
 func MaxFraction(amount, limit platform.Resources) (part float64) {
 	for _, k := range [...][2]int{{amount.CPU, limit.CPU}, {amount.MemoryMB, limit.MemoryMB}, {amount.GPU, limit.GPU}} {
 		if k[1] > 0 {
--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -13,24 +13,23 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// workload is a pool at its limit: twenty accounts hand in jobs of eight tasks, each as many
-// as it has been promised but for one, which sends more.
+// workload fills a pool: accounts submit jobs of eight tasks, all at their guaranteed rate except for
+// account 0, which sends more.
 type workload struct {
 	accounts int
-	overload    float64       // times its promise that account 0 sends
+	overload float64       // rate of account 0, as a multiple of its guaranteed rate
 	hosts    int           // of 32 cores
-	duration   time.Duration // of the load
+	duration time.Duration // of the submissions
 }
 
 const (
-	guaranteedPerAccount = 2.0 // jobs a second that an account has been promised
-	taskTime   = 640 * time.Millisecond
-	objective  = 600*time.Millisecond + 1600*time.Millisecond*640/1000
-	tick       = 20 * time.Millisecond
+	guaranteedPerAccount = 2.0 // jobs per second
+	taskTime             = 640 * time.Millisecond
+	objective            = 600*time.Millisecond + 1600*time.Millisecond*640/1000
+	tick                 = 20 * time.Millisecond
 )
 
-// ordering puts candidates into the ordering in which they get hosts; running is what each
-// account has running.
+// ordering sorts candidates; running is the number of running tasks of each account.
 type ordering func(cs []Candidate, now time.Duration, running map[string]int)
 
 func bySlack(cs []Candidate, now time.Duration, _ map[string]int) {
@@ -42,7 +41,7 @@
 
 func guaranteedFirst(cs []Candidate, now time.Duration, _ map[string]int) { Sort(cs, now) }
 
-// byShare is weighted max-min: the account with least running comes first.
+// byShare puts the account with the fewest running tasks first (weighted max-min fairness).
 func byShare(cs []Candidate, now time.Duration, running map[string]int) {
 	bySlack(cs, now, nil)
 	slices.SortStableFunc(cs, func(a, b Candidate) int {
@@ -50,10 +49,10 @@
 	})
 }
 
-// result is what the callers of an account got.
+// result counts the jobs of an account.
 type result struct{ sent, inTime, done int }
 
-// simulate lets the load pass through Sort and Plan and returns what each account got.
+// simulate runs the workload through Sort and Plan and returns the result of each account.
 func (l workload) simulate(o ordering) []result {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	got := make([]result, l.accounts)
@@ -81,7 +80,7 @@
 				continue
 			}
 			number++
-			// What is beyond the promise is drawn: the mean decides here, not the moment.
+			// Jobs beyond the guaranteed rate are drawn at random.
 			excess := a == 0 && rnd.Float64() > 1/l.overload
 			book.Add(fmt.Sprintf("%016x", number), jobs.Record{
 				Account: fmt.Sprint(a), Excess: excess, MaxAttempts: 1,
@@ -129,7 +128,7 @@
 	return got
 }
 
-// inTimeFraction is the part of the jobs of accounts that was in time.
+// inTimeFraction returns the fraction of the jobs of accounts that were done in time.
 func inTimeFraction(got []result) float64 {
 	sent, good := 0, 0
 	for _, p := range got {
@@ -139,9 +138,8 @@
 	return float64(good) / float64(sent)
 }
 
-// TestExcess has one account of twenty send five times its promise to a pool that is
-// full with what was promised. The nineteen are served as if it kept its promise, and
-// all that it sent is done in the end.
+// TestExcess checks that one account that submits five times its guaranteed rate to a full pool does
+// not make the jobs of others late, and that all of its jobs are done in the end.
 func TestExcess(t *testing.T) {
 	c := qt.New(t)
 	l := workload{accounts: 20, overload: 5, hosts: 21, duration: 30 * time.Second}
--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -7,7 +7,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// maxRoom stands for the room of a host for tasks that ask for nothing.
+// maxRoom is the room of a host for tasks that need no resources.
 const maxRoom = 1 << 16
 
 // Host is a worker as placement sees it.
@@ -17,15 +17,15 @@
 	Labels   []string
 	Capacity platform.Resources
 	Free     platform.Resources
-	Penalty  float64 // 0 for a worker without findings, higher for one that does badly
+	Penalty  float64 // subtracted from the score; 0 for a healthy worker
 
 	WatchedTasks int // watched tasks here that are not cleared yet
 
-	longRunning int                   // long-running tasks that are here
-	perStep map[*jobs.StepRun]int // tasks of a step that are here
+	longRunning int                   // number of long-running tasks here
+	perStep     map[*jobs.StepRun]int // number of tasks here, by step
 }
 
-// CountTask notes that a task of the step is at the host.
+// CountTask counts a task of the step as running on the host.
 func (h *Host) CountTask(s *jobs.StepRun) {
 	if h.perStep == nil {
 		h.perStep = map[*jobs.StepRun]int{}
@@ -36,7 +36,8 @@
 	}
 }
 
-// Charge is what a task of the step takes of a host's free resources.
+// Charge returns what a task of the step takes of a host's free resources. Filler tasks only use
+// CPU that is idle.
 func Charge(st *jobs.Step) platform.Resources {
 	r := st.Needs
 	if st.Filler {
@@ -45,7 +46,7 @@
 	return r
 }
 
-// Admits tells whether the host may ever run a task of the step.
+// Admits reports whether an empty host could run a task of the step.
 func (h *Host) Admits(st *jobs.Step) bool {
 	if st.Label != "" && !slices.Contains(h.Labels, st.Label) {
 		return false
@@ -53,7 +54,7 @@
 	return Charge(st).Fits(h.Capacity)
 }
 
-// canStart tells whether one more task of the step may start now.
+// canStart reports whether one more task of the step may start now.
 func (h *Host) canStart(s *jobs.StepRun) bool {
 	if s.Spec.MaxPerWorker > 0 && h.perStep[s] >= s.Spec.MaxPerWorker {
 		return false
@@ -61,7 +62,7 @@
 	return h.Admits(s.Spec) && Charge(s.Spec).Fits(h.Free)
 }
 
-// Room is how many more tasks of the step may start now.
+// Room returns how many more tasks of the step may start now.
 func (h *Host) Room(s *jobs.StepRun) int {
 	if !h.canStart(s) {
 		return 0
@@ -84,7 +85,7 @@
 	h.CountTask(s)
 }
 
-// unplace gives them back.
+// unplace returns the resources of one task.
 func (h *Host) unplace(s *jobs.StepRun) {
 	h.Free = h.Free.Add(Charge(s.Spec))
 	h.perStep[s]--
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -9,44 +9,44 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Weights of what speaks for a host; all are shares of a host's processors.
+// Weights in the score of a host, relative to the CPU capacity of the host.
 const (
-	// dataRackWeight outweighs any difference in load: work away from its data takes a multiple of the time.
+	// dataRackWeight outweighs any difference in load, since tasks away from their data take much longer.
 	dataRackWeight = 4.0
 	// spreadWeight keeps tasks of one long-running step on different workers.
 	spreadWeight = 1.5
-	// packWeight keeps long-running tasks of different steps on few workers, so that the others can leave the pool.
+	// packWeight keeps long-running tasks of different steps on few workers, so that others can leave the pool.
 	packWeight = 1.0
 )
 
-// Under overload the job with least slack is the one that is about to be late;
-// the margin keeps resources from jobs that would miss by a little.
+// Margin on the remaining work of a job when it is compared with the deadline, so that resources
+// don't go to jobs that would just miss it.
 const (
-	marginDivisor  = 10 // one part in so many of the work that is left
-	minMargin = 100 * time.Millisecond
+	marginDivisor = 10                     // the margin is 1/marginDivisor of the remaining work
+	minMargin     = 100 * time.Millisecond // added to that
 )
 
-// Candidate is a step with tasks that may start now, and its place in the order.
+// Candidate is a step with tasks that may start now.
 type Candidate struct {
-	Step     *jobs.StepRun
-	Tasks    []*jobs.Task
-	Priority int                    // of its queue, 0 goes first
-	Deadline time.Duration          // when its job should be done, on the clock of now
-	Allowed  func(boot string) bool // which hosts the advice service lets run the step, nil for any
-	Expiry     time.Duration          // when its job is of little use any more, 0 for never
-	RemainingWork     time.Duration          // estimated work of its job that is still to be done, one step after the other
-	Budget   *Budget                // of its client account, nil for no limit
-	Watched  bool                   // workers were lost with its one task, so that it keeps away from others like it
-	Excess   bool                   // its job came beyond what its account has been promised
+	Step          *jobs.StepRun
+	Tasks         []*jobs.Task
+	Priority      int                    // of its queue, 0 goes first
+	Deadline      time.Duration          // when its job should be done, on the clock of now
+	Allowed       func(boot string) bool // hosts on which the advice service allows the step, nil for any
+	Expiry        time.Duration          // when a result of its job is hardly of use any more, 0 for never
+	RemainingWork time.Duration          // estimated duration of the steps of its job still to be done
+	Budget        *Budget                // of its client account, nil for no limit
+	Watched       bool                   // its single task is watched and must not share a worker with another watched one
+	Excess        bool                   // its job is beyond the guaranteed rate of its account
 }
 
-// Start says that a task starts on a host.
+// Start assigns a task to a host.
 type Start struct {
 	Task *jobs.Task
 	Host *Host
 }
 
-// Sort puts candidates into the order in which they get resources.
+// Sort sorts candidates by the order in which they get resources.
 func Sort(cs []Candidate, now time.Duration) {
 	slices.SortStableFunc(cs, func(a, b Candidate) int {
 		return cmp.Or(
@@ -59,7 +59,7 @@
 	})
 }
 
-// servingRank puts tasks that serve callers of their own first: their absence counts at once.
+// servingRank puts long-running tasks first, since they serve requests.
 func (c *Candidate) servingRank() int {
 	if c.Step.Spec.LongRunning && !c.Step.Spec.Filler {
 		return 1
@@ -67,10 +67,8 @@
 	return 0
 }
 
-// excessRank puts what came beyond its account's promise behind what was promised to others.
-// With a pool full and one account of twenty sending five times its part, 0.86 of the
-// jobs of the nineteen are in time when all are ordered by slack, 0.91 when the account
-// with least running comes first, 1.00 with this (TestExcess).
+// excessRank puts jobs beyond the guaranteed rate of their account after all others, so that one
+// account that submits too much does not make the jobs of others late.
 func (c *Candidate) excessRank() int {
 	if c.Excess {
 		return 1
@@ -78,8 +76,8 @@
 	return 0
 }
 
-// latenessRank puts jobs that can hardly be done in time behind those that can, and
-// those that are of little use any more behind all others.
+// latenessRank puts jobs that will probably be late after those that can be done in time, and those
+// that will be done after their expiry last.
 func (c *Candidate) latenessRank(now time.Duration) int {
 	switch end := now + c.RemainingWork + c.RemainingWork/marginDivisor + minMargin; {
 	case c.Expiry != 0 && end > c.Expiry:
@@ -91,10 +89,10 @@
 	}
 }
 
-// Plan chooses hosts for the candidates, which are in order; it changes the hosts'
-// free resources. It ends once there are limit starts; a gang is planned whole.
+// Plan chooses hosts for sorted candidates and updates the hosts' free resources. It ends after
+// limit starts, except that a gang is always planned whole.
 func Plan(cs []Candidate, hosts []*Host, limit int) (starts []Start) {
-	full := map[fitKey]bool{} // what no host has room for any more
+	full := map[fitKey]bool{} // no host has room for these any more
 	for i := range cs {
 		c := &cs[i]
 		if len(starts) >= limit {
@@ -116,7 +114,7 @@
 	return starts
 }
 
-// fitKey is what decides which hosts have room for a step, but for advice and limits a worker.
+// fitKey identifies steps that fit on the same hosts, apart from advice and limits per worker.
 type fitKey struct {
 	charge platform.Resources
 	label  string
@@ -124,7 +122,7 @@
 
 func fitKeyOf(st *jobs.Step) fitKey { return fitKey{charge: Charge(st), label: st.Label} }
 
-// planStep chooses hosts for a step's tasks; it reports whether the last one found room.
+// planStep chooses hosts for the tasks of a step; it reports whether the last one found room.
 func planStep(c *Candidate, hosts []*Host, limit int) (starts []Start, roomLeft bool) {
 	var last *Host
 	for _, t := range c.Tasks {
@@ -133,16 +131,16 @@
 		}
 		copied := len(t.Attempts) > 0
 		h := last
-		// A host that got a task is fuller than before, so that it suits the next
-		// one best as long as it has room; only long-running tasks keep apart.
+		// The fullest host is preferred, so the one that got the last task stays the best while it
+		// has room. Only long-running tasks are spread.
 		if h == nil || copied || c.Step.Spec.LongRunning || !h.canStart(c.Step) {
 			h = bestHost(c, t, hosts)
 		}
 		if h == nil && copied {
-			continue // a copy, which may not start everywhere
+			continue // a copy must not start where its first attempt is
 		}
 		if h == nil {
-			return starts, false // the tasks of a step are alike
+			return starts, false // all tasks of a step have the same needs
 		}
 		if !c.Budget.take(c.Step.Spec, 1) {
 			return starts, true
@@ -160,8 +158,7 @@
 	return starts, true
 }
 
-// Reserve takes room for one more task of a step at the host that suits it most;
-// it reports whether there is one.
+// Reserve takes room for one more task of a step on the best host; it reports whether there is one.
 func Reserve(s *jobs.StepRun, hosts []*Host) bool {
 	h := bestHost(&Candidate{Step: s}, nil, hosts)
 	if h == nil {
@@ -171,10 +168,9 @@
 	return true
 }
 
-// bestHost returns the host that suits a task of the step most, nil if none has room.
-// A copy goes to another host than the attempts that its task, nil for any, has:
-// beside its first attempt it was not charged there, and a worker that does not
-// reject what does not fit went over its capacity on 2 of 112 plays of a day.
+// bestHost returns the host with the highest score for a task of the step, nil if none has room. A
+// copy goes to another host than the other attempts of t, which may be nil: the second attempt on a
+// host is not charged there.
 func bestHost(c *Candidate, t *jobs.Task, hosts []*Host) (chosen *Host) {
 	s := c.Step
 	var top float64
@@ -192,14 +188,14 @@
 	return chosen
 }
 
-// runsAt tells whether an attempt of a task is or may be at a boot.
+// runsAt reports whether an attempt of a task is or may be at a boot.
 func runsAt(t *jobs.Task, boot string) bool {
 	return t != nil && slices.ContainsFunc(t.Attempts, func(a *jobs.Attempt) bool { return a.Boot == boot })
 }
 
-// score is higher for a host that suits the step better.
+// score returns how well the host suits the step; higher is better.
 func (h *Host) score(s *jobs.StepRun) float64 {
-	// The fullest host that has room, so that others stay empty and can leave the pool.
+	// Fill hosts one by one, so that others stay empty and can leave the pool.
 	score := -float64(h.Free.CPU)/float64(max(h.Capacity.CPU, 1)) - h.Penalty
 	if s.Spec.DataRack != "" && s.Spec.DataRack == h.Rack {
 		score += dataRackWeight
@@ -213,11 +209,11 @@
 	return score
 }
 
-// planGang places all tasks of a step or none; a step that is slow when spread
-// over racks gets one rack if any has room for all.
+// planGang places all tasks of a step or none. A step with SameRack gets a single rack if one has
+// room for all.
 func planGang(c Candidate, hosts []*Host) []Start {
 	if len(c.Tasks) != len(c.Step.Tasks) {
-		return nil // a former run has not ended everywhere
+		return nil // attempts of an earlier run have not ended yet
 	}
 	if !c.Budget.covers(c.Step.Spec, len(c.Tasks)) {
 		return nil
@@ -248,7 +244,7 @@
 	return starts
 }
 
-// byRack groups hosts by rack, the rack with most free processors first.
+// byRack groups hosts by rack, the rack with most free CPU first.
 func byRack(hosts []*Host) (groups [][]*Host) {
 	at := map[string]int{}
 	for _, h := range hosts {
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -12,8 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TestPlan compares the plan with one that looks at all hosts for each task, on
-// steps of all kinds.
+// TestPlan compares Plan with planNaively on steps of all kinds.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := rapid.SliceOfN(rapid.Custom(drawHost), 1, 8).Draw(t, "hosts")
@@ -29,7 +28,7 @@
 	})
 }
 
-// TestPlanLimit ends a plan at a number of starts.
+// TestPlanLimit checks that a plan ends after the given number of starts.
 func TestPlanLimit(t *testing.T) {
 	h := &Host{Capacity: platform.Resources{CPU: 8000}, Free: platform.Resources{CPU: 8000}}
 	j := newJob(jobs.Step{Count: 6, Needs: platform.Resources{CPU: 1000}})
@@ -78,7 +77,7 @@
 	return out
 }
 
-// planNaively chooses the best of all hosts for each task.
+// planNaively scores all hosts for each task.
 func planNaively(cs []Candidate, hosts []*Host) (starts []Start) {
 	for _, c := range cs {
 		for _, t := range c.Tasks {
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -7,8 +7,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// demand counts the waiting tasks that their accounts' limits let run at all, so that a
-// pool gets no VMs for those that they do not.
+// demand counts the waiting tasks that the limits of their accounts allow to run, so that a pool
+// does not get VMs for the others.
 type demand struct {
 	o    *Owner
 	left map[string]*placement.Budget
@@ -16,8 +16,8 @@
 
 func (o *Owner) newDemand() *demand { return &demand{o: o, left: map[string]*placement.Budget{}} }
 
-// startable is how many of n waiting tasks of a step could run if their account had its
-// whole limit in this pool.
+// startable returns how many of n waiting tasks of a step could run if their account had its whole
+// limit in this pool.
 func (d *demand) startable(s *jobs.StepRun, n int) int {
 	account := s.Job.Account
 	limit := d.o.limitOf(account)
@@ -32,24 +32,24 @@
 	return b.TakeUpTo(s.Spec, n)
 }
 
-// reportAccounts says what accounts hold and want of their limits, with full also
-// those that have no work here; the lock is held.
+// reportAccounts returns the usage and demand of accounts with a limit, and, if full, also accounts
+// without work here; the lock is held.
 func (o *Owner) reportAccounts(full bool) allowance.Report {
 	r := o.accounts.shares.Report()
 	r.Full = full
-	besides := o.unbookedUsage()
+	unbooked := o.unbookedUsage()
 	uses := map[string]*allowance.Use{}
 	use := func(account string) *allowance.Use {
 		u := uses[account]
 		if u == nil {
-			running := placement.MaxFraction(o.book.Held(account).Add(besides[account]), o.limitOf(account))
+			running := placement.MaxFraction(o.book.Held(account).Add(unbooked[account]), o.limitOf(account))
 			u = &allowance.Use{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
 			uses[account] = u
 		}
 		return u
 	}
 	limited := func(account string) bool { return o.limitOf(account) != (platform.Resources{}) }
-	// Tasks that must wait for the end of a takeover are in besides.
+	// Tasks that wait for the takeover to complete are counted in unbookedUsage.
 	o.eachIdle(false, func(s *jobs.StepRun, idle []*jobs.Task) {
 		if account := s.Job.Account; limited(account) {
 			addWaiting(use(account), s.Spec, len(idle), o.limitOf(account))
@@ -60,7 +60,7 @@
 			use(account)
 		}
 	})
-	for account := range besides {
+	for account := range unbooked {
 		if limited(account) {
 			use(account)
 		}
@@ -74,15 +74,15 @@
 	return r
 }
 
-// addWaiting adds n tasks that wait to what an account wants.
+// addWaiting adds n waiting tasks to an account's demand.
 func addWaiting(u *allowance.Use, st *jobs.Step, n int, limit platform.Resources) {
-	part := func(tasks int) float64 {
+	fraction := func(tasks int) float64 {
 		return placement.MaxFraction(placement.LimitCharge(st.Needs, limit, tasks), limit)
 	}
-	u.Wanted += float64(n) * part(1)
-	step := part(1)
+	u.Wanted += float64(n) * fraction(1)
+	step := fraction(1)
 	if st.Gang {
-		step = part(n)
+		step = fraction(n)
 	}
 	if u.Step == 0 || step < u.Step {
 		u.Step = step
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -10,16 +10,16 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// limitLogInterval is the time between two lines about an account that is at its limit.
+// limitLogInterval is the minimum time between two log lines on an account that is at its limit.
 const limitLogInterval = time.Second
 
-// accounts is what an owner knows of client accounts, beside the catalog.
+// accounts is the state of client accounts, beyond the catalog.
 type accounts struct {
-	shares   *allowance.Shard
-	changed  bool                          // the shares are to be written
-	removed map[string]platform.Resources // limits of accounts that have left the configuration
-	loggedAt   map[string]time.Duration      // when an account was last said to be at its limit
-	guaranteed map[string]*guaranteedRate           // what is left of the jobs a second that an account has been promised
+	shares     *allowance.Shard              // of the limits of accounts
+	changed    bool                          // the shares are to be written
+	removed    map[string]platform.Resources // limits of accounts no longer in the catalog
+	loggedAt   map[string]time.Duration      // when an account was last logged as at its limit
+	guaranteed map[string]*guaranteedRate    // token buckets of guaranteed rates
 }
 
 func newAccounts(kept allowance.Row) accounts {
@@ -29,8 +29,8 @@
 	}
 }
 
-// retainRemoved keeps the limits of accounts that leave the configuration: what they have
-// handed in is still run, within the limit they had.
+// retainRemoved keeps the limits of accounts that are removed from the catalog, since the jobs they
+// have submitted still run.
 func (a *accounts) retainRemoved(old, c *catalog.Catalog) {
 	for i := range old.Accounts {
 		if was := &old.Accounts[i]; c.Account(was.Name) == nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-// limitOf is an account's limit, with 0 for what has none.
+// limitOf returns the limit of an account, 0 for resources without one.
 func (o *Owner) limitOf(account string) platform.Resources {
 	if o.catalog == nil || account == "" {
 		return platform.Resources{}
@@ -50,7 +50,7 @@
 	return o.accounts.removed[account]
 }
 
-// ApplyGrant takes shares of accounts' limits.
+// ApplyGrant takes over granted shares of the limits of accounts.
 func (o *Owner) ApplyGrant(g allowance.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -63,7 +63,7 @@
 	o.kickPlacement()
 }
 
-// putShares adds the shares of accounts' limits if they have changed.
+// putShares adds the shares of the limits of accounts to a batch if they have changed.
 func (o *Owner) putShares(b *batch) error {
 	if !o.accounts.changed || !b.room() {
 		return nil
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// unbookedUsage is what each account has or may have running unbookedUsage the attempts in the
-// book: attempts that a former owner started and that are being stopped, and what its
-// tasks may take at workers that have not been heard since the takeover.
+// unbookedUsage returns what each account has or may have running beyond the attempts in the book:
+// attempts of a former owner that are being stopped, and tasks that may be at workers that have not
+// reported since the takeover.
 func (o *Owner) unbookedUsage() map[string]platform.Resources {
 	sum := map[string]platform.Resources{}
 	add := func(account string, needs platform.Resources) {
@@ -108,18 +108,18 @@
 	return sum
 }
 
-// budgets are what accounts may still have started in this pass of placement.
+// budgets are what accounts may still start in one placement pass.
 type budgets struct {
-	o       *Owner
+	o        *Owner
 	unbooked map[string]platform.Resources
-	byName  map[string]*placement.Budget
+	byName   map[string]*placement.Budget
 }
 
 func (o *Owner) newBudgets() *budgets {
 	return &budgets{o: o, unbooked: o.unbookedUsage(), byName: map[string]*placement.Budget{}}
 }
 
-// of returns the budget of an account, nil if no limit binds it.
+// of returns the budget of an account, nil if it has no limit.
 func (b *budgets) of(account string) *placement.Budget {
 	if got, ok := b.byName[account]; ok {
 		return got
@@ -134,7 +134,7 @@
 	return budget
 }
 
-// logAtLimit says in the log which accounts had tasks that were held back by their limit.
+// logAtLimit logs the accounts with tasks that their limit held back.
 func (o *Owner) logAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -7,19 +7,17 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// deferredStart is a start that waits until a loss that is deferredStart ahead of it is kept.
+// deferredStart is a start that waits until its provisional loss is stored.
 type deferredStart struct {
 	session  *session
 	running  *running
-	evidence int // number of the change that has to be kept
+	evidence int // value of Job.Evidence that has to be stored
 }
 
-// recordProvisionalLoss notes a start that may bring its worker down before it is sent, so that the loss
-// counts even if this owner goes with it; it reports whether the start has to wait for that.
-// In a row of owners each of which was gone before it had kept the loss, one task brought
-// down six workers and more (TestCrashes with workers that fall silent). Tasks that nothing
-// is known against start at once. So do those whose one worker was not lost right after their
-// start, while the table service carries out no transactions: they would wait for its return.
+// recordProvisionalLoss records the loss of a worker before a suspected task is started there, so
+// that it counts even if this owner is lost with the worker; it reports whether the start has to
+// wait until that is stored. While the table service is down, starts wait only for tasks with an
+// early loss or that may have crashed a worker unseen.
 func (o *Owner) recordProvisionalLoss(s *session, r *running) bool {
 	t := r.Task
 	maybeLost := o.unheard && t.Step.Job.Restored
@@ -35,7 +33,7 @@
 	return true
 }
 
-// sendDeferred sends the starts of a job whose notes are kept.
+// sendDeferred sends the deferred starts of a job whose provisional losses are stored.
 func (o *Owner) sendDeferred(j *jobs.Job) {
 	if len(o.noted[j]) == 0 {
 		return
@@ -55,8 +53,8 @@
 	}
 }
 
-// dropProvisionalLoss takes back what was noted ahead of an attempt that did not start, or has ended
-// and left its worker standing.
+// dropProvisionalLoss removes the provisional loss of an attempt that did not start, or has ended
+// without taking its worker down.
 func (o *Owner) dropProvisionalLoss(a *jobs.Attempt) {
 	t := a.Task
 	if !t.Losses.HasProvisional(a.Number) {
@@ -66,14 +64,14 @@
 	o.persist(t.Step.Job, false)
 }
 
-// recordUnheardLoss notes that a worker of a former owner was lost before this owner has heard it.
-// What is known to have been there is held against those tasks; if nothing is known, any task
-// of that time may have brought it down, and is noted before it starts again.
+// recordUnheardLoss records that a worker of a former owner was lost before it reported to this one.
+// The loss is counted against the tasks known to have been there. If these are not known, every
+// restored task may have crashed it, and gets a provisional loss before its next start.
 func (o *Owner) recordUnheardLoss(s *session) {
 	if !s.former.listed {
 		if !o.unheard {
 			o.unheard = true
-			o.record.markChanged(s.worker) // the next record does not name it any more
+			o.record.markChanged(s.worker) // has it removed from the record
 			o.kickCommit()
 		}
 		return
@@ -81,9 +79,9 @@
 	for _, name := range s.former.names {
 		t := o.book.Task(name)
 		if t == nil || t.Done || t.Step.Job.State.Final() || s.departsByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
-			continue // the owner that let go may have counted it
+			continue
 		}
-		// Its attempt is not known: numbers of attempts are above 0.
+		// The attempt is unknown; a negative number can't clash with one.
 		t.SetLosses(t.Losses.With(blame.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Ended: s.gone}))
 		o.suspects[t] = struct{}{}
 		o.persist(t.Step.Job, false)
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -8,24 +8,24 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Bounds of a transaction, below the table service's own of 100 entries and 1 MB.
+// Limits of a transaction, below those of the table service: 100 rows and 1 MB.
 const (
 	maxTxnRows  = 90
-	maxTxnBytes = 600_000 // before the encoding of the wire, which adds a third
+	maxTxnBytes = 600_000 // before the base64 encoding, which adds a third
 )
 
-// submission is a job that waits to be kept.
+// submission is a job that waits to be stored.
 type submission struct {
 	id     string
 	record jobs.Record
 	raw    []byte
 
 	waiting int           // calls that wait for the outcome
-	done chan struct{} // closed when the outcome is known
-	outcome Outcome       // set before that
+	done    chan struct{} // closed when the outcome is known
+	outcome Outcome       // set before done is closed
 }
 
-// resolve tells all who wait for the submission what became of it.
+// resolve gives all calls that wait for the submission its outcome.
 func (s *submission) resolve(out Outcome) {
 	s.outcome = out
 	close(s.done)
@@ -35,31 +35,31 @@
 type batch struct {
 	submissions []*submission
 	jobs        []*jobs.Job
-	states      []jobs.State // of jobs, as they are written
-	evidence    []int        // of jobs, what speaks against their tasks as it is written
-	workers     []*session   // that become recorded
-	record      bool         // parts of the record of leased workers are written
-	parts       []int        // those that are
-	leased      *[recordParts][]leasedWorker
-	shares      *allowance.Row // of accounts' limits, as they are written, nil if they are not
-	acks        map[*session]int64
+	states      []jobs.State                 // of jobs, as written
+	evidence    []int                        // Job.Evidence of jobs, as written
+	workers     []*session                   // that become recorded
+	record      bool                         // parts of the record of leased workers are written
+	parts       []int                        // numbers of these parts
+	leased      *[recordParts][]leasedWorker // content of the record
+	shares      *allowance.Row               // quota shares of accounts as written, nil if unchanged
+	acks        map[*session]int64           // number of the last end to acknowledge, by worker
 	drops       []expiredJob
 	txn         platform.RowTxn
-	size        int // of the values that txn puts, in bytes
+	size        int // bytes of the values in txn.Put
 	seq         int64
-	single      bool // it takes one thing only, to find out what can't be kept
+	single      bool // holds one item only, to find the one that is refused
 }
 
 // expiredJob is a job whose rows are to be removed.
 type expiredJob struct {
 	id   string
-	rows int // of its progress
+	rows int // number of its progress rows
 }
 
-// room tells whether one more row may be put.
+// room reports whether one more row fits.
 func (b *batch) room() bool { return b.fits(nil) }
 
-// fits tells whether some rows more may be put, with one to spare.
+// fits reports whether the rows fit, with one row to spare.
 func (b *batch) fits(rows [][]byte) bool {
 	if b.single && b.itemCount() > 0 {
 		return false
@@ -71,7 +71,7 @@
 	return len(b.txn.Put)+len(b.txn.Remove)+len(rows) < maxTxnRows && size < maxTxnBytes
 }
 
-// itemCount counts what the batch keeps, each of which could be kept without the others.
+// itemCount returns the number of items that could be written independently of each other.
 func (b *batch) itemCount() int {
 	n := len(b.submissions) + len(b.jobs) + len(b.drops)
 	if b.record {
@@ -88,15 +88,15 @@
 	b.size += len(raw)
 }
 
-// empty tells whether there is nothing to write.
+// empty reports whether there is nothing to write.
 func (b *batch) empty() bool { return len(b.txn.Put) == 0 && len(b.txn.Remove) == 0 }
 
-// nextBatch takes what waits to be written, as much as fits; the lock is held.
+// nextBatch collects what waits to be written, as much as fits; the lock is held.
 func (o *Owner) nextBatch() (b *batch, err error) {
 	b = &batch{acks: map[*session]int64{}, seq: o.seq + 1, single: o.singly > 0}
 	o.singly = max(0, o.singly-1)
 	if o.record.dirty {
-		// Before the jobs: without its row in the record a worker gets no tasks.
+		// Workers go first: one that is not recorded gets no tasks.
 		if err := o.putWorkers(b); err != nil {
 			return nil, err
 		}
@@ -110,7 +110,7 @@
 	}
 	o.urgent = len(o.queued) > 0
 	if b.empty() {
-		// Ends that changed nothing need no row.
+		// Ends that changed nothing are acknowledged without a transaction.
 		o.acknowledge(b)
 		b.acks = nil
 		return b, nil
@@ -124,7 +124,7 @@
 	return b, nil
 }
 
-// putSubmissions adds the jobs that wait to be kept, first come first served.
+// putSubmissions adds queued submissions in order of arrival.
 func (o *Owner) putSubmissions(b *batch) {
 	for len(o.queued) > 0 && b.room() {
 		s := o.queued[0]
@@ -145,8 +145,8 @@
 	}
 }
 
-// collectAcks notes the ends that may be acknowledged once the batch is kept: those
-// seen by now, if the batch leaves no changed job for a later one.
+// collectAcks notes the ends that may be acknowledged after the commit. There are none if changed
+// jobs are left for a later batch.
 func (o *Owner) collectAcks(b *batch) {
 	if len(o.dirty)+len(o.setApart) > 0 {
 		return
@@ -158,8 +158,8 @@
 	}
 }
 
-// putProgress adds the progress of jobs that have changed. A job whose progress can't be kept has
-// failed, which can.
+// putProgress adds the progress of changed jobs. A job whose progress can't be encoded fails, and is
+// stored as failed.
 func (o *Owner) putProgress(b *batch) {
 	for _, j := range sortedByID(o.dirty) {
 		if !b.room() {
@@ -189,8 +189,8 @@
 	}
 }
 
-// failUnstorable ends a job whose progress can't be kept: nothing more of it could be told to anybody,
-// and what ended of it would run again after the next takeover.
+// failUnstorable fails a job whose progress can't be stored: no state of it could be reported, and
+// its finished tasks would run again after the next takeover.
 func (o *Owner) failUnstorable(j *jobs.Job, cause error) {
 	if !o.book.Fail(j) {
 		return
@@ -200,8 +200,8 @@
 	o.jobEnded(j)
 }
 
-// putUnheard keeps that a worker was lost before an owner has heard it, for as long as a job
-// of that time goes on.
+// putUnheard stores whether a worker was lost before it reported to an owner, for as long as a
+// restored job is active.
 func (o *Owner) putUnheard(b *batch) error {
 	if !o.unheard {
 		return nil
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -10,22 +10,21 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// callWaitTimeout is how long a submission or a cancellation waits for its row before
-// its outcome is told as unknown.
+// callWaitTimeout is how long a submission or cancellation waits for its row to be written before
+// its outcome is reported as unknown.
 const callWaitTimeout = 1500 * time.Millisecond
 
-// Requester is who asks for a job.
+// Requester is the caller on whose behalf a job is looked up.
 type Requester struct {
 	Account  string // client account, empty for none
-	Operator bool   // who may see the jobs of all accounts
+	Operator bool   // may see the jobs of all accounts
 }
 
-// maySee tells whether the asker may learn of a job.
+// maySee reports whether the requester may see a job.
 func (a Requester) maySee(r *jobs.Record) bool { return a.Operator || r.BelongsTo(a.Account) }
 
-// Submit keeps a job and starts it; it may be called again for the same ID. An ID
-// under which another account has handed in a job is refused as any other submission
-// may be, so that an account does not learn of the jobs of others.
+// Submit stores a job and starts it; it may be repeated with the same ID. An ID that another account
+// has used is refused like any other submission, so as not to reveal that account's jobs.
 func (o *Owner) Submit(ctx context.Context, id string, r jobs.Record) Outcome {
 	o.mu.Lock()
 	if o.over || o.releasing {
@@ -45,7 +44,7 @@
 			o.mu.Unlock()
 			return o.answerDuplicate(id, &s.record, &r)
 		}
-		s.waiting++ // its first arrival is on its way to the table
+		s.waiting++ // an earlier call has sent or queued it
 		o.mu.Unlock()
 		return o.awaitSubmission(ctx, s)
 	}
@@ -77,8 +76,8 @@
 	return schema.CallOutcomeRefused
 }
 
-// awaitSubmission returns the outcome of a submission. One that has not been sent
-// to the table service in time is withdrawn, unless others wait for it too.
+// awaitSubmission returns the outcome of a submission. After the timeout, one that was not yet sent
+// to the table service is withdrawn unless other calls wait for it.
 func (o *Owner) awaitSubmission(ctx context.Context, s *submission) Outcome {
 	if _, settled := receive(ctx, s.done); settled {
 		return s.outcome
@@ -101,9 +100,9 @@
 	return schema.CallOutcomeRefused
 }
 
-// receive waits for what a channel gives, as long as a call waits for its row; it
-// reports whether something came, also when the channel was closed.
-func receive[T any](ctx context.Context, c <-chan T) (v T, came bool) {
+// receive waits for a value from a channel, or for it to be closed, until callWaitTimeout; it
+// reports whether one of these happened.
+func receive[T any](ctx context.Context, c <-chan T) (v T, ok bool) {
 	t := time.NewTimer(callWaitTimeout)
 	defer t.Stop()
 	select {
@@ -115,7 +114,7 @@
 	return v, false
 }
 
-// Cancel ends a job.
+// Cancel cancels a job and waits until this is stored.
 func (o *Owner) Cancel(ctx context.Context, id string, by Requester) Outcome {
 	o.mu.Lock()
 	j, out := o.find(id, by)
@@ -136,14 +135,14 @@
 	o.waiters[j] = append(o.waiters[j], done)
 	o.persist(j, true)
 	o.mu.Unlock()
-	out, came := receive(ctx, done)
-	if !came {
+	out, ok := receive(ctx, done)
+	if !ok {
 		return schema.CallOutcomeUnknown
 	}
 	return out
 }
 
-// State returns the state of a job that callers may be told.
+// State returns the stored state of a job.
 func (o *Owner) State(id string, by Requester) (jobs.State, Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -154,7 +153,8 @@
 	return j.Kept, out
 }
 
-// find returns a job that the asker may see; one of another account is not there. The lock is held.
+// find returns a job that the requester may see; one of another account is reported as not found.
+// The lock is held.
 func (o *Owner) find(id string, by Requester) (*jobs.Job, Outcome) {
 	if o.over {
 		return nil, schema.CallOutcomeNotOwner
@@ -171,7 +171,7 @@
 	return nil, schema.CallOutcomeNotFound
 }
 
-// Waiting counts the jobs of a queue that have not begun.
+// Waiting returns the number of jobs of a queue that have not started.
 func (o *Owner) Waiting(queue string) (int, Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -181,7 +181,7 @@
 	return o.book.Waiting(queue), schema.CallOutcomeOk
 }
 
-// answerWaiters tells those who wait for a job's final state; the lock is held.
+// answerWaiters answers the calls that wait for the final state of a job; the lock is held.
 func (o *Owner) answerWaiters(j *jobs.Job) {
 	if !j.Kept.Final() {
 		return
@@ -192,17 +192,18 @@
 	delete(o.waiters, j)
 }
 
-// persist marks a job's progress to be written, at once if someone waits for it; the lock is held.
-func (o *Owner) persist(j *jobs.Job, soon bool) {
+// persist has a job's progress written with the next transaction, and without delay if urgent; the
+// lock is held.
+func (o *Owner) persist(j *jobs.Job, urgent bool) {
 	o.dirty[j] = struct{}{}
-	if soon {
+	if urgent {
 		o.expediteCommit()
 		return
 	}
 	o.kickCommit()
 }
 
-// expediteCommit has the next transaction written without waiting for more; the lock is held.
+// expediteCommit has the next transaction written without delay; the lock is held.
 func (o *Owner) expediteCommit() {
 	o.urgent = true
 	pause.Wake(o.urgentWake)
--- a/pkg/shard/calls_test.go
+++ b/pkg/shard/calls_test.go
@@ -16,8 +16,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// TestRepeatedSubmission has a submission repeated while its row is on its way to
-// a slow table service: both calls get the outcome of the one row.
+// TestRepeatedSubmission checks that a submission repeated while its row is being written gets the
+// same outcome as the first.
 func TestRepeatedSubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -35,8 +35,8 @@
 	})
 }
 
-// TestQueueInSlowService hands jobs in one after the other while each transaction
-// takes half a second: none of them is left without an outcome.
+// TestQueueInSlowService checks that no submission is left without an outcome while each transaction
+// takes half a second.
 func TestQueueInSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -54,9 +54,8 @@
 	})
 }
 
-// TestHandoverUnderLoad hands a shard over while tasks end every few milliseconds:
-// ends that are not kept stay at their workers, so that it need not wait for a
-// moment without any.
+// TestHandoverUnderLoad checks that a handover does not wait for a moment without ends: those not
+// recorded stay at their workers.
 func TestHandoverUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -100,8 +99,7 @@
 	})
 }
 
-// newSlowEstate has one worker, and a table service that takes half a second for
-// each transaction.
+// newSlowEstate has one worker and a table service that takes half a second for each transaction.
 func newSlowEstate(t *testing.T) *estate {
 	e := newEstate(t)
 	e.rows = fake.NewRows(500*time.Millisecond, time.Second)
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -11,22 +11,20 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Pace of transactions.
 const (
-	// batchDelay is how long ends wait for others before they are kept; ends that
-	// are not acknowledged stay at their worker, so waiting loses nothing.
+	// batchDelay is how long recorded ends wait for others to share a transaction. Ends that are not
+	// acknowledged stay at their worker, so none is lost.
 	batchDelay = 40 * time.Millisecond
-	// commitTimeout bounds the tries of one transaction; the service answers in
-	// milliseconds, and up to 60 times slower when it is in trouble.
+	// commitTimeout bounds all tries of a transaction.
 	commitTimeout = 2 * time.Second
-	// commitRetryDelay is the pause after a try that failed.
+	// commitRetryDelay is the pause after a failed try.
 	commitRetryDelay = 150 * time.Millisecond
 )
 
-// Outcome tells what became of a call.
+// Outcome is the result of a call to an owner.
 type Outcome = schema.CallOutcome
 
-// commitLoop writes batches one after the other until the shard is given up.
+// commitLoop writes one batch after the other until the ownership ends.
 func (o *Owner) commitLoop(ctx context.Context) {
 	for {
 		select {
@@ -40,7 +38,7 @@
 	}
 }
 
-// awaitBatch waits for more ends unless someone waits for what is there.
+// awaitBatch waits for more to write, unless a caller waits for what is there.
 func (o *Owner) awaitBatch(ctx context.Context) {
 	o.mu.Lock()
 	urgent := o.urgent
@@ -84,9 +82,9 @@
 	return ctx.Err() == nil && !o.over
 }
 
-// commitBatch carries a transaction out. A try without an answer is repeated, with
-// the same content, until its outcome is known: the commit row's version lets
-// it happen once only.
+// commitBatch carries out the transaction of a batch. A try without an answer is repeated with the
+// same content until the outcome is known; the expected version of the commit row makes sure that
+// it is carried out at most once.
 func (o *Owner) commitBatch(ctx context.Context, b *batch) (version int64, err error) {
 	inDoubt := false
 	for {
@@ -100,7 +98,7 @@
 		case errors.As(t.err, &conflict):
 			return o.resolveConflict(conflict, b)
 		case platform.IsRefused(t.err):
-			return 0, t.err // as every try of it is, so that none before was carried out
+			return 0, t.err // the content is refused at every try, so no earlier one was carried out
 		case platform.IsNotDone(t.err):
 			o.setTroubled(true, t.err)
 			if !inDoubt {
@@ -118,7 +116,7 @@
 	}
 }
 
-// observeCommit takes the outcome of one try; only the loop of transactions calls it.
+// observeCommit records the duration of one try; only commitLoop calls it.
 func (o *Owner) observeCommit(took time.Duration, err error) {
 	o.cfg.Metrics.Commit(took, err)
 	if err == nil {
@@ -126,7 +124,7 @@
 	}
 }
 
-// resolveConflict tells a transaction of ours that had happened from a takeover by another entry.
+// resolveConflict tells an earlier try of the same transaction from a takeover by another entry.
 func (o *Owner) resolveConflict(conflict platform.ErrConflict, b *batch) (version int64, err error) {
 	for _, r := range conflict.Rows {
 		if r.RowKey != commitKey(o.cfg.Pool) || r.Version == 0 {
@@ -145,14 +143,14 @@
 	return 0, conflict
 }
 
-// setTroubled notes whether the table service carries out transactions.
+// setTroubled records whether the table service fails transactions.
 func (o *Owner) setTroubled(on bool, cause error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.setTroubledLocked(on, cause)
 }
 
-// setTroubledLocked does what setTrouble does; the lock is held.
+// setTroubledLocked does what setTroubled does; the lock is held.
 func (o *Owner) setTroubledLocked(on bool, cause error) {
 	if on == o.troubled {
 		return
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// ConfirmationTTL is how long after its ownership was last confirmed an owner
-// gives leases and orders. One that is cut off from the table service and may
-// have been replaced stops then, so that a next owner knows when leases at
-// workers that only the former one reaches have run out.
+// ConfirmationTTL is how long after its ownership was last confirmed an owner may grant leases and
+// send orders. One that is cut off from the table service stops then, so that the next owner knows
+// when the leases it has granted run out.
 const ConfirmationTTL = 1500 * time.Millisecond
 
-// confirmed tells whether this entry may give leases and orders: it was the
-// owner a short time ago, so a next one will wait for what is given now.
+// confirmed reports whether this entry may grant leases and send orders.
 func (o *Owner) confirmed(now time.Duration) bool { return now-o.confirmedAt < ConfirmationTTL }
 
-// Confirm notes that this entry was the owner at a time on the owner's clock.
+// Confirm records that this entry was the owner at a time on the owner's clock.
 func (o *Owner) Confirm(at time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.noteConfirmed(at)
 }
 
+// noteConfirmed does what Confirm does; the lock is held.
 func (o *Owner) noteConfirmed(at time.Duration) {
 	if at <= o.confirmedAt {
 		return
@@ -38,8 +37,8 @@
 	}
 }
 
-// checkOwnership reads the owner row when nothing else has confirmed it of late,
-// or while the table service is in trouble; the lock is held.
+// checkOwnership reads the owner row if ownership has not been confirmed recently, or while the
+// table service is in trouble; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
 	if o.asking || !o.troubled && now-o.confirmedAt < ConfirmationTTL/2 {
 		return
@@ -53,7 +52,7 @@
 		ctx, cancel := context.WithTimeout(o.ctx, answerTimeout)
 		defer cancel()
 		sentAt := o.now()
-		stands, err := o.claim.IsCurrent(ctx, o.cfg.Rows, o.cfg.Pool)
+		current, err := o.claim.IsCurrent(ctx, o.cfg.Rows, o.cfg.Pool)
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		o.asking = false
@@ -61,13 +60,13 @@
 			o.log.Debug().Str("event", "ownership_not_read").Err(err).Send()
 			return
 		}
-		if !stands {
+		if !current {
 			o.giveUp(ErrNotOwner{Owner: OwnerRow{Entry: "the writer of a later owner row"}})
 			return
 		}
 		o.unconfirmed = false
 		if o.troubled && len(o.dirty) == 0 {
-			// Nothing else would find out that transactions may be carried out again.
+			// There is nothing to write that would show that the table service is back.
 			o.setTroubledLocked(false, nil)
 		}
 		o.noteConfirmed(sentAt)
--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -14,8 +14,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// crashes plays jobs with crashing tasks among others while the owner is replaced again and
-// again, and orders and transactions are lost or late.
+// crashes runs jobs with and without crashing tasks while the owner is replaced and orders and
+// transactions are lost or late.
 func crashes(plant func(*estate)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
@@ -40,12 +40,11 @@
 	}
 }
 
-// TestCrashes holds that a crashing task is given up in time, whoever owns the shard, and
-// that no other is.
+// TestCrashes checks that the jobs of crashing tasks fail in time, and no others.
 func TestCrashes(t *testing.T) { prop.Check(t, crashes(nil)) }
 
-// TestCrashesFindsPlanted shows that it finds an owner that does not know what former ones
-// have counted.
+// TestCrashesFindsPlanted checks that it detects an owner that does not know the losses recorded by
+// former ones.
 func TestCrashesFindsPlanted(t *testing.T) {
 	plant := func(e *estate) {
 		e.breakRows = func(r platform.Rows) platform.Rows { return withoutLosses{r} }
@@ -53,7 +52,7 @@
 	qt.Assert(t, prop.Finds(t, crashes(plant)), qt.IsTrue)
 }
 
-// withoutLosses does not show the losses that are kept of tasks.
+// withoutLosses hides the recorded losses of tasks.
 type withoutLosses struct{ platform.Rows }
 
 func (l withoutLosses) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
--- a/pkg/shard/hedge.go
+++ b/pkg/shard/hedge.go
@@ -11,21 +11,19 @@
 )
 
 const (
-	// minHedgeDelay is how long a transaction may go unanswered before it is sent once
-	// more beside the first: above what the service takes under load, and below
-	// what callers wait.
+	// minHedgeDelay is the shortest time after which an unanswered transaction is sent again: more than
+	// the service takes under load, and less than callers wait.
 	minHedgeDelay = 250 * time.Millisecond
-	// hedgeFactor times what transactions take of late is waited in a service that
-	// is slow: it carries a partition's transactions out one after the other, so
-	// that a try that was not needed holds up the next transaction.
+	// hedgeFactor is the delay as a multiple of the mean duration. A slow service executes the
+	// transactions of a partition in sequence, so an unnecessary try delays the next transaction.
 	hedgeFactor = 3
-	// maxHedgeDelay bounds that wait.
+	// maxHedgeDelay is the longest delay.
 	maxHedgeDelay = time.Second
-	// maxConcurrentTries bounds the tries of one transaction that are under way together.
+	// maxConcurrentTries is the number of times that one transaction may be sent at most.
 	maxConcurrentTries = 3
 )
 
-// try is one sending of a transaction and its outcome.
+// try is one sending of a transaction and its result.
 type try struct {
 	sentAt  time.Duration // on the entry's clock
 	took    time.Duration
@@ -33,31 +31,30 @@
 	err     error
 }
 
-// definite tells whether the outcome of the transaction follows from this try
-// alone. A refusal says nothing of an earlier try that has not been answered.
+// definite reports whether this try alone determines the outcome of the transaction. A refusal does
+// not, since an earlier try may still be unanswered.
 func (t *try) definite() bool {
 	return t.err == nil || errors.As(t.err, new(platform.ErrConflict))
 }
 
-// commitLatency is how long transactions take of late, as far as they are answered.
+// commitLatency is a moving average of the time that answered transactions take.
 type commitLatency struct {
 	mean time.Duration
 }
 
-// observe takes the time of an answered try; a slow service shows within two.
+// observe adds the duration of an answered try.
 func (p *commitLatency) observe(took time.Duration) { p.mean = (p.mean + took) / 2 }
 
-// hedgeDelay is when a transaction without an answer is to be sent again.
+// hedgeDelay returns the time after which an unanswered transaction is sent again.
 func (p *commitLatency) hedgeDelay() time.Duration {
 	return min(maxHedgeDelay, max(minHedgeDelay, hedgeFactor*p.mean))
 }
 
-// commitHedged carries out a transaction whose preconditions let it happen once
-// only, however often it is sent. It is sent again each time after has passed
-// without an answer; the first definite answer counts. The error is a
-// platform.ErrConflict also when an earlier try of ours has happened: the caller
-// tells that by the rows in it.
-func commitHedged(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, txn platform.RowTxn, after time.Duration, note func(took time.Duration, err error)) (t try) {
+// commitHedged sends a transaction whose preconditions let it be carried out at most once, and sends
+// it again each time delay has passed without an answer; the first definite answer counts. The error
+// is a platform.ErrConflict also if an earlier try was carried out, which the caller recognizes by
+// the rows in it.
+func commitHedged(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, txn platform.RowTxn, delay time.Duration, observe func(took time.Duration, err error)) (t try) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	results := make(chan try, maxConcurrentTries)
@@ -71,12 +68,12 @@
 	}
 	send()
 	underWay, sends := 1, 1
-	again := time.NewTicker(after)
-	defer again.Stop()
+	resend := time.NewTicker(delay)
+	defer resend.Stop()
 	inDoubt := false
 	for underWay > 0 {
 		select {
-		case <-again.C:
+		case <-resend.C:
 			if sends < maxConcurrentTries {
 				send()
 				underWay++
@@ -84,7 +81,7 @@
 			}
 		case t = <-results:
 			underWay--
-			note(t.took, t.err)
+			observe(t.took, t.err)
 			if t.definite() {
 				return t
 			}
@@ -92,7 +89,7 @@
 		}
 	}
 	if inDoubt && platform.IsNotDone(t.err) {
-		t.err = platform.ErrUnknown{Op: "commit rows", Cause: "an earlier try had no answer, the last one: " + t.err.Error()}
+		t.err = platform.ErrUnknown{Op: "commit rows", Cause: "an earlier try was not answered; the last one failed: " + t.err.Error()}
 	}
 	return t
 }
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -6,24 +6,21 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// formerTasks is what a formerTasks owner may have left at a worker, until the worker is heard after the
-// last moment at which one could start something there, has ended, or its leases have run out.
+// formerTasks is what a former owner may have left at a worker. It is resolved when the worker
+// reports after startsEnd, has ended, or its leases have run out.
 type formerTasks struct {
-	pending     bool
-	listed bool     // nothing but tasks is there
-	names    []string // names
+	pending bool
+	listed  bool     // no other tasks than names can be there
+	names   []string // of tasks
 
-	startsEnd  time.Duration // from when on no former owner starts anything there
+	startsEnd time.Duration // from when on no former owner starts anything there
 	leasesEnd time.Duration // when its leases there have run out
 }
 
-// inheritWorker begins to watch a worker that a former owner has recorded.
-//
-// Beside one dark rack, tasks that are known to be nowhere else waited for each worker
-// of it: a planned handover took 2.15 s instead of 0.04 s. An owner that lets go by plan
-// says which tasks may be at a worker, and only those wait. After a crash any may be, since
-// a start is not written anywhere: the word of an owner two terms ago says nothing of what
-// the last one has started.
+// inheritWorker opens the session of a worker that a former owner has recorded.
+// An owner that releases the shard by plan lists the tasks that may be at each worker, so only
+// these wait for its report. After a crash any task may be there, since starts are not recorded.
+// A list older than the last term is of no use.
 func (o *Owner) inheritWorker(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, startsEnd: o.alone, leasesEnd: o.heldTo}
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
@@ -38,7 +35,7 @@
 	}
 }
 
-// resolveFormer notes that nothing of a former owner is at a worker unseen any more.
+// resolveFormer notes that nothing of a former owner can be at a worker unknown to this owner.
 func (o *Owner) resolveFormer(s *session) {
 	if !s.former.pending {
 		return
@@ -54,14 +51,14 @@
 	s.former = formerTasks{}
 }
 
-// checkTakeoverComplete sees whether tasks of a former owner may still be somewhere unseen.
+// checkTakeoverComplete updates whether tasks of a former owner may still run somewhere unknown
+// to this owner.
 func (o *Owner) checkTakeoverComplete() {
 	if !o.held {
 		return
 	}
 	now := o.now()
-	// Without the record any worker of a former owner may run any task until its leases
-	// have run out, wherever it is.
+	// Without a readable record, any worker may run any task until the last lease has run out.
 	o.blind = o.blind && now < o.heldTo
 	o.held, o.heldAll = o.blind, o.blind
 	for _, s := range o.sessionsInOrder() {
@@ -80,14 +77,14 @@
 	o.kickPlacement()
 }
 
-// onTakeoverComplete does what waits until all workers of former owners were heard or have ended.
+// onTakeoverComplete does what waits until all inherited workers have reported or ended.
 func (o *Owner) onTakeoverComplete() {
 	o.book.AllSeen()
 	o.failRestoredPoison()
 }
 
-// mayRunElsewhere tells whether a task may be, or may have ended, at a worker that has
-// not been heard since the takeover.
+// mayRunElsewhere reports whether a task may be running, or have ended, at a worker that has not
+// reported since the takeover.
 func (o *Owner) mayRunElsewhere(t *jobs.Task) bool {
 	return t.MaybeAt > 0 || o.heldAll && t.Step.Job.Restored
 }
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -16,8 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// slowLink passes the calls of an owner to its workers one after the other, each
-// taking a time of the link, as an owner's own processor or link does at its limit.
+// slowLink serializes the calls of an owner to its workers, as a saturated CPU or link does.
 type slowLink struct {
 	platform.Workers
 
@@ -58,10 +57,8 @@
 	return l.Workers.RenewLeases(ctx, w, o)
 }
 
-// TestOwnerAtItsLimit has an owner of 60 workers be able to make 150 calls a second,
-// a quarter of what its jobs ask for. It goes on at what it can carry: no lease runs
-// out, and of the 200 jobs all are done in time. Without a bound on its starts 260
-// 2,268 starts had no answer, and their looks waited behind others.
+// TestOwnerAtItsLimit checks that an owner that can make only a quarter of the calls that its jobs
+// need slows its starts down, so that no lease expires and all jobs are done.
 func TestOwnerAtItsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -97,12 +94,12 @@
 	})
 }
 
-// unreachableWorkers passes no call to some workers: no connection to them can be opened.
+// unreachableWorkers fails all connections to some workers.
 type unreachableWorkers struct {
 	platform.Workers
 
-	mu   sync.Mutex
-	unreachable map[string]bool // boots
+	mu          sync.Mutex
+	unreachable map[string]bool // by boot
 }
 
 func (d *unreachableWorkers) isUnreachable(boot string) bool {
@@ -127,9 +124,8 @@
 	return d.Workers.RenewLeases(ctx, w, o)
 }
 
-// TestDarkRackIsNoLimit has twelve of 24 workers go dark while tasks are started. Their
-// owner is not at its limit: an order that did not reach its worker is no slow answer.
-// Counted as one, it held a pool of 201 VMs to 20 starts a second for two seconds.
+// TestDarkRackIsNoLimit checks that an owner does not count as saturated when half of its workers are
+// unreachable: an order that did not reach its worker is not a slow answer.
 func TestDarkRackIsNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -6,20 +6,20 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// LossKind is how attempts went with their worker.
+// LossKind is the way in which an attempt was lost.
 type LossKind string
 
-// The kinds of losses.
+// Values of LossKind.
 const (
 	LossEnded  LossKind = "worker_ended"  // the boot has ended
-	LossLapsed LossKind = "leases_lapsed" // it does not answer, and its leases have run out
-	// LossVanished is of a single attempt: its worker answers, and lists neither it nor its end.
+	LossLapsed LossKind = "leases_lapsed" // the boot does not answer, and its leases have run out
+	// LossVanished is the loss of a single attempt: its worker answers but lists neither the attempt
+	// nor its end.
 	LossVanished LossKind = "vanished"
 )
 
-// handleLoss forgets what was at a worker that is lost, and says of each attempt how long it
-// had run: a worker goes with a dozen attempts, and when one of them has brought it down
-// nothing else tells which.
+// handleLoss drops the attempts at a lost worker. The run time of each is logged, which helps to
+// find the one that crashed the worker.
 func (o *Owner) handleLoss(s *session, kind LossKind) {
 	o.countLosses(s)
 	now := o.now()
@@ -35,11 +35,11 @@
 	s.trial = nil
 }
 
-// sent tells whether the worker may have been given the attempt.
+// sent reports whether the worker may have received the attempt.
 func (r *running) sent() bool { return r.sentAt > 0 || r.confirmedAt > 0 }
 
-// ranFor is how long an attempt had run when its worker was last heard, 0 for one
-// that had no answer.
+// ranFor returns how long an attempt had run when its worker last answered, 0 if its start was never
+// answered.
 func (s *session) ranFor(r *running, now time.Duration) time.Duration {
 	if r.Phase == jobs.PhaseOrdered || r.Phase == jobs.PhaseInDoubt {
 		return 0
@@ -47,7 +47,7 @@
 	return max(0, s.lostAt(now)-r.confirmedAt)
 }
 
-// lostAt is when a worker that is lost fell silent, as far as was noticed.
+// lostAt returns when a lost worker stopped answering.
 func (s *session) lostAt(now time.Duration) time.Duration {
 	if s.silentAt > 0 {
 		return s.silentAt
--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -8,18 +8,16 @@
 )
 
 const (
-	// vmListDelay is how long after a takeover the VM list is asked for first: it
-	// lags behind, and must be of a later time than the last boot that the former
-	// owner has recorded.
+	// vmListDelay is the time after a takeover before the VM list is first requested. The list lags
+	// behind and must be more recent than the last boot that the former owner recorded.
 	vmListDelay = 2 * time.Second
-	// vmListInterval is the pause before the list is asked for again.
+	// vmListInterval is the pause between two requests.
 	vmListInterval = time.Second
 )
 
-// checkVMList looks for boots of the former owner that do not answer in the VM
-// list: a VM that has another worker or another pool has ended the one we wait for.
-// The directory does not tell that: a heartbeat that was held up on the way may
-// write the row of an ended boot after that of its successor. The lock is held.
+// checkVMList looks up inherited boots that do not answer in the VM list: a VM that has another
+// worker or is in another pool no longer runs the boot. The directory can't tell, since a delayed
+// heartbeat may overwrite the row of the boot that followed. The lock is held.
 func (o *Owner) checkVMList(now time.Duration) {
 	if !o.held || now < o.openedAt+vmListDelay || now < o.askedMachines+vmListInterval {
 		return
@@ -39,7 +37,7 @@
 	})
 }
 
-// endReplacedBoots ends the sessions of boots that the VM list shows to be over; the lock is held.
+// endReplacedBoots ends the sessions of boots that have ended according to the VM list; the lock is held.
 func (o *Owner) endReplacedBoots(list []platform.Machine) {
 	byVM := make(map[string]platform.Machine, len(list))
 	for _, m := range list {
@@ -52,11 +50,11 @@
 		m, ok := byVM[s.vm]
 		switch {
 		case !ok:
-			o.bootEnded(s, "its VM is no longer there")
+			o.bootEnded(s, "its VM no longer exists")
 		case m.Pool != o.cfg.Pool:
 			o.bootEnded(s, "its VM is in another pool")
 		case m.State == platform.MachineUp && m.Worker != "" && m.Worker != s.worker:
-			o.bootEnded(s, "its VM has another worker")
+			o.bootEnded(s, "its VM runs another worker")
 		}
 	}
 }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -7,7 +7,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// batchCommitted applies a transaction that happened.
+// batchCommitted applies a batch whose transaction was carried out.
 func (o *Owner) batchCommitted(b *batch, version int64) {
 	o.chain, o.seq = version, b.seq
 	now := o.now()
@@ -46,7 +46,7 @@
 	}
 }
 
-// batchFailed undoes a batch that did not happen, or whose outcome stays unknown because the shard is given up.
+// batchFailed undoes a batch that was not carried out, or gives the shard up if that is unknown.
 func (o *Owner) batchFailed(b *batch, err error) {
 	outcome := schema.CallOutcomeUnknown
 	if platform.IsNotDone(err) {
@@ -65,7 +65,7 @@
 	time.AfterFunc(commitRetryDelay, o.kickCommit)
 }
 
-// requeue has what a batch did not keep written again, submissions apart.
+// requeue has the content of a failed batch written again, except for submissions.
 func (o *Owner) requeue(b *batch) {
 	for _, j := range b.jobs {
 		o.dirty[j] = struct{}{}
@@ -75,7 +75,7 @@
 	o.accounts.changed = o.accounts.changed || b.shares != nil
 }
 
-// refuseQueued answers the submissions that were not yet sent to the table service.
+// refuseQueued refuses the submissions that were not yet sent to the table service.
 func (o *Owner) refuseQueued() {
 	for _, s := range o.queued {
 		delete(o.pending, s.id)
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -8,9 +8,9 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// The services below are broken on purpose, to show that drawn courses find owners that are.
+// The services below have planted faults, to check that random sequences detect them.
 
-// unfenced gives all orders the same token.
+// unfenced gives all orders the same fencing token.
 type unfenced struct{ platform.Workers }
 
 func (u unfenced) StartAttempt(ctx context.Context, w platform.WorkerRef, o platform.StartOrder) (int64, error) {
@@ -23,7 +23,7 @@
 	return u.Workers.RenewLeases(ctx, w, o)
 }
 
-// eagerAcks acknowledges every end that it has seen.
+// eagerAcks acknowledges every end that was reported, whether it is stored or not.
 type eagerAcks struct {
 	platform.Workers
 	mu   sync.Mutex
@@ -43,7 +43,7 @@
 	return r, err
 }
 
-// withoutShares does not show the shares of accounts' limits.
+// withoutShares hides the row of quota shares.
 type withoutShares struct{ platform.Rows }
 
 func (f withoutShares) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -10,47 +10,46 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// An owner that was replaced and does not know it may act for ConfirmedFor after its successor's
-// takeover. Fencing tokens part the two at a worker, but a worker that starts again has forgotten
-// them: a task ran twice at the same time there (TestReplacedOwnerAtNextBoot). So the rights don't
-// overlap. Until its predecessor's right has run out the successor starts nothing that the other
-// may start too, which is what was kept before the takeover; then each worker is asked once more,
-// so that what was started there in the meantime is known. There is nothing to wait for where the
-// predecessor has let go, its process has ended, or it is told that it was replaced and says that
-// it has stopped, as one does that is cut off from the table service only.
+// An owner that does not know that it was replaced may act for ConfirmationTTL after the takeover.
+// Workers tell the two owners apart by fencing tokens, but forget these when they restart, and a
+// task could run twice. The protocol of a takeover is therefore:
+//
+//  1. The new owner starts no job stored before the takeover while a former owner may act.
+//  2. This ends when the predecessor's confirmation has expired, its process is known to have
+//     ended, or it confirms that it has stopped. A planned release leaves nothing to wait for.
+//  3. Each worker is polled once more, to learn what was started there in the meantime.
 
 const (
-	// maxConfirmedWithDrift is how long by our clock a right of ConfirmedFor may last by another's.
+	// maxConfirmedWithDrift is ConfirmationTTL of another machine's clock, measured by ours.
 	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
-	// predecessorPollInterval is how often it is looked whether the predecessor's process has ended: no part of
-	// upkeepInterval, so that the two do not come together and the order of the log repeats.
+	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
+	// doesn't divide upkeepInterval, so that the log order is deterministic.
 	predecessorPollInterval = 47 * time.Millisecond
-	// standDownTimeout bounds one try to tell the predecessor that it was replaced; entries answer
-	// each other in milliseconds, from another region in a few hundredths of a second.
+	// standDownTimeout bounds one call that tells the predecessor that it was replaced.
 	standDownTimeout = 400 * time.Millisecond
-	// standDownRetryDelay is the pause after a try that failed.
+	// standDownRetryDelay is the pause after such a call has failed.
 	standDownRetryDelay = 100 * time.Millisecond
 )
 
-// PredecessorEnd is how it is known that an owner before can act no more.
+// PredecessorEnd is the reason why no former owner can act any more.
 type PredecessorEnd string
 
-// The ends of predecessors.
+// Values of PredecessorEnd.
 const (
-	PredecessorLapsed    PredecessorEnd = "right_lapsed"  // its right has run out
+	PredecessorLapsed    PredecessorEnd = "right_lapsed"  // its confirmation of ownership has expired
 	PredecessorEnded     PredecessorEnd = "process_ended" // its process has ended
-	PredecessorStoodDown PredecessorEnd = "stood_down"    // it was told that it was replaced, and has said that it stopped
+	PredecessorStoodDown PredecessorEnd = "stood_down"    // it has confirmed that it stopped
 )
 
-// ObservedOwner is the owner row that the decision to take a shard over was made on.
+// ObservedOwner is the state of the owner row on which a takeover was decided.
 type ObservedOwner struct {
 	Version int64
-	Age     time.Duration // since it was seen first
+	Age     time.Duration // since this version was first seen
 }
 
-// remainingGrace is how long after a takeover from now on an owner before the one in a row may act still.
-// Its age is known since the row was seen first only, which for a process that has just started is
-// now; so the owner itself keeps it, with its next transaction, once it is alone.
+// remainingGrace returns how long from now on an owner before the one in the row may still act.
+// The age of the row is a lower bound, since a process may have seen it late. An owner therefore
+// records in its commit row that all its predecessors are gone.
 func remainingGrace(found OwnerRow, commit platform.Row, age time.Duration) time.Duration {
 	var c commitRow
 	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.SoleOwner && c.Term == found.Term {
@@ -59,7 +58,8 @@
 	return max(0, found.FormerGrace-age)
 }
 
-// awaitPredecessor has all workers of its time asked when no owner before this one can act any more.
+// awaitPredecessor waits until no former owner can act any more, then has all inherited workers
+// polled.
 func (o *Owner) awaitPredecessor() {
 	ctx, done := context.WithTimeout(o.ctx, o.alone-o.now())
 	defer done()
@@ -85,11 +85,11 @@
 	}
 }
 
-// watchPredecessor waits until the former owner does no more work, or ctx ends with its right.
+// watchPredecessor waits until the predecessor has stopped, or its confirmation expires with ctx.
 func (o *Owner) watchPredecessor(ctx context.Context) PredecessorEnd {
-	stands := make(chan struct{})
+	stopped := make(chan struct{})
 	if o.cfg.StandDown != nil {
-		o.wg.Go(func() { o.standDown(ctx, stands) })
+		o.wg.Go(func() { o.standDown(ctx, stopped) })
 	}
 	for {
 		if o.cfg.HasEnded != nil && o.cfg.HasEnded(o.claim.predecessor) {
@@ -97,7 +97,7 @@
 		}
 		poll := time.NewTimer(predecessorPollInterval)
 		select {
-		case <-stands:
+		case <-stopped:
 			poll.Stop()
 			return PredecessorStoodDown
 		case <-poll.C:
@@ -108,25 +108,26 @@
 	}
 }
 
-// standDown tells the former owner that it was replaced, until it says that it does no more work.
-func (o *Owner) standDown(ctx context.Context, stands chan<- struct{}) {
+// standDown tells the predecessor that it was replaced, until it confirms that it has stopped.
+func (o *Owner) standDown(ctx context.Context, stopped chan<- struct{}) {
 	for pause.For(ctx, 0) == nil {
 		callCtx, done := context.WithTimeout(ctx, standDownTimeout)
-		stood := o.cfg.StandDown(callCtx, o.claim.predecessor, o.claim.row)
+		ok := o.cfg.StandDown(callCtx, o.claim.predecessor, o.claim.row)
 		done()
-		if stood {
-			close(stands)
+		if ok {
+			close(stopped)
 			return
 		}
-		_ = pause.For(ctx, standDownRetryDelay) // the loop sees an end of ctx
+		_ = pause.For(ctx, standDownRetryDelay) // the loop condition checks ctx
 	}
 }
 
-// blocksTakeover tells whether tasks wait for the next answer of a worker, since it shows what former owners
-// have started there. A look that waits for an end took 1.0 s longer to close a takeover (logs of a
-// day with a zone cut off).
-func (s *session) blocksTakeover(now time.Duration) bool { return s.former.pending && now >= s.former.startsEnd }
+// blocksTakeover reports whether tasks wait for the next report of a worker, which shows what former
+// owners have started there. Such a poll must not wait for an attempt to end.
+func (s *session) blocksTakeover(now time.Duration) bool {
+	return s.former.pending && now >= s.former.startsEnd
+}
 
-// listedAfterFormer tells whether a worker has listed what is there since no former owner could start
-// anything there any more.
+// listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
+// a former owner could start any.
 func (s *session) listedAfterFormer() bool { return s.known && s.heardAt >= s.former.startsEnd }
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -13,8 +13,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// startDelay is how long after a takeover a task starts that was waiting before it, beside a
-// predecessor that goes on.
+// startDelay returns how long after a takeover a task that was waiting before it starts, while the
+// predecessor goes on.
 func startDelay(t *testing.T, set func(*estate)) (after time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEstate(t)
@@ -41,15 +41,15 @@
 	return after
 }
 
-// startCount is how many tasks were started so far.
+// startCount returns the number of tasks started so far.
 func (e *estate) startCount() (n int) {
 	e.locked(func() { n = e.witness.starts })
 	return n
 }
 
-// TestWaitForPredecessor holds how long what was kept before a takeover waits for its predecessor:
-// 1.6 s at most, of which 1.56 for its right, and no longer than the task before takes where that one
-// has ended, or stands down when it is told to.
+// TestWaitForPredecessor bounds how long stored jobs wait after a takeover: until the predecessor's
+// confirmation has expired, and no longer than the running task where the predecessor has ended or
+// stands down.
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
 	inSilence := startDelay(t, func(*estate) {})
--- a/pkg/shard/promise.go
+++ b/pkg/shard/promise.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// guaranteedBurst is the time of which an account may hand in the jobs that it has been
-// promised at once.
+// guaranteedBurst is the size of the token bucket, as a time at the guaranteed rate.
 const guaranteedBurst = time.Second
 
-// guaranteedRate is a bucket of the jobs that an account may still hand in within its guaranteedRate.
+// guaranteedRate is a token bucket of the jobs that an account may submit within its guaranteed rate.
 type guaranteedRate struct {
-	tokens float64
-	refilledAt   time.Duration // when left was last reckoned
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// take takes one job of a promise of so many jobs a second; it reports whether there was one left.
+// take takes a token from a bucket refilled at perSecond; it reports whether there was one.
 func (p *guaranteedRate) take(perSecond float64, now time.Duration) bool {
-	most := max(1, perSecond*guaranteedBurst.Seconds())
-	p.tokens = min(most, p.tokens+perSecond*(now-p.refilledAt).Seconds())
+	burst := max(1, perSecond*guaranteedBurst.Seconds())
+	p.tokens = min(burst, p.tokens+perSecond*(now-p.refilledAt).Seconds())
 	p.refilledAt = now
 	if p.tokens < 1 {
 		return false
@@ -24,8 +23,8 @@
 	return true
 }
 
-// exceedsGuarantee tells whether a job that an account hands in now is more than it has
-// been promised; an account that has been promised nothing is always beyond.
+// exceedsGuarantee reports whether a job submitted now is beyond the guaranteed rate of its account.
+// For an account without a guaranteed rate every job is.
 func (o *Owner) exceedsGuarantee(account string) bool {
 	if account == "" || o.catalog == nil {
 		return false
--- a/pkg/shard/promise_test.go
+++ b/pkg/shard/promise_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestGuaranteedRate hands in jobs at several rates against a promise of five a second.
+// TestGuaranteedRate submits jobs at several rates against a guaranteed rate of five per second.
 func TestGuaranteedRate(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -14,7 +14,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// ReadRow returns a row, with version 0 when it is not there.
+// ReadRow returns a row, with version 0 if it does not exist.
 func ReadRow(ctx context.Context, rows platform.Rows, key platform.RowKey) (platform.Row, error) {
 	page, err := rows.ListRows(ctx, key.Table, key.Partition, key.Key)
 	if err != nil {
@@ -28,37 +28,37 @@
 	return platform.Row{RowKey: key}, nil
 }
 
-// readAll returns all rows of a table's partition.
+// readAll returns all rows of a partition of a table.
 func readAll(ctx context.Context, rows platform.Rows, table, pool string) (all []platform.Row, err error) {
 	_, err = platform.ListAll(ctx, rows, table, pool, func(r platform.Row) { all = append(all, r) })
 	return all, err
 }
 
-// storedState is what a shard's partition holds.
+// storedState is what the table service holds of a shard.
 type storedState struct {
-	book       *jobs.Book
-	unreadable map[string]bool // IDs of jobs one of whose rows can't be read
-	workers    []leasedWorker
-	record     workerRecord
-	unheard    bool // a worker was lost before any owner after its last one has heard it
-	workersUnreadable      bool // the record of workers can't be read: any may hold a lease
-	shares     allowance.Row
+	book              *jobs.Book
+	unreadable        map[string]bool // IDs of jobs with a malformed row
+	workers           []leasedWorker
+	record            workerRecord
+	unheard           bool // a worker of a former owner was lost before it reported to a later one
+	workersUnreadable bool // the record of workers is malformed: any worker may hold a lease
+	shares            allowance.Row
 }
 
-// errMalformedRow reports a row that another writer has left, or that is damaged.
+// errMalformedRow reports a row that can't be decoded.
 type errMalformedRow struct {
 	key   platform.RowKey
 	cause error
 }
 
-// Error names the row.
+// Error names the row and the cause.
 func (e errMalformedRow) Error() string {
 	return "row " + e.key.Table + "/" + e.key.Key + " can't be read: " + e.cause.Error()
 }
 
-// readStoredState reads the partition after the takeover, when no one else can write to it. A
-// job one of whose rows can't be read is left out, and with it nothing else: malformed is
-// told of each. Without the shares of accounts' limits nothing could be started safely.
+// readStoredState reads the partition after the takeover, when no other entry can write to it. A
+// job with a malformed row is left out, and malformed is called for each such row. A malformed row
+// of quota shares is an error, since nothing could be started within the limits of accounts.
 func readStoredState(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k storedState, err error) {
 	defer func() { err = errors.Wrapf(err, "read shard %s", pool) }()
 	k.book, k.unreadable = jobs.NewBook(term), map[string]bool{}
@@ -78,7 +78,7 @@
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
 		if err := record.Spec.Holdable(); err != nil {
-			// An earlier version took it. Its tasks are not laid out, so none of them starts.
+			// An earlier version accepted a job that is too large for this one.
 			k.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
@@ -90,21 +90,21 @@
 	return k, err
 }
 
-// readProgress reads the progress of jobs, by ID. One of whose rows can't be read, or is missing,
-// must not begin again: its tasks may be done.
+// readProgress decodes the progress of jobs, by ID. A job with a malformed or missing row must not
+// start over, since its tasks may be done.
 func (k *storedState) readProgress(rows []platform.Row, malformed func(errMalformedRow)) map[string]jobs.Progress {
 	byID := make(map[string]jobs.Progress, len(rows))
 	further := map[string][]jobs.Progress{}
 	for _, r := range rows {
-		id, number, isFurther := strings.Cut(r.Key, progressRowSeparator)
+		id, number, hasNumber := strings.Cut(r.Key, progressRowSeparator)
 		p, err := jobs.DecodeProgress(r.Value)
 		if err != nil {
 			k.unreadable[id] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
-		if n, err := strconv.Atoi(number); isFurther && err == nil && n == len(further[id])+1 {
+		if n, err := strconv.Atoi(number); hasNumber && err == nil && n == len(further[id])+1 {
 			further[id] = append(further[id], p)
-		} else if !isFurther {
+		} else if !hasNumber {
 			byID[id] = p
 		}
 	}
@@ -118,7 +118,7 @@
 	return byID
 }
 
-// readWorkers reads the record of leased workers, and the shares beside it.
+// readWorkers reads the record of leased workers and the quota shares stored beside it.
 func (k *storedState) readWorkers(ctx context.Context, rows platform.Rows, pool string, malformed func(errMalformedRow)) error {
 	sets, err := readAll(ctx, rows, tableWorkers, pool)
 	if err != nil {
@@ -133,7 +133,7 @@
 		switch {
 		case ok:
 		case r.Key == unheardKey:
-			k.unheard = true // whatever it says
+			k.unheard = true
 		case r.Key == sharesKey:
 			if err := msgpack.Unmarshal(r.Value, &k.shares); err != nil {
 				return errMalformedRow{key: r.RowKey, cause: err}
@@ -146,22 +146,22 @@
 	return nil
 }
 
-// maxJobAge bounds how old a job may seem by clocks that differ; older ones are late anyway.
+// maxJobAge bounds the age of a job as computed from two clocks that may differ.
 const maxJobAge = time.Minute
 
-// jobAge is how long ago a job was accepted, by the clock of the entry that took it
-// and ours. It only orders jobs, so that clocks that differ or jump do no harm.
+// jobAge returns how long ago a job was accepted. The clocks of two entries are compared, so the
+// result is only used to order jobs.
 func jobAge(r *jobs.Record) time.Duration {
 	return min(max(0, time.Duration(time.Now().UnixNano())-r.AcceptedAt), maxJobAge)
 }
 
-// ReadOwner returns the owner row of a shard, with version 0 when there is none.
+// ReadOwner returns the owner row of a shard, with version 0 if there is none.
 func ReadOwner(ctx context.Context, rows platform.Rows, pool string) (r platform.Row, err error) {
 	r, err = ReadRow(ctx, rows, ownerKey(pool))
 	return r, errors.Wrapf(err, "read owner of shard %s", pool)
 }
 
-// FindJob tells whether the partition of a shard holds a job that the asker may see.
+// FindJob reports whether a shard has stored a job that the requester may see.
 func FindJob(ctx context.Context, rows platform.Rows, pool, id string, by Requester) (found bool, err error) {
 	defer func() { err = errors.Wrapf(err, "look for job %s", id) }()
 	r, err := ReadRow(ctx, rows, jobKey(pool, id))
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -9,33 +9,32 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// recordParts is the number of rows that the record of leased workers is spread over. One row for all
-// ended at some 1,300 workers, and was written whole with each change. All parts fit into one
-// transaction, which a handover needs.
+// recordParts is the number of rows over which the record of leased workers is spread, so that it
+// does not exceed the size of a row. All parts fit into one transaction, which a handover needs.
 const recordParts = 64
 
-// partsMarker is what the row says that held the whole record in earlier versions. They can't read it
-// as a record, and take it that any worker may hold a lease.
+// partsMarker is the value of the row that held the whole record in earlier versions. These can't
+// decode it, and then assume that any worker may hold a lease.
 const partsMarker = "in parts"
 
-// workerRecord is what this owner knows of the rows of the workerRecord of leased workers.
+// workerRecord tracks which rows of the record of leased workers are stored or have to be written.
 type workerRecord struct {
-	changed [recordParts]bool // to be written
-	stored    [recordParts]bool // a row is there
-	markerStored  bool              // the marker is there
-	dirty   bool              // any is to be written
+	changed      [recordParts]bool // to be written
+	stored       [recordParts]bool // a row exists
+	markerStored bool              // the row with partsMarker exists
+	dirty        bool              // any part is to be written
 }
 
-// partOf is the part of the record that names a worker.
+// partOf returns the part of the record that a worker belongs to.
 func partOf(worker string) int { return int(xxhash.Sum64String(worker) % recordParts) }
 
-// markChanged has the part that names a worker written.
+// markChanged has the part of a worker written with the next transaction.
 func (r *workerRecord) markChanged(worker string) {
 	r.changed[partOf(worker)] = true
 	r.dirty = true
 }
 
-// markAllChanged has all parts written that there are, and those that are needed.
+// markAllChanged has all parts written with the next transaction.
 func (r *workerRecord) markAllChanged() {
 	for i := range r.changed {
 		r.changed[i] = true
@@ -51,15 +50,15 @@
 	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: singleKey}
 }
 
-// partNumber is the part that a key names; ok is false for another key.
+// partNumber returns the part that a row key belongs to; ok is false for any other key.
 func partNumber(key string) (part int, ok bool) {
 	_, err := fmt.Sscanf(key, "part%02d", &part)
 	return part, err == nil && part >= 0 && part < recordParts && partKey("", part).Key == key
 }
 
-// put adds the parts that have changed, and removes the rows of those that name nobody; it returns
-// them. The first time it adds the marker too: an earlier version that takes over has to find it
-// wherever it finds less than the whole record.
+// put adds the changed parts to a batch, removes rows of parts that became empty, and returns the
+// numbers of these parts. The marker is written with the first parts, so that an earlier version
+// that takes over never mistakes them for the whole record.
 func (r *workerRecord) put(b *batch, pool string, sets *[recordParts][]leasedWorker) (parts []int, err error) {
 	for i, set := range sets {
 		switch {
@@ -86,13 +85,13 @@
 	return parts, nil
 }
 
-// putWorkers adds what has changed in the record of workers that may hold a lease.
+// putWorkers adds the changed parts of the record of leased workers to a batch.
 func (o *Owner) putWorkers(b *batch) (err error) {
 	b.leased = &[recordParts][]leasedWorker{}
 	for _, s := range o.sessionsInOrder() {
 		part := partOf(s.worker)
 		if !o.record.changed[part] || s.gone || s.cordonedTo > o.now() && s.idle() {
-			continue // it is named already, or cannot hold a lease
+			continue // already recorded, or can't hold a lease
 		}
 		b.leased[part] = append(b.leased[part], s.leased())
 		if !s.recorded {
@@ -107,7 +106,7 @@
 	return o.putUnheard(b)
 }
 
-// clearChanged notes that the parts that have changed are in a transaction under way.
+// clearChanged notes that the changed parts are in a transaction under way.
 func (r *workerRecord) clearChanged(parts []int) {
 	for _, i := range parts {
 		r.changed[i] = false
@@ -115,7 +114,7 @@
 	r.dirty = false
 }
 
-// applyOutcome notes what became of the parts in a transaction.
+// applyOutcome notes whether the transaction that wrote the parts was carried out.
 func (r *workerRecord) applyOutcome(b *batch, happened bool) {
 	if !b.record {
 		return
@@ -133,7 +132,7 @@
 	}
 }
 
-// readPart reads one row of the record; ok is false if it is none of its rows.
+// readPart decodes one row of the record; ok is false for a row that does not belong to it.
 func (k *storedState) readPart(r platform.Row) (ok bool, err error) {
 	part, ok := partNumber(r.Key)
 	switch {
@@ -147,8 +146,8 @@
 			k.record.markerStored = true
 			return true, nil
 		}
-		// Of an earlier version, which did not touch the parts: what these name besides is out of
-		// date, and costs a look.
+		// Written by an earlier version, which leaves the parts as they are. The workers in them are
+		// outdated, which costs one poll each.
 	}
 	var set []leasedWorker
 	if err := msgpack.Unmarshal(r.Value, &set); err != nil {
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -19,7 +19,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// ownedEstate is a deployment with one worker, w1, and an owner, a, that has heard it.
+// ownedEstate is a deployment with one worker, w1, that has reported to an owner, a.
 func ownedEstate(t *testing.T) *estate {
 	e := newEstate(t)
 	e.addWorker("w1", "w1", "w1", "4000", "0")
@@ -28,25 +28,25 @@
 	return e
 }
 
-// stateOf is the state of a job as an owner tells it.
+// stateOf returns the state of a job as an owner reports it.
 func (e *estate) stateOf(entry, id string) string {
 	return strings.TrimSpace(e.state(entry, id, shard.Requester{Operator: true}))
 }
 
-// oldRecord is the record of leased workers as earlier versions keep it, in one row.
+// oldRecord is the record of leased workers as earlier versions store it, in one row.
 type oldRecord []struct {
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
 	Address string `msgpack:"a"`
 }
 
-// recordRow is the row of earlier versions.
+// recordRow is the row in which earlier versions store it.
 func recordRow(value []byte) platform.Row {
 	return platform.Row{RowKey: platform.RowKey{Table: "workers", Partition: pool, Key: "row"}, Value: value}
 }
 
-// TestEarlierRecord has an owner of an earlier version leave a task at a worker that does not answer
-// the next owner: the task waits for that worker's leases, as the row of the earlier version says.
+// TestEarlierRecord checks that the new owner reads the record of an earlier version, and waits for
+// the leases of the worker named there.
 func TestEarlierRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -79,8 +79,8 @@
 	})
 }
 
-// TestEarlierVersionTakesOver: what this version keeps is no record to an earlier one, which has
-// to take it that any worker may hold a lease.
+// TestEarlierVersionTakesOver checks that an earlier version can't decode the present record, and so
+// assumes that any worker may hold a lease.
 func TestEarlierVersionTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -94,8 +94,8 @@
 	})
 }
 
-// TestPartsFindPlanted shows that drawn courses find an owner that does not see one of the parts of
-// the record, or sees none.
+// TestPartsFindPlanted checks that random sequences detect an owner that does not see some parts of
+// the record, or any.
 func TestPartsFindPlanted(t *testing.T) {
 	for name, hidden := range map[string]int{"no parts": 64, "all but the first": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -126,8 +126,8 @@
 	return page, err
 }
 
-// TestRefusedTransaction has the table service refuse the content of a transaction that keeps two jobs:
-// each is kept alone. Tried again as it was, for ever, it held up all that followed.
+// TestRefusedTransaction checks that, if a transaction of two jobs is refused, each is written alone
+// and the jobs after them are not blocked.
 func TestRefusedTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -154,9 +154,8 @@
 	})
 }
 
-// TestJobThatCannotBeLaidOut has an earlier version accept 256 steps of 4,096 tasks, which took 188 MB and
-// a third of a second of each owner in turn. A takeover sets the job apart: its state is not told, no
-// task of it starts, and the pool's other jobs go on.
+// TestJobThatCannotBeLaidOut checks that a takeover sets a stored job apart that is too large for this
+// version: its state is unknown, none of its tasks starts, and other jobs go on.
 func TestJobThatCannotBeLaidOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -10,12 +10,12 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// refusedRetryDelay is the pause before what the shard cannot do without is written again.
+// refusedRetryDelay is the pause before rows that the shard needs are written again.
 const refusedRetryDelay = time.Second
 
-// batchRefused deals with a transaction that the table service will never carry out, whose content
-// it refuses: tried again as it was, it would hold up all else of the shard for ever. What it kept
-// is written one thing at a time, and what is refused alone is set apart.
+// batchRefused handles a transaction whose content the table service will always refuse. Its items
+// are written one by one, so that one of them does not block the others; jobs refused alone are set
+// apart.
 func (o *Owner) batchRefused(b *batch, cause error) {
 	o.log.Error().Str("event", "transaction_refused").Int("rows", len(b.txn.Put)+len(b.txn.Remove)).Int("bytes", b.size).
 		Int("longest_row", b.longest()).Int("things", b.itemCount()).Err(cause).Send()
@@ -35,28 +35,28 @@
 		o.setApart[j] = cause
 	}
 	if b.record || b.shares != nil {
-		// Nothing starts at the workers whose names are not kept.
+		// No tasks start at workers that are not recorded.
 		o.setTroubledLocked(true, cause)
 		o.requeue(b)
 		time.AfterFunc(refusedRetryDelay, o.kickCommit)
 	}
 }
 
-// failRefused ends the jobs whose progress the table service has refused, now that it has taken
-// something else: it is not the service that is at fault. Those that are final are written again.
+// failRefused fails the jobs whose progress was refused, now that the table service has accepted
+// another transaction and so is not itself at fault. Jobs that are final are written again.
 func (o *Owner) failRefused() {
 	for _, j := range sortedByID(o.setApart) {
 		cause := o.setApart[j]
 		delete(o.setApart, j)
 		if j.State.Final() {
-			o.persist(j, false) // there is nothing less to be kept of it
+			o.persist(j, false)
 			continue
 		}
 		o.failUnstorable(j, cause)
 	}
 }
 
-// sortedByID returns jobs in the order of their IDs.
+// sortedByID returns the jobs by ID.
 func sortedByID[V any](set map[*jobs.Job]V) []*jobs.Job {
 	return slices.SortedFunc(maps.Keys(set), func(a, b *jobs.Job) int { return cmp.Compare(a.ID, b.ID) })
 }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -7,14 +7,12 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// A worker may start again under its ID, and an order names no more than that: one meant for
-// a boot is carried out by the next one, if that is there. The counts of the two have nothing
-// to do with each other, and neither have their clocks. So each boot has a session of its own,
-// and whatever may have reached a boot under the name of the one before is settled with it.
+// A worker may restart under the same ID. Orders name the ID only, so an order meant for one boot
+// may reach the next, whose end numbers and clock are unrelated. Each boot therefore has a session
+// of its own, and attempts that may have reached the next boot are transferred to its session.
 
-// respondingBoot names the boot that a report is of; one that does not say is taken for the one
-// asked. Another one is the next, whatever it says of its start: the worker's clock may have
-// been set back.
+// respondingBoot returns the boot that sent a report with the given start time. Any start time but
+// that of the session's boot means a later boot, since the worker's clock may have been set back.
 func (s *session) respondingBoot(born int64) string {
 	worker, own := platform.SplitBoot(s.ref.Boot)
 	if born == 0 || born == own {
@@ -23,15 +21,15 @@
 	return platform.BootOf(worker, born)
 }
 
-// startedAfter tells whether boot a of a worker started after boot b of it.
+// startedAfter reports whether boot a of a worker started after boot b.
 func startedAfter(a, b string) bool {
 	_, bornA := platform.SplitBoot(a)
 	_, bornB := platform.SplitBoot(b)
 	return bornA > bornB
 }
 
-// handleRestart ends the session of a boot whose worker has started again under its ID, and begins
-// one of the boot that is there now.
+// handleRestart ends the session of a boot whose worker has restarted under its ID, and opens one
+// for the new boot.
 func (o *Owner) handleRestart(s *session, ref platform.WorkerRef) {
 	o.log.Warn().Str("event", "worker_restarted").Str("boot", ref.Boot).Str("before", s.ref.Boot).
 		Int64("seen_end", s.ends.counted).Int("attempts", len(s.attempts)).Send()
@@ -39,16 +37,16 @@
 	if next == nil {
 		next = o.addSession(ref, s.vm)
 	}
-	next.token = max(next.token, s.token+1) // orders that are on their way still are void there
+	next.token = max(next.token, s.token+1) // invalidates orders still on their way
 	next.lapsesAt = o.otherBootLeasesEnd(o.now())
 	o.countLosses(s)
 	o.transferAttempts(s, next)
 	o.transferFormer(s, next)
-	o.bootEnded(s, "it has started again under its ID")
+	o.bootEnded(s, "its worker restarted under the same ID")
 }
 
-// transferAttempts passes on the attempts of which no report of their boot has told: their starts
-// may have reached the next one. The others were lost with it.
+// transferAttempts moves the attempts that no report of their boot has listed to the next boot, which
+// their starts may have reached. The other attempts are lost.
 func (o *Owner) transferAttempts(s, next *session) {
 	for name, r := range byName(s.attempts) {
 		if !r.sent() || r.seenAt > 0 {
@@ -56,7 +54,7 @@
 		}
 		s.letGo(name)
 		if r.lostWith == "" {
-			r.lostWith = s.ref.Boot // the loss that was counted, also when a further boot follows
+			r.lostWith = s.ref.Boot // the boot of the counted loss, also after further restarts
 		}
 		r.Boot, r.Phase, r.confirmedAt, r.missing = next.ref.Boot, jobs.PhaseInDoubt, 0, false
 		next.hold(name, r)
@@ -64,8 +62,8 @@
 	}
 }
 
-// transferFormer passes on what a former owner may have left, which is at the next boot if it was
-// started after the worker was.
+// transferFormer moves the tasks that a former owner may have left to the next boot: they are there
+// if they were started after the restart.
 func (o *Owner) transferFormer(s, next *session) {
 	if !s.former.pending {
 		return
@@ -73,18 +71,18 @@
 	if !s.known {
 		o.recordUnheardLoss(s)
 	}
-	left := s.former
+	tasks := s.former
 	if next.former.pending {
-		left.listed = left.listed && next.former.listed
-		left.startsEnd = max(left.startsEnd, next.former.startsEnd)
-		left.names = append(left.names, next.former.names...)
+		tasks.listed = tasks.listed && next.former.listed
+		tasks.startsEnd = max(tasks.startsEnd, next.former.startsEnd)
+		tasks.names = append(tasks.names, next.former.names...)
 	}
-	left.leasesEnd = next.lapsesAt
-	next.former, s.former = left, formerTasks{}
+	tasks.leasesEnd = next.lapsesAt
+	next.former, s.former = tasks, formerTasks{}
 }
 
-// retractLoss takes back the loss that was counted against a task when its boot ended, since the
-// attempt is or was at the next one.
+// retractLoss removes the loss counted against a task when its boot ended, since the attempt is or
+// was at the next boot.
 func (o *Owner) retractLoss(r *running) {
 	if r.lostWith == "" {
 		return
@@ -94,16 +92,15 @@
 	o.persist(r.Task.Step.Job, false)
 }
 
-// confirmLoss makes sure of the loss that was counted against a task, since its attempt has not
-// reached the next boot either.
+// confirmLoss marks the loss at a boot as certain, since the attempt has not reached the next boot.
 func (o *Owner) confirmLoss(t *jobs.Task, boot string) {
 	t.SetLosses(t.Losses.MarkEnded(boot))
 	o.persist(t.Step.Job, false)
 	o.failIfPoison(t)
 }
 
-// mayBeAtNextBoot tells whether an attempt of a task may be at the boot that followed the one it was
-// started at.
+// mayBeAtNextBoot reports whether an attempt of a task may have reached the boot after the one it
+// was started at.
 func (o *Owner) mayBeAtNextBoot(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
 		if r := o.running(a); r != nil && r.lostWith != "" {
@@ -113,16 +110,15 @@
 	return false
 }
 
-// otherBootLeasesEnd is when leases have run out that were given by the clock of another boot,
-// from which they may have come out as long as a worker grants them.
+// otherBootLeasesEnd returns when leases computed from the clock of another boot have run out: they
+// may last as long as the longest lease that a worker grants.
 func (o *Owner) otherBootLeasesEnd(now time.Duration) time.Duration {
 	return now + outlasting(o.cfg.LongestLease)
 }
 
-// clockWentBack tells whether a clock in the answer to an order that was sent at sentAt is behind
-// what this boot's clock must have been then: another boot has answered. It shows that a start
-// has reached a later boot before what ends there is acknowledged unseen; without it a task that
-// was done is started again where the table service takes 300 ms (TestStartReachesNextBoot).
+// clockWentBack reports whether the clock in the answer to an order sent at sentAt is behind what
+// this boot's clock must have been then. If so, another boot has answered, and ends must not be
+// acknowledged to it by the numbers of this one.
 func (s *session) clockWentBack(ms int64, sentAt time.Duration) bool {
 	if s.clockAt == 0 || sentAt < s.clockAt {
 		return false
@@ -131,12 +127,11 @@
 	return float64(ms) < float64(s.clockMs)+passed-clockRoundingMs
 }
 
-// clockRoundingMs is what the rounding of two clocks to milliseconds may hide, in milliseconds.
+// clockRoundingMs allows for the rounding of two clocks to milliseconds.
 const clockRoundingMs = 2
 
-// observeClock takes the clock in the answer to an order, if there is one. A clock of 0 is one: taken for
-// none, a start that reached the next boot in its first millisecond was not noticed, and its end
-// acknowledged unseen (TestStartInFirstMillisecond).
+// observeClock checks the clock in the answer to an order, if there is one, against that of the boot.
+// 0 is a valid clock: that of a boot in its first millisecond.
 func (o *Owner) observeClock(s *session, ms int64, sentAt time.Duration) {
 	if ms == platform.NoClock {
 		return
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -17,9 +17,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// restarts plays workers that start again under the ID that they had, with work on them or
-// without, while tasks as short as a look takes are started, some of which bring their worker
-// down, orders are lost or late, and the owner is replaced.
+// restarts runs random sequences in which workers restart under the same ID, idle or not, while short
+// and crashing tasks start, orders are lost or late, and the owner is replaced.
 func restarts(plant func(*estate)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartingMachine(t, plant)
@@ -38,26 +37,25 @@
 	}
 }
 
-// ruinIf hands in a job with a crashing task in the courses that have them.
+// ruinIf submits a job with a crashing task if the sequence may have one.
 func (m *machine) ruinIf() {
 	if m.mayRuin {
 		m.ruin()
 	}
 }
 
-// short hands in a job of tasks that may begin and end between two looks.
+// short submits a job of tasks that may start and end between two polls.
 func (m *machine) short() {
 	texts := []string{"1x1000/20ms", "6x500/60ms", "2x1000/10ms 2x1000/100ms<0"}
 	m.jobs++
 	m.send(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// maxRestartsAtWork is how many workers start again by chance in one course while a job is open. After
-// three that go within moments of a task's starts, the last of them kept for it alone, nobody
-// could tell that it was not the task's doing.
+// maxRestartsAtWork bounds the random restarts while a job is open. More of them could not be told
+// from crashes caused by a task.
 const maxRestartsAtWork = 2
 
-// restart has a worker start again under its ID; the directory may tell of it late.
+// restart restarts a worker under its ID; the directory may show that late.
 func (m *machine) restart() {
 	listed := m.e.directory()
 	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
@@ -71,7 +69,7 @@
 	m.e.restart(worker, silent, listAfter)
 }
 
-// hasActiveJobs tells whether a job that was handed in may have work left.
+// hasActiveJobs reports whether a submitted job may have work left.
 func (m *machine) hasActiveJobs() bool {
 	o := m.e.owners[m.present]
 	if o == nil {
@@ -86,11 +84,11 @@
 	return false
 }
 
-// TestRestarts holds the promises while workers start again under their IDs.
+// TestRestarts checks the invariants while workers restart under the same ID.
 func TestRestarts(t *testing.T) { prop.Check(t, restarts(nil)) }
 
-// TestRestartsFindsPlanted shows that it finds an owner that can't tell the boots of a worker
-// apart, and one that goes on with the numbers of ends of an earlier boot.
+// TestRestartsFindsPlanted checks that it detects an owner that can't tell the boots of a worker
+// apart, and one that carries end numbers over from an earlier boot.
 func TestRestartsFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*estate){
 		"boots are not told apart": func(e *estate) {
@@ -106,7 +104,7 @@
 	}
 }
 
-// withoutStartTime does not show when the boot that answers has started.
+// withoutStartTime hides the start time of the boot that reports.
 type withoutStartTime struct{ platform.Workers }
 
 func (b withoutStartTime) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
@@ -115,7 +113,7 @@
 	return r, err
 }
 
-// staleAcks acknowledges with each look what was acknowledged before to any boot of the worker.
+// staleAcks acknowledges to each boot what was acknowledged to any earlier boot of the worker.
 type staleAcks struct {
 	platform.Workers
 	mu    sync.Mutex
@@ -131,10 +129,9 @@
 	return f.Workers.RenewLeases(ctx, w, o)
 }
 
-// TestStartReachesNextBoot has a worker start again while three of its ends wait to be kept,
-// with nothing on it that would tell. A task starts there, is done, and is the first end of the
-// next boot; then the three are kept and acknowledged. The clock in the answer to the start is
-// what tells that it has reached another boot, before its end is forgotten.
+// TestStartReachesNextBoot guards against a start that reaches the next boot unnoticed: its end would
+// be acknowledged by the numbers of the boot before and be lost. The clock in the answer to the start
+// reveals the restart.
 func TestStartReachesNextBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -156,13 +153,8 @@
 	})
 }
 
-// TestStartInFirstMillisecond: a task was started again after it was done. Its worker started again
-// while the start was on its way, which so reached the next boot in its first millisecond. The answer
-// had the clock of that boot, 0, and 0 was taken for an answer without a clock: it was not noticed
-// that another boot has the task. It was done there, as the first end of that boot; then the ends of the
-// boot before were kept and acknowledged by number, and with them that one, unseen. Evidence: began
-// and ended_done at the next boot, acknowledged_done there for an end that no attempt_ended tells
-// of, no worker_clock_fell_back, and 1 s later worker_restarted and the second start.
+// TestStartInFirstMillisecond guards against the same failure in the first millisecond of a boot,
+// whose clock reads 0. It must not be taken for an answer without a clock.
 func TestStartInFirstMillisecond(t *testing.T) {
 	for at := 50 * time.Millisecond; at < 75*time.Millisecond; at += 100 * time.Microsecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -184,7 +176,7 @@
 	}
 }
 
-// TestStartInFirstMillisecondDrawn is the course that showed it, in an order in which it does.
+// TestStartInFirstMillisecondDrawn runs a random sequence that showed the same failure.
 func TestStartInFirstMillisecondDrawn(t *testing.T) {
 	defer func(before uint64) { *salt = before }(*salt)
 	*salt = 18
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -13,9 +13,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// concurrentOwners has a shard taken over, with tasks about to start, from an owner that goes on, and a worker
-// that starts again right after that, sometimes while the successor's looks are lost: for some time
-// both owners are there, and that worker has seen neither's token.
+// concurrentOwners has a shard taken over from an owner that goes on, while a worker restarts and so
+// knows neither owner's token.
 func concurrentOwners(plant func(*estate)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartingMachine(t, plant)
@@ -41,17 +40,18 @@
 	}
 }
 
-// chain hands in a job of short steps, one after the other.
+// chain submits a job of short steps that follow each other.
 func (m *machine) chain() {
 	texts := []string{"1x1000/50ms 2x1000/300ms<0", "2x2000/300ms 1x3000/1s<0", "1x1000/20ms 1x1000/20ms<0 1x1000/500ms<1"}
 	m.jobs++
 	m.send(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// TestConcurrentOwners holds the promises while two owners are there.
+// TestConcurrentOwners checks the invariants while two owners are active.
 func TestConcurrentOwners(t *testing.T) { prop.Check(t, concurrentOwners(nil)) }
 
-// TestConcurrentOwnersFindsPlanted shows that it finds an owner that does not wait for its predecessor's right.
+// TestConcurrentOwnersFindsPlanted checks that it detects an owner that does not wait until its
+// predecessor's confirmation has expired.
 func TestConcurrentOwnersFindsPlanted(t *testing.T) {
 	plant := func(e *estate) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool { return true }
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -13,59 +13,59 @@
 
 // The tables of a shard; the partition is the pool's name.
 const (
-	TableOwner    = "owner"    // who owns the shard; followed by every entry
-	tableCommit   = "commit"   // chains the shard's transactions
+	TableOwner    = "owner"    // owner rows, watched by every entry
+	tableCommit   = "commit"   // row that each transaction of the shard rewrites
 	tableJob      = "job"      // job records by job ID
-	tableProgress = "progress" // progress by job ID, in rows behind it what one can't hold
-	tableWorkers  = "workers"  // boots that may hold a lease, in parts
+	tableProgress = "progress" // progress by job ID; what exceeds a row goes to numbered rows after it
+	tableWorkers  = "workers"  // record of boots that may hold a lease, in parts
 )
 
-// singleKey is the key of the one row in a table that has one row a partition.
+// singleKey is the key in tables that have one row in each partition.
 const singleKey = "row"
 
-// sharesKey is the key of the shares of accounts' limits, beside the leased workers, so
-// that a takeover reads both with one call.
+// sharesKey is the key of the quota shares of accounts. They are in the table of workers so that a
+// takeover reads both with one call.
 const sharesKey = "shares"
 
-// unheardKey is the key, beside the leased workers, of the row that says that a worker was
-// lost before any owner after its last one has heard it.
+// unheardKey is the key, in the table of workers, of the row that marks that a worker of a former
+// owner was lost before it reported to a later one.
 const unheardKey = "unheard"
 
-// unheardRow is what it says.
+// unheardRow is the value of the row at unheardKey.
 type unheardRow struct {
-	Term int64 `msgpack:"t"` // of the owner that found it
+	Term int64 `msgpack:"t"` // of the owner that found the loss
 }
 
-// OwnerRow says who owns a shard.
+// OwnerRow names the owner of a shard.
 type OwnerRow struct {
-	Entry   string `msgpack:"e"` // empty when the last owner has let go
-	Start   int64  `msgpack:"s"` // tells incarnations of the entry apart
+	Entry   string `msgpack:"e"` // empty after a release
+	Start   int64  `msgpack:"s"` // identifies the incarnation of the entry
 	Address string `msgpack:"a"` // of its peer listener
 	Term    int64  `msgpack:"t"` // rises with each takeover
-	Next    string `msgpack:"n"` // entry that should take over, set by an owner that lets go
-	// FormerGrace is how long after the row was written an owner before may act still.
+	Next    string `msgpack:"n"` // entry that should take over, set by a release
+	// FormerGrace is how long after the row was written an earlier owner may still act.
 	FormerGrace time.Duration `msgpack:"l,omitempty"`
 }
 
 // commitRow is rewritten by each transaction of a shard.
 type commitRow struct {
-	Entry string `msgpack:"e"`
-	Start int64  `msgpack:"s"`
-	Term  int64  `msgpack:"t"`
-	Seq   int64  `msgpack:"q"`           // counts the transactions of the term
-	SoleOwner bool   `msgpack:"a,omitempty"` // no owner before that of the term can act any more
+	Entry     string `msgpack:"e"`
+	Start     int64  `msgpack:"s"`
+	Term      int64  `msgpack:"t"`
+	Seq       int64  `msgpack:"q"`           // number of the transaction in the term
+	SoleOwner bool   `msgpack:"a,omitempty"` // no former owner can act any more
 }
 
-// leasedWorker is a boot that was given a lease and may still run tasks.
+// leasedWorker is a boot that was granted a lease and may still run tasks.
 type leasedWorker struct {
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
 	Address string `msgpack:"a"`
-	// ReleaseTerm is the term of the owner that wrote the row when it let go of the shard; then
-	// Tasks names all that may run there or may have ended there without that being kept.
-	// With 0, and after the term that followed, any task of the shard may.
+	// ReleaseTerm is the term of the owner that wrote the row on its release of the shard. Tasks
+	// then lists all tasks that may run there, or have ended there without being recorded. If
+	// ReleaseTerm is not the term before the present one, any task of the shard may.
 	ReleaseTerm int64    `msgpack:"c,omitempty"`
-	Tasks []string `msgpack:"t,omitempty"`
+	Tasks       []string `msgpack:"t,omitempty"`
 }
 
 func ownerKey(pool string) platform.RowKey {
@@ -88,7 +88,7 @@
 	return platform.RowKey{Table: tableJob, Partition: pool, Key: id}
 }
 
-// progressKeys are the keys of a job's progress, of which there may be n rows.
+// progressKeys returns the keys of n rows of a job's progress.
 func progressKeys(pool, id string, n int) (keys []platform.RowKey) {
 	for i := range n {
 		key := id
@@ -100,7 +100,7 @@
 	return keys
 }
 
-// progressRowSeparator parts a job's ID from the number of a further row of its progress.
+// progressRowSeparator is between a job's ID and the number of a further row of its progress.
 const progressRowSeparator = "~"
 
 func encode(v any) ([]byte, error) {
@@ -108,16 +108,16 @@
 	return raw, errors.Wrap(err, "encode row")
 }
 
-// EncodeOwner writes an owner row.
+// EncodeOwner encodes an owner row.
 func EncodeOwner(o OwnerRow) ([]byte, error) { return encode(o) }
 
-// DecodeOwner reads an owner row.
+// DecodeOwner decodes an owner row.
 func DecodeOwner(raw []byte) (o OwnerRow, err error) {
 	err = msgpack.Unmarshal(raw, &o)
 	return o, errors.Wrap(err, "decode owner row")
 }
 
-// OwnerRowFromNews turns news of an owner row from another entry into the row.
+// OwnerRowFromNews returns the owner row in a message of another entry.
 func OwnerRowFromNews(o schema.OwnerNews) platform.Row {
 	return platform.Row{RowKey: ownerKey(o.Pool), Value: o.Row, Version: int64(o.Version)}
 }
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -13,10 +13,9 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// lossCountedAfter is how many calls in a row a worker leaves unanswered before its loss is
-// counted against what is there. It is not certain then, and taken back if the boot
-// answers again; but a worker that was brought down is known to have ended only when its
-// next boot answers, 3 s later, and an owner that goes meanwhile takes what it knows along.
+// lossCountedAfter is the number of consecutive unanswered calls after which a worker's loss is
+// counted against its tasks. The loss is not certain then and is retracted if the boot answers
+// again, but it is recorded early, in case this owner is lost too.
 const lossCountedAfter = 2
 
 // countLosses counts the loss of a worker against the tasks there.
@@ -26,24 +25,24 @@
 		return
 	}
 	s.blamed = true
-	var at []*running
+	var sent []*running
 	var attempts []blame.Attempt
 	for _, r := range byName(s.attempts) {
 		if r.sent() {
-			at = append(at, r)
+			sent = append(sent, r)
 			attempts = append(attempts, blame.Attempt{Ran: s.ranFor(r, now), Trial: s.isOnTrial(r)})
 		}
 	}
 	for i, counted := range blame.Counted(attempts) {
 		if counted {
-			o.countLoss(s, at[i], attempts[i])
+			o.countLoss(s, sent[i], attempts[i])
 		}
 	}
 }
 
-// departsByPlan tells whether a worker was about to go before it was lost, so that its loss
-// says nothing of its tasks. One that leaves without a word answers after its row has gone;
-// the row of one that was brought down may go before its silence is noticed.
+// departsByPlan reports whether a worker was about to leave before it was lost, so that the loss is
+// not counted. A worker that leaves unannounced still answers after its directory row has gone; the
+// row of one that crashed may go before its silence is noticed.
 func (s *session) departsByPlan(now time.Duration) bool {
 	return s.draining || s.cordonedTo > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
@@ -57,30 +56,29 @@
 	o.persist(t.Step.Job, true)
 }
 
-// retractBootLosses takes back the losses of a boot that is alive, as its report shows. A start of a task that
-// has others, which runs there still, is noted ahead again; if it was on trial, the worker is kept
-// for it again. A next owner that knew of neither started a crashing task beside the one on trial,
-// and gave up its job, which had done nothing (TestInnocentOnTrialAtTakeover).
+// retractBootLosses removes the losses at a boot that is alive, as its report shows. If a task with
+// other losses still runs there, a provisional loss is recorded again, and a worker on trial is
+// reserved again. Otherwise the next owner might start a crashing task beside the one on trial.
 func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
 	s.blamed = false
 	for _, t := range o.sortedSuspects() {
 		if !t.Losses.HasBoot(s.ref.Boot) {
 			continue
 		}
-		left := t.Losses.WithoutBoot(s.ref.Boot)
-		if n, runs := runningAttempt(r, t.Name()); runs && (len(left) > 0 || o.unheard && t.Step.Job.Restored) {
+		losses := t.Losses.WithoutBoot(s.ref.Boot)
+		if n, runs := runningAttempt(r, t.Name()); runs && (len(losses) > 0 || o.unheard && t.Step.Job.Restored) {
 			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
-			left = t.Losses.ResetProvisional(s.ref.Boot, n)
+			losses = t.Losses.ResetProvisional(s.ref.Boot, n)
 		}
-		t.SetLosses(left)
+		t.SetLosses(losses)
 		o.log.Info().Str("event", "loss_taken_back").Str("task", t.Name()).Str("boot", s.ref.Boot).Int("losses", len(t.Losses)).Send()
 		o.persist(t.Step.Job, false)
 	}
 }
 
-// runningAttempt is the number of the attempt of a task that a report lists as running.
+// runningAttempt returns the number of the attempt of a task that a report lists as running.
 func runningAttempt(r *platform.WorkerReport, task string) (number int64, runs bool) {
 	at := slices.IndexFunc(r.Running, func(a platform.RunningAttempt) bool { return a.Task == task })
 	if at < 0 {
@@ -89,7 +87,7 @@
 	return r.Running[at].Attempt, true
 }
 
-// failPoisonTasks gives up the tasks at a lost boot that are known to bring workers down.
+// failPoisonTasks fails the jobs of tasks at a lost boot that are known to crash their workers.
 func (o *Owner) failPoisonTasks(s *session, kind LossKind) {
 	for _, t := range o.sortedSuspects() {
 		if !t.Losses.HasBoot(s.ref.Boot) || o.mayBeAtNextBoot(t) {
@@ -103,7 +101,7 @@
 	}
 }
 
-// failIfPoison ends the job of a task that is known to bring its workers down.
+// failIfPoison fails the job of a task that is known to crash its workers.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
 	if t.Verdict() != blame.Poison || !o.book.GiveUp(t) {
@@ -115,19 +113,19 @@
 	}
 	o.cfg.Metrics.Job("given_up")
 	o.log.Warn().Str("event", "task_given_up").Str("task", t.Name()).Str("queue", j.Queue).Str("account", j.Account).
-		Array("workers_lost", boots).Str("why", "its workers are lost moments after its starts").Send()
+		Array("workers_lost", boots).Str("why", "its workers were lost right after it started").Send()
 	o.jobEnded(j)
 }
 
-// failRestoredPoison ends the jobs of tasks that former owners knew enough of: the one that
-// counted the last loss may have gone before it had kept the end of the job.
+// failRestoredPoison fails the jobs of tasks whose losses a former owner has recorded, but not the
+// end of the job.
 func (o *Owner) failRestoredPoison() {
 	for _, t := range o.sortedSuspects() {
 		o.failIfPoison(t)
 	}
 }
 
-// sortedSuspects returns the tasks that workers lost are counted against, by name.
+// sortedSuspects returns the tasks with losses, by name.
 func (o *Owner) sortedSuspects() []*jobs.Task {
 	if len(o.suspects) == 0 {
 		return nil
@@ -135,7 +133,7 @@
 	return slices.SortedFunc(maps.Keys(o.suspects), func(a, b *jobs.Task) int { return cmp.Compare(a.Name(), b.Name()) })
 }
 
-// restoreSuspects finds the tasks that former owners have counted losses of.
+// restoreSuspects collects the tasks with losses that former owners have recorded.
 func (o *Owner) restoreSuspects() {
 	for _, j := range o.book.Active() {
 		for _, s := range j.Steps {
@@ -149,8 +147,8 @@
 	}
 }
 
-// markUnrecordedEnded makes sure of the losses at boots that the record of workers does not name any
-// more: it names each to which a start was sent until that has ended or nothing of ours is there.
+// markUnrecordedEnded marks the losses at boots that the record of workers no longer names as ended.
+// The record names each boot that was sent a start until the boot has ended or runs nothing of ours.
 func (o *Owner) markUnrecordedEnded(t *jobs.Task) {
 	if o.blind {
 		return
@@ -162,8 +160,7 @@
 	}
 }
 
-// clearSuspects clears the tasks that have run for longer than they had when a worker was
-// lost, as far as their worker has said so.
+// clearSuspects clears the tasks that have run for long enough since, as reported by their worker.
 func (o *Owner) clearSuspects() {
 	for _, t := range o.sortedSuspects() {
 		if t.Done || t.Step.Job.State.Final() || len(t.Losses) == 0 {
@@ -186,7 +183,7 @@
 	}
 }
 
-// hasSuspect tells whether a watched task runs at a worker that may still bring it down.
+// hasSuspect reports whether a suspected task runs at a worker.
 func (s *session) hasSuspect() bool {
 	for _, r := range s.attempts {
 		if r.Task.Suspect() {
@@ -196,6 +193,6 @@
 	return false
 }
 
-// suspectPollWait is how long a look at a worker with a watched task waits for an end, so that
-// the task is cleared soon after it has run for long enough.
+// suspectPollWait is how long a poll of a worker with a suspected task waits for an attempt to end,
+// so that the task is cleared soon after it has run for long enough.
 const suspectPollWait = 200 * time.Millisecond
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -15,16 +15,16 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// entryMachine is an entry's machine, which can be suspended: its steady clock stands still
-// meanwhile, and none of its calls goes out.
+// entryMachine is the machine of an entry, which can be suspended: meanwhile its monotonic clock
+// stands still and no calls go out.
 type entryMachine struct {
 	since  time.Time
-	steady bool // it has no clock but the steady one, to show that this is found
+	steady bool // planted fault: the clock does not count suspended time
 
 	mu    sync.Mutex
-	from  time.Time // of the present suspension
+	from  time.Time // start of the present suspension
 	total time.Duration
-	awake chan struct{} // closed while it runs
+	awake chan struct{} // closed while it is not suspended
 }
 
 func newEntryMachine(since time.Time, steady bool) *entryMachine {
@@ -44,7 +44,7 @@
 		}))
 }
 
-// suspended is for how long the machine was suspended so far.
+// suspended returns how long the machine was suspended so far.
 func (m *entryMachine) suspended() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -68,14 +68,13 @@
 	close(m.awake)
 }
 
-// call carries a call out. What a suspended machine would have sent is not sent: its
-// process does nothing until it wakes.
+// call makes a call unless the machine is suspended. Then it waits until the machine wakes, and fails.
 func (m *entryMachine) call(do func() error) error {
 	m.mu.Lock()
 	awake, asleep := m.awake, !m.from.IsZero()
 	m.mu.Unlock()
 	if asleep {
-		<-awake // also beyond the end of ctx, whose timer stands still as well
+		<-awake // ignores ctx, whose timer stands still as well
 		return platform.ErrNotDone{Op: "call", Cause: "the machine was suspended"}
 	}
 	return do()
@@ -116,8 +115,8 @@
 	return report, err
 }
 
-// suspensions suspends owners of a pool in which tasks wait for room, while others take the shard
-// over that do not reach all of its workers.
+// suspensions suspends owners while tasks wait for room and others take over the shard without
+// reaching all of its workers.
 func suspensions(plant func(*estate)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
@@ -144,10 +143,10 @@
 	}
 }
 
-// TestSuspended holds the promises over owners whose machines are suspended.
+// TestSuspended checks the invariants while the machines of owners are suspended.
 func TestSuspended(t *testing.T) { prop.Check(t, suspensions(nil)) }
 
-// TestSuspendedFindsPlanted shows that it finds owners that know the steady clock only.
+// TestSuspendedFindsPlanted checks that it detects owners whose clock does not count suspended time.
 func TestSuspendedFindsPlanted(t *testing.T) {
 	qt.Assert(t, prop.Finds(t, suspensions(func(e *estate) { e.steadyOnly = true })), qt.IsTrue)
 }
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -18,7 +18,7 @@
 	Address string // of its peer listener
 }
 
-// ErrNotOwner reports that another entry owns the shard: it was first, or has taken the shard over.
+// ErrNotOwner reports that another entry owns the shard or has taken it over.
 type ErrNotOwner struct {
 	Owner OwnerRow
 }
@@ -26,30 +26,30 @@
 // Error names the owner.
 func (e ErrNotOwner) Error() string { return "the shard is owned by " + e.Owner.Entry }
 
-// Claim is a shard that this process has just become the owner of.
+// Claim is the ownership that a takeover of a shard has just established.
 type Claim struct {
-	Term         int64
-	OwnerVersion int64         // of the owner row
-	commitVersion        int64         // version of the commit row
-	sentAt           time.Duration // before it was written
-	predecessor       OwnerRow      // that it has replaced
-	row          platform.Row  // of the owner, as it was written
-	formerGrace         time.Duration // how long after it was written an owner before may act still
-	earlierGrace      time.Duration // the same, of those before the former owner
+	Term          int64
+	OwnerVersion  int64         // of the owner row
+	commitVersion int64         // of the commit row
+	sentAt        time.Duration // when the transaction was sent
+	predecessor   OwnerRow      // owner that was replaced
+	row           platform.Row  // owner row as written
+	formerGrace   time.Duration // how long after the takeover any former owner may still act
+	earlierGrace  time.Duration // the same for owners before the predecessor
 }
 
-// Successor is what an owner that lets go tells of the next one.
+// Successor is what an owner that releases its shard passes on.
 type Successor struct {
-	Entry string        // who should take over, empty for any
-	FormerGrace  time.Duration // how long an owner before may act still
+	Entry       string        // entry that should take over, empty for any
+	FormerGrace time.Duration // how long an earlier owner may still act
 }
 
-// Release lets go of the owner row.
+// Release clears the owner row, so that another entry can take over at once.
 func (c Claim) Release(ctx context.Context, rows platform.Rows, pool string, to Successor) (err error) {
 	return c.ReleaseWith(ctx, rows, pool, to, platform.RowTxn{})
 }
 
-// ReleaseWith lets go of the owner row in a transaction that does more.
+// ReleaseWith clears the owner row as part of txn.
 func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Successor, txn platform.RowTxn) (err error) {
 	defer func() { err = errors.Wrapf(err, "release shard %s", pool) }()
 	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, FormerGrace: to.FormerGrace})
@@ -62,21 +62,22 @@
 	return err
 }
 
-// Precondition is the precondition of a transaction that it is carried out only while the claim stands.
+// Precondition returns the row version that a transaction expects if it must only be carried out
+// while the claim is current.
 func (c Claim) Precondition(pool string) platform.Row {
 	return platform.Row{RowKey: ownerKey(pool), Version: c.OwnerVersion}
 }
 
-// IsCurrent reads the owner row and tells whether it is still the one that the claim wrote.
-func (c Claim) IsCurrent(ctx context.Context, rows platform.Rows, pool string) (stands bool, err error) {
+// IsCurrent reads the owner row and reports whether it is still the one that the claim wrote.
+func (c Claim) IsCurrent(ctx context.Context, rows platform.Rows, pool string) (current bool, err error) {
 	row, err := ReadOwner(ctx, rows, pool)
 	return err == nil && row.Version == c.OwnerVersion, err
 }
 
-// TakeOver writes this entry into the owner row, provided the row still has the
-// version that the decision to take over was made on. It calls sending before
-// the transaction is sent; an error without that call had no effect. What has ended tells whether
-// the process of the owner in a row is known to have ended; nil knows of none.
+// TakeOver writes this entry into the owner row, provided that the row still has the version in
+// seen. It calls sending before it sends the transaction; an error without that call means that
+// nothing was written. ended reports whether the process of an owner is known to have ended and
+// may be nil.
 func TakeOver(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, pool string, self Identity, seen ObservedOwner, ended func(OwnerRow) bool, sending func()) (c Claim, err error) {
 	defer func() { err = errors.Wrapf(err, "take over shard %s", pool) }()
 	started := time.Now()
@@ -84,7 +85,7 @@
 	if err != nil {
 		return c, err
 	}
-	pace := commitLatency{mean: time.Since(started)} // reads and writes are slow together
+	latency := commitLatency{mean: time.Since(started)} // reads and writes are slow together
 	commit, err := ReadRow(ctx, rows, commitKey(pool))
 	if err != nil {
 		return c, err
@@ -118,7 +119,7 @@
 	}
 	sending()
 	c.sentAt = clock.Now()
-	t := commitHedged(ctx, rows, clock, txn, pace.hedgeDelay(), func(time.Duration, error) {})
+	t := commitHedged(ctx, rows, clock, txn, latency.hedgeDelay(), func(time.Duration, error) {})
 	if version, ok := ownTakeover(t.err, pool, self, c.Term); ok {
 		t.version, t.err = version, nil
 	}
@@ -130,8 +131,8 @@
 	return c, nil
 }
 
-// formerOwner reads the owner row. If another writer has spoilt it the commit row, which
-// each takeover writes beside it, tells the term, above which all that follows has to be.
+// formerOwner decodes the owner row. If the row is malformed, the term comes from the commit row,
+// which each takeover writes as well, so that terms keep rising.
 func formerOwner(owner, commit platform.Row) (old OwnerRow, err error) {
 	if old, err = DecodeOwner(owner.Value); err == nil {
 		return old, nil
@@ -143,7 +144,8 @@
 	return OwnerRow{Entry: c.Entry, Start: c.Start, Term: c.Term}, nil
 }
 
-// ownTakeover tells whether a conflict is with an earlier try of the same takeover, and its version.
+// ownTakeover reports whether a conflict is with an earlier try of the same takeover, and returns
+// the version that this try wrote.
 func ownTakeover(err error, pool string, self Identity, term int64) (version int64, ok bool) {
 	var conflict platform.ErrConflict
 	if !errors.As(err, &conflict) {
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -11,12 +11,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// TestReplacedOwnerAtNextBoot: a task ran twice at the same time. Order of events: b takes the shard
-// over from a, who does not know it yet, and shows each worker its token; w3, which has nothing to do,
-// starts again and forgets it; the first step ends, which a hears sooner than b; a starts the second
-// one at w3, and so does b. Cause: tokens are all that keeps a from it for the 1.5 s in which it may
-// act on its ownership, and they do not outlive a boot. Evidence: worker_clock_fell_back at a, then
-// at b, for starts at one boot.
+// TestReplacedOwnerAtNextBoot guards against a task running twice at the same time: a worker restarts
+// after a takeover and forgets the token of the new owner, so the former one can start tasks there.
 func TestReplacedOwnerAtNextBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -42,6 +38,5 @@
 	})
 }
 
-// TestReplacedOwnerAtNextBootDrawn: a task ran twice at the same time, as in
-// TestReplacedOwnerAtNextBoot, in a course that was drawn.
+// TestReplacedOwnerAtNextBootDrawn runs a random sequence that showed the same failure.
 func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.Once(t, 94954, restarts(nil)) }
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -10,57 +10,53 @@
 )
 
 const (
-	// trialSettleTime is how long all else at a worker has run when a trial starts there, so
-	// that what is lost with it is the doing of the task on trial.
-	// Nothing changes in TestStorm from 0.1 to 1.5 s (445 to 501 of 600 jobs in time, none
-	// failed wrongly).
+	// trialSettleTime is how long all other attempts at a worker have run before a trial starts there,
+	// so that a loss can be attributed to the task on trial.
 	trialSettleTime = 500 * time.Millisecond
-	// trialWorkerDivisor bounds the workers that are kept for trials to one part in so many.
-	// Nothing changes in TestStorm from 2 to 6 (437 to 499 in time, none failed wrongly).
+	// trialWorkerDivisor limits the workers reserved for trials to 1/trialWorkerDivisor of the pool.
 	trialWorkerDivisor = 3
-	// trialStartTimeout is how long a worker is kept for a trial that can't start.
+	// trialStartTimeout is how long a worker is reserved for a trial that can't start.
 	trialStartTimeout = 5 * time.Second
 )
 
-// trial is what a worker is kept for: while it lasts, nothing else starts there. A gang may
-// take several workers.
+// trial reserves a worker: nothing else starts there meanwhile. A gang may need several workers.
 type trial struct {
 	tasks    []*jobs.Task
 	since    time.Duration
-	attempts []*jobs.Attempt // of them at this worker, none until they are started
+	attempts []*jobs.Attempt // at this worker, none until they are started
 }
 
-// isOnTrial tells whether an attempt is on trial at the worker.
+// isOnTrial reports whether an attempt is on trial at the worker.
 func (s *session) isOnTrial(r *running) bool {
 	return s.trial != nil && slices.Contains(s.trial.attempts, r.Attempt)
 }
 
-// startTrials keeps workers for the candidates, which may be started on trial only, and
-// starts those whose workers are ready.
+// startTrials reserves workers for candidates that may only be started on trial, and starts those
+// whose workers are ready.
 func (o *Owner) startTrials(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		c := &cs[i]
-		kept := o.reservedFor(c.Tasks[0])
-		if totalRoomSoon(kept, c.Step) < len(c.Tasks) {
-			if s := o.reserveWorker(c, len(kept) == 0, now); s != nil {
-				kept = append(kept, s)
+		reserved := o.reservedFor(c.Tasks[0])
+		if totalRoomSoon(reserved, c.Step) < len(c.Tasks) {
+			if s := o.reserveWorker(c, len(reserved) == 0, now); s != nil {
+				reserved = append(reserved, s)
 			}
 		}
-		if len(kept) == 0 || !allSettled(kept, now) {
+		if len(reserved) == 0 || !allSettled(reserved, now) {
 			continue
 		}
 		var hosts []*placement.Host
-		for _, s := range kept {
+		for _, s := range reserved {
 			hosts = append(hosts, s.host(now))
 		}
 		if starts := placement.Plan([]placement.Candidate{*c}, hosts, len(c.Tasks)); len(starts) == len(c.Tasks) {
-			o.beginTrial(c, starts, kept, now)
+			o.beginTrial(c, starts, reserved, now)
 		}
 	}
 }
 
-// beginTrial starts what was planned, and gives free the workers that it does not need.
-func (o *Owner) beginTrial(c *placement.Candidate, starts []placement.Start, kept []*session, now time.Duration) {
+// beginTrial starts the planned attempts and frees reserved workers that are not needed.
+func (o *Owner) beginTrial(c *placement.Candidate, starts []placement.Start, reserved []*session, now time.Duration) {
 	var attempts []*jobs.Attempt
 	if c.Step.Spec.Gang {
 		boots := make([]string, 0, len(starts))
@@ -78,25 +74,25 @@
 			Int("losses", len(a.Task.Losses)).Int("beside", len(s.attempts)).Dur("kept", now-s.trial.since).Send()
 		o.order(a)
 	}
-	for _, s := range kept {
+	for _, s := range reserved {
 		if len(s.trial.attempts) == 0 {
 			s.trial = nil
 		}
 	}
 }
 
-// reservedFor returns the workers that are kept for a trial, by its first task.
-func (o *Owner) reservedFor(t *jobs.Task) (kept []*session) {
+// reservedFor returns the workers reserved for a trial, which its first task identifies.
+func (o *Owner) reservedFor(t *jobs.Task) (reserved []*session) {
 	for _, s := range o.sessionsInOrder() {
 		if s.trial != nil && s.trial.tasks[0] == t {
-			kept = append(kept, s)
+			reserved = append(reserved, s)
 		}
 	}
-	return kept
+	return reserved
 }
 
-// totalRoomSoon is how many tasks of a step workers have room for once what comes to an end there
-// has ended.
+// totalRoomSoon returns how many tasks of a step the workers have room for once the attempts that
+// are being stopped have ended.
 func totalRoomSoon(ss []*session, step *jobs.StepRun) (n int) {
 	for _, s := range ss {
 		n += s.hostSoon().Room(step)
@@ -104,17 +100,17 @@
 	return n
 }
 
-// reserveWorker keeps the worker for a trial that has least to lose, nil if there is none. Only
-// the first one of a trial counts against the part of the workers that may be kept.
+// reserveWorker reserves the worker with the fewest attempts for a trial, and returns nil if there is
+// none. Only the first worker of a trial counts against the limit on reserved workers.
 func (o *Owner) reserveWorker(c *placement.Candidate, first bool, now time.Duration) (chosen *session) {
-	usable, kept := 0, 0
+	usable, reserved := 0, 0
 	for _, s := range o.sessionsInOrder() {
 		if !s.usable(now) {
 			continue
 		}
 		usable++
 		if s.trial != nil {
-			kept++
+			reserved++
 			continue
 		}
 		if s.hostSoon().Room(c.Step) == 0 || c.Allowed != nil && !c.Allowed(s.ref.Boot) {
@@ -124,19 +120,19 @@
 			chosen = s
 		}
 	}
-	if chosen == nil || first && kept >= max(1, usable/trialWorkerDivisor) {
+	if chosen == nil || first && reserved >= max(1, usable/trialWorkerDivisor) {
 		return nil
 	}
 	chosen.trial = &trial{tasks: c.Tasks, since: now}
 	return chosen
 }
 
-// allSettled tells whether a trial may start at workers that are kept for it.
+// allSettled reports whether a trial may start at the workers reserved for it.
 func allSettled(ss []*session, now time.Duration) bool {
 	return !slices.ContainsFunc(ss, func(s *session) bool { return !s.settled(now) })
 }
 
-// settled tells whether what else is at a worker has run for a while.
+// settled reports whether all other attempts at a reserved worker have run for long enough.
 func (s *session) settled(now time.Duration) bool {
 	if !s.usable(now) || len(s.trial.attempts) > 0 || s.inFlight > 0 || len(s.orders) > 0 {
 		return false
@@ -149,7 +145,7 @@
 	return true
 }
 
-// endTrials gives workers free whose trial is over or can't start.
+// endTrials frees workers whose trial is over or can't start.
 func (o *Owner) endTrials(now time.Duration) {
 	for _, s := range o.sessions {
 		if s.trial != nil && o.trialOver(s, now) {
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -11,34 +11,34 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// cancelBound is how long after a confirmed cancel a task may still start.
+// cancelBound is how long after a confirmed cancellation a task may still start.
 const cancelBound = 3 * time.Second
 
-// maxWorkersDown is how many workers a task may bring down: two more than the three after
-// which callers count on its being given up.
+// maxWorkersDown is how many workers a task may crash: two more than the three after which its job
+// is expected to fail.
 const maxWorkersDown = 5
 
-// minWorkersLost is how many workers have to be lost with a task before it may be given up.
+// minWorkersLost is how many workers have to be lost with a task before its job may fail for it.
 const minWorkersLost = 2
 
-// witness holds the promises against what workers do and callers were told.
+// witness checks the invariants against what workers do and what callers were told.
 type witness struct {
-	estate    *estate
-	running   map[string][]string  // boots, by task
-	ended     map[string]bool      // tasks that ended done at a worker
-	done      map[string]bool      // tasks whose done end was acknowledged
-	failed    map[string]int       // failed ends that were acknowledged, by task
-	failures  map[string]int       // failed ends at workers, by task
-	refused   map[string]bool      // jobs whose every submission was refused
-	steps     map[string]string    // texts of jobs that were submitted
-	cancelled map[string]time.Time // when a job's cancel was confirmed
-	copies    map[string]bool      // jobs whose tasks may run more than once at a time
-	accounts  map[string]string    // of jobs
-	allowed   map[string]int       // processors that an account may have running, in thousandths; others any
-	crashedBy      map[string]int       // workers that a task has brought down
-	lostWith     map[string]int       // workers that went while a task was there
-	violations    []string
-	starts    int
+	estate     *estate
+	running    map[string][]string  // boots, by task
+	ended      map[string]bool      // tasks that ended as done at a worker
+	done       map[string]bool      // tasks with an acknowledged end as done
+	failed     map[string]int       // acknowledged failures, by task
+	failures   map[string]int       // failures at workers, by task
+	refused    map[string]bool      // jobs with only refused submissions
+	steps      map[string]string    // specifications of submitted jobs
+	cancelled  map[string]time.Time // when a job's cancel was confirmed
+	copies     map[string]bool      // jobs whose tasks may run more than once at a time
+	accounts   map[string]string    // of jobs
+	allowed    map[string]int       // CPU limit of accounts, in thousandths; no entry for no limit
+	crashedBy  map[string]int       // workers that a task has crashed
+	lostWith   map[string]int       // workers lost while a task was there
+	violations []string
+	starts     int
 }
 
 func newWitness(e *estate) *witness {
@@ -86,7 +86,7 @@
 	w.checkLimit(task, w.accounts[job])
 }
 
-// checkLimit sees that what an account has running is within what it may.
+// checkLimit checks that the account stays within its limit.
 func (w *witness) checkLimit(task, account string) {
 	allowed, ok := w.allowed[account]
 	if !ok {
@@ -103,7 +103,7 @@
 	}
 }
 
-// needs is the processors that a task asks for.
+// needs returns the CPU needs of a task.
 func (w *witness) needs(task string) int {
 	parts := strings.Split(task, ".")
 	step, _ := strconv.Atoi(parts[2])
@@ -111,7 +111,7 @@
 	return st.Needs.CPU
 }
 
-// checkOrder sees that the steps before are done.
+// checkOrder checks that the preceding steps are done.
 func (w *witness) checkOrder(task, job string) {
 	text, ok := w.steps[job]
 	if !ok {
@@ -147,8 +147,8 @@
 	}
 }
 
-// mayBeGivenUp tells whether a task may be given up for the workers lost with it: it
-// brings them down, and enough were lost.
+// mayBeGivenUp reports whether the job of a task may fail for lost workers: the task crashes them,
+// and enough were lost.
 func (w *witness) mayBeGivenUp(task string) bool {
 	return w.crashedBy[task] > 0 && w.lostWith[task] >= minWorkersLost
 }
@@ -189,7 +189,7 @@
 	return strings.Join(w.violations, "\n") + "\n"
 }
 
-// invariants tells whether all invariants were kept, however many starts that took.
+// invariants returns "kept", or the violations, whatever the number of starts.
 func (w *witness) invariants() string {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
--- a/pkg/startrate/doc.go
+++ b/pkg/startrate/doc.go
@@ -1,9 +1,7 @@
-// Package startrate bounds how fast an owner starts tasks while it is at its own
-// limit, of processor time or of its link.
-//
-// Such an owner does not slow down by itself: what it decides waits in front of the
-// limit together with renewals and confirmations, so that it loses the leases of
-// what it has just started, and starts it again. It tells by the fastest answer to
-// an order: a worker that is slow or silent holds up its own orders, only this side
-// holds up all.
+// Package startrate limits how fast a shard owner starts tasks while its own CPU or network link
+// is saturated.
+// Without a limit, starts queue up together with lease renewals, so that the leases of tasks just
+// started expire and the tasks are started again. A [Limiter] detects saturation by the fastest
+// answer to any order: a slow worker delays only its own orders, a saturated owner delays all.
+// Package shard reports the answers to the limiter and asks it before it starts tasks.
 package startrate
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -6,36 +6,32 @@
 )
 
 const (
-	// windowLength is the time over which answers are judged.
+	// windowLength is the time over which answers are evaluated.
 	windowLength = 250 * time.Millisecond
-	// slowAnswer is how long the fastest answer to an order takes at an owner that is
-	// at its limit; workers answer within 4 ms, those of another zone included.
+	// slowAnswer is the fastest answer in a window above which the owner counts as saturated.
 	slowAnswer = 60 * time.Millisecond
-	// cutFactor is the part of what was answered in a window that is started in the next
-	// one, when the answers were slow.
+	// cutFactor is applied to the rate of answers to get the next limit when answers are slow.
 	cutFactor = 0.7
-	// growthFactor is by how much the rate grows in a window whose answers were not
-	// slow, and rateRecovery where they were quick: after a cut the rate is back
-	// from the least to that of a busy pool within 2 s.
+	// growthFactor raises the limit after a window without slow answers, recoveryFactor after one
+	// with fast answers.
 	growthFactor   = 1.25
 	recoveryFactor = 2
-	// fastAnswer is how long the fastest answer takes at an owner that has room.
+	// fastAnswer is the fastest answer in a window below which the owner has capacity to spare.
 	fastAnswer = slowAnswer / 3
-	// minLostOrders is how many orders have to be without an answer in a window, and
-	// none with one, for the owner rather than a worker to be the cause.
+	// minLostOrders is the number of unanswered orders in a window without any answer that shows
+	// that the owner and not a worker is the cause.
 	minLostOrders = 8
-	// minRate is started a second in any case, so that the limit can be seen to be over.
+	// minRate is the lowest limit, in starts per second. It lets the owner notice that it has recovered.
 	minRate = 20
-	// liftFactor is how many times what is answered the rate must be to be lifted.
+	// liftFactor is the ratio of the limit to the rate of answers above which the limit is lifted.
 	liftFactor = 4
-	// burstTime is the time of which starts may be made at once.
+	// burstTime is the size of the token bucket, as a time at the limit.
 	burstTime = 200 * time.Millisecond
 )
 
-// Limiter bounds the starts of an owner while it is at its own limit. The zero value
-// bounds nothing.
+// Limiter limits the rate of starts while the owner is saturated. The zero value imposes no limit.
 type Limiter struct {
-	limit float64 // starts a second, 0 for no bound
+	limit  float64 // starts per second, 0 for none
 	tokens float64 // starts that may be made at once
 	refilledAt,
 	windowStart time.Duration // when saved was last reckoned, when the present window began
@@ -43,7 +39,7 @@
 	window Window // that is not over yet
 }
 
-// Observe takes what became of an order.
+// Observe records the answer to an order, or that there was none.
 func (r *Limiter) Observe(took time.Duration, answered bool) {
 	if !answered {
 		r.window.Lost++
@@ -55,18 +51,18 @@
 	}
 }
 
-// Spend notes starts that were decided.
+// Spend takes n starts from the bucket.
 func (r *Limiter) Spend(n int) {
 	r.tokens -= float64(n)
 }
 
-// PerSecond is the bound in starts a second, 0 for none.
+// PerSecond returns the limit in starts per second, 0 for none.
 func (r *Limiter) PerSecond() float64 { return r.limit }
 
-// AtLimit tells whether the owner is held to a rate.
+// AtLimit reports whether a limit is in force.
 func (r *Limiter) AtLimit() bool { return r.limit > 0 }
 
-// Available is how many tasks may be started now.
+// Available returns how many tasks may be started now.
 func (r *Limiter) Available(now time.Duration) int {
 	if r.limit == 0 {
 		return math.MaxInt
@@ -76,15 +72,15 @@
 	return int(max(0, r.tokens))
 }
 
-// Window is what became of the orders of a time.
+// Window counts the answers to orders over a period.
 type Window struct {
-	Fastest  time.Duration // answer, 0 for none
+	Fastest  time.Duration // fastest answer, 0 for none
 	Answered int
 	Lost     int // orders without an answer
 }
 
-// Update sees what the window that is over tells and returns it; changed tells
-// whether the owner has come to its limit, or has left it.
+// Update sets the limit from the last window if it is over, and returns that window; changed
+// reports whether a limit was imposed or lifted.
 func (r *Limiter) Update(now time.Duration) (w Window, changed bool) {
 	if r.windowStart == 0 {
 		r.windowStart = now
@@ -103,7 +99,7 @@
 	return w, (before == 0) != (r.limit == 0)
 }
 
-// nextLimit is the bound that follows from a window of some length and the present one.
+// nextLimit returns the limit that follows from a window of the given length and the present limit.
 func (w *Window) nextLimit(limit float64, length time.Duration) float64 {
 	answered := float64(w.Answered) / length.Seconds()
 	switch {
@@ -116,7 +112,7 @@
 		}
 		return max(minRate, cutFactor*lost)
 	case w.Answered == 0 || limit == 0:
-		return limit // nothing is known, or nothing is to be lifted
+		return limit
 	}
 	growth := growthFactor
 	if w.Fastest < fastAnswer {
--- a/pkg/startrate/rate_test.go
+++ b/pkg/startrate/rate_test.go
@@ -11,8 +11,8 @@
 	"github.com/gannetwell/gannetwell/pkg/startrate"
 )
 
-// TestRate plays testdata/rate: what became of the orders of windows of 250 ms, and
-// how many tasks may be started then.
+// TestRate runs the script testdata/rate, which gives the answers in windows of 250 ms, and prints
+// the limit after each.
 func TestRate(t *testing.T) {
 	var r startrate.Limiter
 	var now time.Duration
