--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -166,7 +166,7 @@
 		// the leases of a worker that is gone would never run out.
 		order.LeaseUntil = s.lease(now)
 	}
-	if s.known && !s.blocksTakeover(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
+	if s.known && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
 		order.Wait = lookWait
 		if s.hasSuspect() {
 			order.Wait = suspectPollWait
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -122,9 +122,9 @@
 	}
 }
 
-// blocksTakeover reports whether tasks wait for the next report of a worker, which shows what former
+// awaited reports whether tasks wait for the next report of a worker, which shows what former
 // owners have started there. Such a poll must not wait for an attempt to end.
-func (s *session) blocksTakeover(now time.Duration) bool {
+func (s *session) awaited(now time.Duration) bool {
 	return s.former.pending && now >= s.former.startsEnd
 }
 
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -136,7 +136,7 @@
 
 // wantsLook tells whether the worker has to be asked at all.
 func (s *session) wantsLook(now time.Duration) bool {
-	return !s.gone && (!s.known || s.blocksTakeover(now) || s.failures > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
+	return !s.gone && (!s.known || s.awaited(now) || s.failures > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
 }
 
 // idle tells whether nothing of ours is or may be at the worker.
