--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -13,7 +13,7 @@
 	listed  bool     // no other tasks than names can be there
 	names   []string // of tasks
 
-	startsEnd time.Duration // from when on no former owner starts anything there
+	safeAt time.Duration // from when on no former owner starts anything there
 	leasesEnd time.Duration // when its leases there have run out
 }
 
@@ -22,7 +22,7 @@
 // these wait for its report. After a crash any task may be there, since starts are not recorded.
 // A list older than the last term is of no use.
 func (o *Owner) inheritWorker(s *session, w leasedWorker) {
-	s.former = formerTasks{pending: true, startsEnd: o.alone, leasesEnd: o.heldTo}
+	s.former = formerTasks{pending: true, safeAt: o.alone, leasesEnd: o.heldTo}
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
 		s.former.listed, s.former.names = true, w.Tasks
 	}
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -78,7 +78,7 @@
 	o.alone = now
 	for _, s := range o.sessionsInOrder() {
 		if s.former.pending {
-			s.former.startsEnd = now
+			s.former.safeAt = now
 			s.lookAgain()
 			s.kick()
 		}
@@ -125,9 +125,9 @@
 // awaited reports whether tasks wait for the next report of a worker, which shows what former
 // owners have started there. Such a poll must not wait for an attempt to end.
 func (s *session) awaited(now time.Duration) bool {
-	return s.former.pending && now >= s.former.startsEnd
+	return s.former.pending && now >= s.former.safeAt
 }
 
 // listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
 // a former owner could start any.
-func (s *session) listedAfterFormer() bool { return s.known && s.heardAt >= s.former.startsEnd }
+func (s *session) listedAfterFormer() bool { return s.known && s.heardAt >= s.former.safeAt }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -74,7 +74,7 @@
 	tasks := s.former
 	if next.former.pending {
 		tasks.listed = tasks.listed && next.former.listed
-		tasks.startsEnd = max(tasks.startsEnd, next.former.startsEnd)
+		tasks.safeAt = max(tasks.safeAt, next.former.safeAt)
 		tasks.names = append(tasks.names, next.former.names...)
 	}
 	tasks.leasesEnd = next.lapsesAt
