--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -13,7 +13,7 @@
 	listed  bool     // no other tasks than names can be there
 	names   []string // of tasks
 
-	safeAt time.Duration // from when on no former owner starts anything there
+	safeAt    time.Duration // from when on no former owner starts anything there
 	leasesEnd time.Duration // when its leases there have run out
 }
 
