--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -59,7 +59,7 @@
 	})
 }
 
-// servingRank puts long-running tasks first, since they serve requests.
+// servingRank puts long-running tasks other than fillers first, since they serve requests.
 func (c *Candidate) servingRank() int {
 	if c.Step.Spec.LongRunning && !c.Step.Spec.Filler {
 		return 1
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -22,9 +22,9 @@
 	guaranteed map[string]*guaranteedRate    // token buckets of guaranteed rates
 }
 
-func newAccounts(kept allowance.Row) accounts {
+func newAccounts(stored allowance.Row) accounts {
 	return accounts{
-		shares: allowance.NewShard(kept), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
+		shares: allowance.NewShard(stored), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
 		guaranteed: map[string]*guaranteedRate{},
 	}
 }
--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -21,8 +21,8 @@
 func (o *Owner) recordProvisionalLoss(s *session, r *running) bool {
 	t := r.Task
 	maybeLost := o.unheard && t.Step.Job.Restored
-	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.HasEarly()
-	if !maybeLost && !t.Suspect() || o.troubled && !strong {
+	mustWait := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.HasEarly()
+	if !maybeLost && !t.Suspect() || o.troubled && !mustWait {
 		return false
 	}
 	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -200,8 +200,8 @@
 	o.jobEnded(j)
 }
 
-// putUnheard stores whether a worker was lost before it reported to an owner, for as long as a
-// restored job is active.
+// putUnheard stores that a worker of a former owner was lost before it reported to a later one, for
+// as long as a restored job is active.
 func (o *Owner) putUnheard(b *batch) error {
 	if !o.unheard {
 		return nil
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -21,7 +21,7 @@
 }
 
 // maySee reports whether the requester may see a job.
-func (a Requester) maySee(r *jobs.Record) bool { return a.Operator || r.BelongsTo(a.Account) }
+func (by Requester) maySee(r *jobs.Record) bool { return by.Operator || r.BelongsTo(by.Account) }
 
 // Submit stores a job and starts it; it may be repeated with the same ID. An ID that another account
 // has used is refused like any other submission, so as not to reveal that account's jobs.
@@ -79,7 +79,7 @@
 // awaitSubmission returns the outcome of a submission. After the timeout, one that was not yet sent
 // to the table service is withdrawn unless other calls wait for it.
 func (o *Owner) awaitSubmission(ctx context.Context, s *submission) Outcome {
-	if _, settled := receive(ctx, s.done); settled {
+	if _, ok := receive(ctx, s.done); ok {
 		return s.outcome
 	}
 	o.mu.Lock()
--- a/pkg/shard/hedge.go
+++ b/pkg/shard/hedge.go
@@ -19,8 +19,8 @@
 	hedgeFactor = 3
 	// maxHedgeDelay is the longest delay.
 	maxHedgeDelay = time.Second
-	// maxConcurrentTries is the number of times that one transaction may be sent at most.
-	maxConcurrentTries = 3
+	// maxTries is the maximum number of times that a transaction is sent.
+	maxTries = 3
 )
 
 // try is one sending of a transaction and its result.
@@ -43,11 +43,11 @@
 }
 
 // observe adds the duration of an answered try.
-func (p *commitLatency) observe(took time.Duration) { p.mean = (p.mean + took) / 2 }
+func (l *commitLatency) observe(took time.Duration) { l.mean = (l.mean + took) / 2 }
 
 // hedgeDelay returns the time after which an unanswered transaction is sent again.
-func (p *commitLatency) hedgeDelay() time.Duration {
-	return min(maxHedgeDelay, max(minHedgeDelay, hedgeFactor*p.mean))
+func (l *commitLatency) hedgeDelay() time.Duration {
+	return min(maxHedgeDelay, max(minHedgeDelay, hedgeFactor*l.mean))
 }
 
 // commitHedged sends a transaction whose preconditions let it be carried out at most once, and sends
@@ -57,7 +57,7 @@
 func commitHedged(ctx context.Context, rows platform.Rows, clock *elapsed.Clock, txn platform.RowTxn, delay time.Duration, observe func(took time.Duration, err error)) (t try) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	results := make(chan try, maxConcurrentTries)
+	results := make(chan try, maxTries)
 	send := func() {
 		sent := try{sentAt: clock.Now()}
 		go func() {
@@ -74,7 +74,7 @@
 	for underWay > 0 {
 		select {
 		case <-resend.C:
-			if sends < maxConcurrentTries {
+			if sends < maxTries {
 				send()
 				underWay++
 				sends++
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -7,7 +7,7 @@
 )
 
 // formerTasks is what a former owner may have left at a worker. It is resolved when the worker
-// reports after startsEnd, has ended, or its leases have run out.
+// reports after safeAt, has ended, or its leases have run out.
 type formerTasks struct {
 	pending bool
 	listed  bool     // no other tasks than names can be there
@@ -17,10 +17,10 @@
 	leasesEnd time.Duration // when its leases there have run out
 }
 
-// inheritWorker opens the session of a worker that a former owner has recorded.
-// An owner that releases the shard by plan lists the tasks that may be at each worker, so only
-// these wait for its report. After a crash any task may be there, since starts are not recorded.
-// A list older than the last term is of no use.
+// inheritWorker tracks what a former owner may have left at a worker that it has recorded. An owner
+// that releases the shard by plan lists the tasks that may be there, and only these wait for a report
+// of the worker. After a crash any task may be there, since starts are not recorded; a list older
+// than the last term is of no use.
 func (o *Owner) inheritWorker(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, safeAt: o.alone, leasesEnd: o.heldTo}
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -20,7 +20,7 @@
 //  3. Each worker is polled once more, to learn what was started there in the meantime.
 
 const (
-	// maxConfirmedWithDrift is ConfirmationTTL of another machine's clock, measured by ours.
+	// maxConfirmedWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
 	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
 	// doesn't divide upkeepInterval, so that the log order is deterministic.
--- a/pkg/shard/promise.go
+++ b/pkg/shard/promise.go
@@ -12,19 +12,19 @@
 }
 
 // take takes a token from a bucket refilled at perSecond; it reports whether there was one.
-func (p *guaranteedRate) take(perSecond float64, now time.Duration) bool {
+func (r *guaranteedRate) take(perSecond float64, now time.Duration) bool {
 	burst := max(1, perSecond*guaranteedBurst.Seconds())
-	p.tokens = min(burst, p.tokens+perSecond*(now-p.refilledAt).Seconds())
-	p.refilledAt = now
-	if p.tokens < 1 {
+	r.tokens = min(burst, r.tokens+perSecond*(now-r.refilledAt).Seconds())
+	r.refilledAt = now
+	if r.tokens < 1 {
 		return false
 	}
-	p.tokens--
+	r.tokens--
 	return true
 }
 
 // exceedsGuarantee reports whether a job submitted now is beyond the guaranteed rate of its account.
-// For an account without a guaranteed rate every job is.
+// Every job is if the account is known but has no guaranteed rate.
 func (o *Owner) exceedsGuarantee(account string) bool {
 	if account == "" || o.catalog == nil {
 		return false
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -11,8 +11,8 @@
 // may reach the next, whose end numbers and clock are unrelated. Each boot therefore has a session
 // of its own, and attempts that may have reached the next boot are transferred to its session.
 
-// respondingBoot returns the boot that sent a report with the given start time. Any start time but
-// that of the session's boot means a later boot, since the worker's clock may have been set back.
+// respondingBoot returns the boot that sent a report with the given start time, 0 for none. Any
+// other start time than its own means a later boot, since the worker's clock may have been set back.
 func (s *session) respondingBoot(born int64) string {
 	worker, own := platform.SplitBoot(s.ref.Boot)
 	if born == 0 || born == own {
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -39,7 +39,7 @@
 // OwnerRow names the owner of a shard.
 type OwnerRow struct {
 	Entry   string `msgpack:"e"` // empty after a release
-	Start   int64  `msgpack:"s"` // identifies the incarnation of the entry
+	Start   int64  `msgpack:"s"` // tells incarnations of the entry apart
 	Address string `msgpack:"a"` // of its peer listener
 	Term    int64  `msgpack:"t"` // rises with each takeover
 	Next    string `msgpack:"n"` // entry that should take over, set by a release
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// clearSuspects clears the tasks that have run for long enough since, as reported by their worker.
+// clearSuspects clears the tasks that have run for long enough, as reported by their worker.
 func (o *Owner) clearSuspects() {
 	for _, t := range o.sortedSuspects() {
 		if t.Done || t.Step.Job.State.Final() || len(t.Losses) == 0 {
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -14,7 +14,7 @@
 // Identity is one incarnation of an entry.
 type Identity struct {
 	Entry   string
-	Start   int64
+	Start   int64  // tells incarnations of the entry apart
 	Address string // of its peer listener
 }
 
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -34,9 +34,9 @@
 	limit  float64 // starts per second, 0 for none
 	tokens float64 // starts that may be made at once
 	refilledAt,
-	windowStart time.Duration // when saved was last reckoned, when the present window began
+	windowStart time.Duration // when tokens were last refilled, when the present window began
 
-	window Window // that is not over yet
+	window Window // the present one
 }
 
 // Observe records the answer to an order, or that there was none.
