--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -12,7 +12,7 @@
 func TestVerdict(t *testing.T) {
 	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
 	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
-	unsure, ahead, loose := Loss{Trial: true}, Loss{Provisional: true}, Loss{}
+	silentTrial, provisional, undelivered := Loss{Trial: true}, Loss{Provisional: true}, Loss{}
 	for _, tc := range []struct {
 		name   string
 		losses Losses
@@ -22,22 +22,22 @@
 		{"one", Losses{shared}, Watched},
 		{"two", Losses{shared, shared}, OnTrial},
 		{"the third on trial", Losses{shared, shared, trial}, Poison},
-		{"a trial's worker only silent", Losses{shared, shared, unsure}, OnTrial},
+		{"a trial's worker only silent", Losses{shared, shared, silentTrial}, OnTrial},
 		{"a trial alone", Losses{trial}, Watched},
-		{"four without proof", Losses{shared, shared, unsure, unsure}, Held},
+		{"four, some workers only silent", Losses{shared, shared, silentTrial, silentTrial}, Held},
 		{"four whose workers have ended", Losses{ended, ended, ended, ended}, Poison},
 		{"four, one worker only silent", Losses{ended, ended, ended, shared}, Held},
 		{"five, one worker only silent", Losses{ended, ended, ended, ended, shared}, Poison},
-		{"three and one noted ahead", Losses{shared, shared, unsure, ahead}, OnTrial},
-		{"a trial after starts that may not have arrived", Losses{loose, shared, trial}, OnTrial},
-		{"three that may not have arrived", Losses{loose, loose, loose}, OnTrial},
-		{"four that may not have arrived", Losses{loose, loose, loose, loose}, Held},
+		{"three and one provisional", Losses{shared, shared, silentTrial, provisional}, OnTrial},
+		{"a trial after starts that may not have arrived", Losses{undelivered, shared, trial}, OnTrial},
+		{"three that may not have arrived", Losses{undelivered, undelivered, undelivered}, OnTrial},
+		{"four that may not have arrived", Losses{undelivered, undelivered, undelivered, undelivered}, Held},
 		{"one long after its start", Losses{late}, Clear},
 		{"two long after their starts", Losses{late, late}, Watched},
 		{"one soon, one long after its start", Losses{late, shared}, Watched},
 		{"three long after their starts", Losses{late, late, late}, OnTrial},
 		{"four, the last on trial", Losses{late, late, late, trial}, Poison},
-		{"noted ahead only", Losses{ahead, ahead}, Clear},
+		{"provisional only", Losses{provisional, provisional}, Clear},
 	} {
 		qt.Check(t, tc.losses.Verdict(), qt.Equals, tc.want, qt.Commentf(tc.name))
 	}
--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -144,9 +144,9 @@
 	c := qt.New(t)
 	l := workload{accounts: 20, overload: 5, hosts: 21, duration: 30 * time.Second}
 	alone := workload{accounts: 20, overload: 1, hosts: 21, duration: 30 * time.Second}.simulate(guaranteedFirst)
-	for name, o := range map[string]ordering{"by slack": bySlack, "by share": byShare, "promised first": guaranteedFirst} {
+	for name, o := range map[string]ordering{"by slack": bySlack, "by share": byShare, "guaranteed first": guaranteedFirst} {
 		got := l.simulate(o)
-		t.Logf("%s: %.2f of the jobs of the nineteen in time (%.2f without excess), %.2f of the one", name, inTimeFraction(got[1:]), inTimeFraction(alone[1:]), inTimeFraction(got[:1]))
+		t.Logf("%s: %.2f of the jobs of the other accounts in time (%.2f without excess), %.2f of those of account 0", name, inTimeFraction(got[1:]), inTimeFraction(alone[1:]), inTimeFraction(got[:1]))
 	}
 	got := l.simulate(guaranteedFirst)
 	c.Check(inTimeFraction(alone[1:])-inTimeFraction(got[1:]) <= 0.03, qt.IsTrue)
--- a/pkg/shard/guarantee_test.go
+++ b/pkg/shard/guarantee_test.go
@@ -26,6 +26,6 @@
 				within++
 			}
 		}
-		c.Check(within >= test.within-2 && within <= test.within+2, qt.IsTrue, qt.Commentf("%d a second: %d within the promise", test.perSecond, within))
+		c.Check(within >= test.within-2 && within <= test.within+2, qt.IsTrue, qt.Commentf("%d per second: %d within the guaranteed rate", test.perSecond, within))
 	}
 }
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -37,7 +37,7 @@
 	l.mu.Unlock()
 	select {
 	case <-ctx.Done():
-		return platform.ErrUnknown{Op: "call", Cause: "it waits in front of the link"}
+		return platform.ErrUnknown{Op: "call", Cause: "the link is busy"}
 	case <-time.After(wait):
 		return nil
 	}
