--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -11,10 +11,10 @@
 // does not get VMs for the others.
 type demand struct {
 	o    *Owner
-	left map[string]*placement.Budget
+	budgets map[string]*placement.Budget
 }
 
-func (o *Owner) newDemand() *demand { return &demand{o: o, left: map[string]*placement.Budget{}} }
+func (o *Owner) newDemand() *demand { return &demand{o: o, budgets: map[string]*placement.Budget{}} }
 
 // startable returns how many of n waiting tasks of a step could run if their account had its whole
 // limit in this pool.
@@ -24,10 +24,10 @@
 	if limit == (platform.Resources{}) || !d.o.accounts.shares.Bound() {
 		return n
 	}
-	b := d.left[account]
+	b := d.budgets[account]
 	if b == nil {
 		b = placement.NewBudget(limit, 1, d.o.book.Held(account))
-		d.left[account] = b
+		d.budgets[account] = b
 	}
 	return b.TakeUpTo(s.Spec, n)
 }
