--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -41,7 +41,7 @@
 
 func guaranteedFirst(cs []Candidate, now time.Duration, _ map[string]int) { Sort(cs, now) }
 
-// byShare puts the account with the fewest running tasks first (weighted max-min fairness).
+// byShare puts the account with the fewest running tasks first (max-min fairness).
 func byShare(cs []Candidate, now time.Duration, running map[string]int) {
 	bySlack(cs, now, nil)
 	slices.SortStableFunc(cs, func(a, b Candidate) int {
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -10,7 +10,7 @@
 // demand counts the waiting tasks that the limits of their accounts allow to run, so that a pool
 // does not get VMs for the others.
 type demand struct {
-	o    *Owner
+	o       *Owner
 	budgets map[string]*placement.Budget
 }
 
