--- a/pkg/platform/boot.go
+++ b/pkg/platform/boot.go
@@ -8,10 +8,10 @@
 // bornSeparator stands between a worker's ID and the time of a boot.
 const bornSeparator = "@"
 
-// BootOf names the boot of a worker that started at a time in Unix milliseconds, 0 if it
+// BootID names the boot of a worker that started at a time in Unix milliseconds, 0 if it
 // does not say when. A worker may start again under the ID that it had; it then knows
 // nothing of before, and its counts and its clock start anew.
-func BootOf(worker string, born int64) string {
+func BootID(worker string, born int64) string {
 	if born == 0 {
 		return worker
 	}
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -20,7 +20,7 @@
 		}
 		if e.sameID {
 			id, _ := platform.SplitBoot(w.Boot)
-			w.Boot = platform.BootOf(id, time.Now().UnixMilli())
+			w.Boot = platform.BootID(id, time.Now().UnixMilli())
 			return
 		}
 		e.boots++
@@ -34,7 +34,7 @@
 	n, _ := strconv.Atoi(cpu)
 	slow, _ := strconv.ParseFloat(drift, 64)
 	if e.sameID {
-		boot = platform.BootOf(boot, time.Now().UnixMilli())
+		boot = platform.BootID(boot, time.Now().UnixMilli())
 	}
 	w := platform.Worker{Boot: boot, VM: vm, Pool: pool, Address: address, Capacity: platform.Resources{CPU: n, MemoryMB: 1 << 20}}
 	e.start(w, slow)
@@ -69,7 +69,7 @@
 	if !silent {
 		e.workers.Reset(e.workers.Present(id))
 	}
-	w.Boot = platform.BootOf(id, time.Now().Add(-e.clockBack).UnixMilli())
+	w.Boot = platform.BootID(id, time.Now().Add(-e.clockBack).UnixMilli())
 	e.workers.Boot(w, 0)
 	time.AfterFunc(listAfter, func() { e.relistRestarted(w) })
 }
--- a/pkg/shard/many_test.go
+++ b/pkg/shard/many_test.go
@@ -20,7 +20,7 @@
 	var all []platform.Worker
 	for i := range n {
 		name := fmt.Sprintf("i-%010d", i)
-		w := platform.Worker{Boot: platform.BootOf(name, time.Now().UnixMilli()), VM: "m-" + name[5:], Pool: pool, Address: fmt.Sprintf("10.200.%d.%d:8621", i/250, i%250), Capacity: platform.Resources{CPU: 4000, MemoryMB: 1 << 20}}
+		w := platform.Worker{Boot: platform.BootID(name, time.Now().UnixMilli()), VM: "m-" + name[5:], Pool: pool, Address: fmt.Sprintf("10.200.%d.%d:8621", i/250, i%250), Capacity: platform.Resources{CPU: 4000, MemoryMB: 1 << 20}}
 		e.workers.Boot(w, 0)
 		all = append(all, w)
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -20,7 +20,7 @@
 	if born == 0 || born == own {
 		return s.ref.Boot
 	}
-	return platform.BootOf(worker, born)
+	return platform.BootID(worker, born)
 }
 
 // startedAfter tells whether boot a of a worker started after boot b of it.
