--- a/pkg/platform/boot.go
+++ b/pkg/platform/boot.go
@@ -18,8 +18,8 @@
 	return worker + bornSeparator + strconv.FormatInt(born, 10)
 }
 
-// SplitBoot returns the ID of a boot's worker and when the boot started, 0 if that is not known.
-func SplitBoot(boot string) (worker string, born int64) {
+// ParseBootID returns the ID of a boot's worker and when the boot started, 0 if that is not known.
+func ParseBootID(boot string) (worker string, born int64) {
 	worker, at, found := strings.Cut(boot, bornSeparator)
 	born, err := strconv.ParseInt(at, 10, 64)
 	if !found || err != nil {
--- a/pkg/platform/boot_test.go
+++ b/pkg/platform/boot_test.go
@@ -14,12 +14,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		worker := rapid.StringMatching(`[a-z0-9-]{1,12}`).Draw(t, "worker")
 		born := rapid.Int64Range(0, 1<<50).Draw(t, "born")
-		gotWorker, gotBorn := platform.SplitBoot(platform.BootID(worker, born))
+		gotWorker, gotBorn := platform.ParseBootID(platform.BootID(worker, born))
 		if gotWorker != worker || gotBorn != born {
 			t.Fatalf("got %q and %d", gotWorker, gotBorn)
 		}
 	})
-	worker, born := platform.SplitBoot("w1@noon")
+	worker, born := platform.ParseBootID("w1@noon")
 	qt.Check(t, worker, qt.Equals, "w1@noon")
 	qt.Check(t, born, qt.Equals, int64(0))
 }
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -152,7 +152,7 @@
 			w.end(old)
 		}
 	}
-	worker, born := platform.SplitBoot(info.Boot)
+	worker, born := platform.ParseBootID(info.Boot)
 	w.boots[info.Boot] = &boot{
 		info: info, worker: worker, born: born, start: time.Now(), drift: drift, lacked: map[attemptKey]bool{}, running: map[string]*attempt{}, highest: map[string]int64{},
 		free: info.Capacity, changed: make(chan struct{}),
@@ -201,7 +201,7 @@
 	if b := w.boots[ref.Boot]; b != nil && !b.dead {
 		return b
 	}
-	worker, _ := platform.SplitBoot(ref.Boot)
+	worker, _ := platform.ParseBootID(ref.Boot)
 	for _, b := range w.boots {
 		if !b.dead && b.worker == worker && b.info.Address == ref.Address {
 			return b
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -19,7 +19,7 @@
 			return
 		}
 		if e.sameID {
-			id, _ := platform.SplitBoot(w.Boot)
+			id, _ := platform.ParseBootID(w.Boot)
 			w.Boot = platform.BootID(id, time.Now().UnixMilli())
 			return
 		}
@@ -76,13 +76,13 @@
 
 // isWorker tells whether a row of the directory is of a worker, whichever boot.
 func isWorker(w platform.Worker, id string) bool {
-	worker, _ := platform.SplitBoot(w.Boot)
+	worker, _ := platform.ParseBootID(w.Boot)
 	return worker == id
 }
 
 // relistRestarted lists a boot that has started again, unless it has ended meanwhile.
 func (e *estate) relistRestarted(w platform.Worker) {
-	id, _ := platform.SplitBoot(w.Boot)
+	id, _ := platform.ParseBootID(w.Boot)
 	if e.workers.Present(id) == w.Boot {
 		e.list(w)
 	}
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -210,7 +210,7 @@
 		return e.machines, nil
 	}
 	for _, w := range e.listed {
-		id, _ := platform.SplitBoot(w.Boot)
+		id, _ := platform.ParseBootID(w.Boot)
 		list = append(list, platform.Machine{VM: w.VM, Worker: id, Pool: pool, State: platform.MachineUp})
 	}
 	return list, nil
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -16,7 +16,7 @@
 // asked. Another one is the next, whatever it says of its start: the worker's clock may have
 // been set back.
 func (s *session) answeredBy(born int64) string {
-	worker, own := platform.SplitBoot(s.ref.Boot)
+	worker, own := platform.ParseBootID(s.ref.Boot)
 	if born == 0 || born == own {
 		return s.ref.Boot
 	}
@@ -25,8 +25,8 @@
 
 // startedAfter tells whether boot a of a worker started after boot b of it.
 func startedAfter(a, b string) bool {
-	_, bornA := platform.SplitBoot(a)
-	_, bornB := platform.SplitBoot(b)
+	_, bornA := platform.ParseBootID(a)
+	_, bornB := platform.ParseBootID(b)
 	return bornA > bornB
 }
 
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -60,7 +60,7 @@
 // restart has a worker start again under its ID; the directory may tell of it late.
 func (m *machine) restart() {
 	listed := m.e.directory()
-	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
+	worker, _ := platform.ParseBootID(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
 	if m.anyOpen() {
 		if m.atWork++; m.atWork > mostAtWork || m.mayRuin {
 			return
@@ -124,7 +124,7 @@
 
 func (f *forgetless) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	f.mu.Lock()
-	id, _ := platform.SplitBoot(w.Boot)
+	id, _ := platform.ParseBootID(w.Boot)
 	f.acked[id] = max(f.acked[id], o.AckedEnd)
 	o.AckedEnd = f.acked[id]
 	f.mu.Unlock()
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -15,7 +15,7 @@
 // addSession starts to watch a boot.
 func (o *Owner) addSession(ref platform.WorkerRef, vm string) *session {
 	ctx, cancel := context.WithCancel(o.ctx)
-	worker, _ := platform.SplitBoot(ref.Boot)
+	worker, _ := platform.ParseBootID(ref.Boot)
 	s := &session{
 		ref: ref, worker: worker, vm: vm, attempts: map[string]*running{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.tokens[worker]),
 		wake: make(chan struct{}, 1), cancel: cancel, lapsesAt: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
@@ -93,7 +93,7 @@
 	if s = o.sessions[w.Boot]; s != nil && o.present[s.worker] == s {
 		return s, false // nearly all entries, each time that any has changed
 	}
-	id, born := platform.SplitBoot(w.Boot)
+	id, born := platform.ParseBootID(w.Boot)
 	s = o.present[id]
 	if s != nil && born == 0 {
 		return s, false
