--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -77,7 +77,7 @@
 			after = -1
 			continue
 		}
-		if time.Since(started) > platform.AnswerSilence {
+		if time.Since(started) > platform.ReadIdleTimeout {
 			continue // it has waited for an answer that did not come
 		}
 		_ = pause.For(ctx, retryFeed/2+rand.N(retryFeed))
--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -282,7 +282,7 @@
 	case FaultDown:
 		return platform.ErrNotDone{Op: string(op), Cause: "the table service is down"}
 	case FaultLostBefore, FaultLostAfter:
-		_ = pause.For(ctx, wait+platform.AnswerSilence)
+		_ = pause.For(ctx, wait+platform.ReadIdleTimeout)
 		r.spread.hold(string(op), r.entry)
 		return platform.ErrUnknown{Op: string(op), Cause: "no answer"}
 	}
--- a/pkg/platform/rows.go
+++ b/pkg/platform/rows.go
@@ -54,15 +54,15 @@
 // Error says that the table has to be read anew.
 func (ErrHistoryGone) Error() string { return "the history of changes no longer reaches back so far" }
 
-// AnswerSilence is the longest time in which the service may send no byte of an
+// ReadIdleTimeout is the longest time in which the service may send no byte of an
 // answer that it does not hold back by agreement; it answers in milliseconds, and
 // up to 60 times slower in trouble. What comes in pieces over a slow link goes on
 // being read: a configuration of 480 KB was given up after 1.7 s and asked for anew,
 // for ever, on links of 2 Mbit/s.
-const AnswerSilence = 700 * time.Millisecond
+const ReadIdleTimeout = 700 * time.Millisecond
 
 // Rows is the partitioned table service. Reads end with an [ErrUnknown] when
-// nothing comes for [AnswerSilence]. Errors are an [ErrConflict], an
+// nothing comes for [ReadIdleTimeout]. Errors are an [ErrConflict], an
 // [ErrHistoryGone], an [ErrNotDone] when nothing was done, or an [ErrUnknown].
 type Rows interface {
 	// CommitRows carries out a transaction and returns its version.
