--- a/pkg/jobs/occurrence.go
+++ b/pkg/jobs/occurrence.go
@@ -21,7 +21,7 @@
 // many are, with those that a former owner has started.
 func (r *Record) mostOpen() int {
 	byTasks := openTasks / max(1, r.Spec.tasks())
-	byBytes := keepable(platform.UsualRowBytes) / 2 / max(1, r.occurrenceBytes())
+	byBytes := keepable(platform.DefaultMaxRowBytes) / 2 / max(1, r.occurrenceBytes())
 	return max(1, min(byTasks, byBytes))
 }
 
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -54,7 +54,7 @@
 
 // refuseAtOnce tells what is wrong with a submission that no owner could take.
 func (n *Node) refuseAtOnce(r *jobs.Record, raw []byte) (out schema.CallOutcome, why string) {
-	if err := r.CheckSize(raw, cmp.Or(n.settings.Store.RowBytes, platform.UsualRowBytes)); err != nil {
+	if err := r.CheckSize(raw, cmp.Or(n.settings.Store.RowBytes, platform.DefaultMaxRowBytes)); err != nil {
 		return schema.CallOutcomeTooLarge, err.Error()
 	}
 	if n.nowhereToStart() {
--- a/pkg/platform/rows.go
+++ b/pkg/platform/rows.go
@@ -12,8 +12,8 @@
 	Key       string
 }
 
-// UsualRowBytes is the longest value of a row where the platform does not say.
-const UsualRowBytes = 1 << 16
+// DefaultMaxRowBytes is the longest value of a row where the platform does not say.
+const DefaultMaxRowBytes = 1 << 16
 
 // Row is one row of the partitioned table service.
 type Row struct {
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -147,7 +147,7 @@
 	ctx, done := context.WithTimeout(ctx, takeoverRead)
 	defer done()
 	if cfg.RowBytes == 0 {
-		cfg.RowBytes = platform.UsualRowBytes
+		cfg.RowBytes = platform.DefaultMaxRowBytes
 	}
 	if cfg.ZoneOut == nil {
 		cfg.ZoneOut = func(string) bool { return false }
