--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -111,8 +111,8 @@
 	Checkpoint string
 }
 
-// NoClock stands for the clock of a worker that did not say; one that has just started says 0.
-const NoClock int64 = -1
+// ClockUnknown stands for the clock of a worker that did not say; one that has just started says 0.
+const ClockUnknown int64 = -1
 
 // WorkerReport is what a worker says of itself.
 type WorkerReport struct {
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -101,7 +101,7 @@
 	case errors.As(err, &refused):
 		return refused.ClockMs
 	default:
-		return platform.NoClock
+		return platform.ClockUnknown
 	}
 }
 
--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -43,7 +43,7 @@
 
 // noteClock takes the worker's clock from an answer.
 func (s *session) noteClock(ms int64, now time.Duration) {
-	if ms != platform.NoClock && ms >= s.clockMs {
+	if ms != platform.ClockUnknown && ms >= s.clockMs {
 		s.clockMs, s.clockAt = ms, now
 	}
 }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -138,7 +138,7 @@
 // none, a start that reached the next boot in its first millisecond was not noticed, and its end
 // acknowledged unseen (TestStartInFirstMillisecond).
 func (o *Owner) takeClock(s *session, ms int64, sentAt time.Duration) {
-	if ms == platform.NoClock {
+	if ms == platform.ClockUnknown {
 		return
 	}
 	if s.fellBack(ms, sentAt) {
