--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -145,8 +145,8 @@
 	return clock, err
 }
 
-// PaceAttempt implements platform.Workers.
-func (v *workersView) PaceAttempt(ctx context.Context, ref platform.WorkerRef, o platform.PaceOrder) (clock int64, err error) {
+// ThrottleAttempt implements platform.Workers.
+func (v *workersView) ThrottleAttempt(ctx context.Context, ref platform.WorkerRef, o platform.PaceOrder) (clock int64, err error) {
 	err = v.call(ctx, OrderPace, ref, o.Task, func(b *boot) error {
 		clock = b.clock()
 		return b.admit(o.Token)
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -167,8 +167,8 @@
 	StartAttempt(ctx context.Context, w WorkerRef, o StartOrder) (clockMs int64, err error)
 	// StopAttempt ends an attempt; its end is reported by RenewLeases.
 	StopAttempt(ctx context.Context, w WorkerRef, o StopOrder) (clockMs int64, err error)
-	// PaceAttempt limits an attempt's speed.
-	PaceAttempt(ctx context.Context, w WorkerRef, o PaceOrder) (clockMs int64, err error)
+	// ThrottleAttempt limits an attempt's speed.
+	ThrottleAttempt(ctx context.Context, w WorkerRef, o PaceOrder) (clockMs int64, err error)
 	// RenewLeases renews what runs at a worker and returns its report.
 	RenewLeases(ctx context.Context, w WorkerRef, o RenewOrder) (WorkerReport, error)
 }
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -62,7 +62,7 @@
 	o.log.Info().Str("event", "pace_ordered").Str("task", name).Str("boot", s.ref.Boot).Int("percent", percent).Float64("tail_of_target", worst).Send()
 	order := platform.PaceOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
 	o.dispatch(s, &dispatch{
-		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.PaceAttempt(ctx, s.ref, order) },
+		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.ThrottleAttempt(ctx, s.ref, order) },
 		answered: func(err error) {
 			if err != nil {
 				r.pace, r.pacedAt = 0, 0 // not known; the next report decides anew
