--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -146,7 +146,7 @@
 }
 
 // ThrottleAttempt implements platform.Workers.
-func (v *workersView) ThrottleAttempt(ctx context.Context, ref platform.WorkerRef, o platform.PaceOrder) (clock int64, err error) {
+func (v *workersView) ThrottleAttempt(ctx context.Context, ref platform.WorkerRef, o platform.ThrottleOrder) (clock int64, err error) {
 	err = v.call(ctx, OrderPace, ref, o.Task, func(b *boot) error {
 		clock = b.clock()
 		return b.admit(o.Token)
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -64,8 +64,8 @@
 	Token   int64
 }
 
-// PaceOrder limits an attempt to a share of its normal speed.
-type PaceOrder struct {
+// ThrottleOrder limits an attempt to a share of its normal speed.
+type ThrottleOrder struct {
 	Task    string
 	Attempt int64
 	Percent int
@@ -168,7 +168,7 @@
 	// StopAttempt ends an attempt; its end is reported by RenewLeases.
 	StopAttempt(ctx context.Context, w WorkerRef, o StopOrder) (clockMs int64, err error)
 	// ThrottleAttempt limits an attempt's speed.
-	ThrottleAttempt(ctx context.Context, w WorkerRef, o PaceOrder) (clockMs int64, err error)
+	ThrottleAttempt(ctx context.Context, w WorkerRef, o ThrottleOrder) (clockMs int64, err error)
 	// RenewLeases renews what runs at a worker and returns its report.
 	RenewLeases(ctx context.Context, w WorkerRef, o RenewOrder) (WorkerReport, error)
 }
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -60,7 +60,7 @@
 func (o *Owner) setPace(s *session, name string, r *running, percent int, worst float64, now time.Duration) {
 	r.pace, r.pacedAt = percent, now
 	o.log.Info().Str("event", "pace_ordered").Str("task", name).Str("boot", s.ref.Boot).Int("percent", percent).Float64("tail_of_target", worst).Send()
-	order := platform.PaceOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
+	order := platform.ThrottleOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
 	o.dispatch(s, &dispatch{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.ThrottleAttempt(ctx, s.ref, order) },
 		answered: func(err error) {
