--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -129,7 +129,7 @@
 		return
 	}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
-		w.finishLocked(b, task, b.running[task], platform.EndLapsed)
+		w.finishLocked(b, task, b.running[task], platform.EndLeaseExpired)
 	}
 }
 
