--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -98,7 +98,7 @@
 	EndFailed       EndReason = "failed"
 	EndStopped      EndReason = "stopped"
 	EndLeaseExpired EndReason = "lapsed" // its lease ran out
-	EndBroken       EndReason = "broken" // another member of its gang ended
+	EndGangBroken   EndReason = "broken" // another member of its gang ended
 	EndAlone        EndReason = "alone"  // the other members of its gang did not come in time
 )
 
