--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -94,12 +94,12 @@
 
 // The ways in which an attempt ends.
 const (
-	EndDone         EndReason = "done"
-	EndFailed       EndReason = "failed"
-	EndStopped      EndReason = "stopped"
-	EndLeaseExpired EndReason = "lapsed" // its lease ran out
-	EndGangBroken   EndReason = "broken" // another member of its gang ended
-	EndAlone        EndReason = "alone"  // the other members of its gang did not come in time
+	EndDone           EndReason = "done"
+	EndFailed         EndReason = "failed"
+	EndStopped        EndReason = "stopped"
+	EndLeaseExpired   EndReason = "lapsed" // its lease ran out
+	EndGangBroken     EndReason = "broken" // another member of its gang ended
+	EndGangIncomplete EndReason = "alone"  // the other members of its gang did not come in time
 )
 
 // AttemptEnd is an attempt that ended at a worker.
