--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -106,7 +106,7 @@
 // admit checks an order's token.
 func (b *boot) admit(token int64) error {
 	if token < b.token {
-		return platform.ErrOrderRefused{Reason: platform.RefusedToken, ClockMs: b.clock()}
+		return platform.ErrOrderRefused{Reason: platform.RefusedStaleToken, ClockMs: b.clock()}
 	}
 	b.token = token
 	return nil
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -196,7 +196,7 @@
 	case errors.As(err, &other):
 		o.bootEnded(s, "another boot answers at its address")
 		return
-	case errors.As(err, &refused) && refused.Reason == platform.RefusedToken:
+	case errors.As(err, &refused) && refused.Reason == platform.RefusedStaleToken:
 		o.outranked(s)
 		return
 	}
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -119,7 +119,7 @@
 
 func (o *Owner) startRefused(s *session, name string, r *running, refused platform.ErrOrderRefused, now time.Duration) {
 	switch refused.Reason {
-	case platform.RefusedToken:
+	case platform.RefusedStaleToken:
 		if s.inDoubt || r.Attempt.Phase == jobs.PhaseInDoubt {
 			break // our own look has raised the token meanwhile
 		}
