--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -23,7 +23,7 @@
 		return nil
 	}
 	if o.Attempt <= b.highest[o.Task] {
-		return platform.ErrOrderRefused{Reason: platform.RefusedOld, ClockMs: b.clock()}
+		return platform.ErrOrderRefused{Reason: platform.RefusedStaleAttempt, ClockMs: b.clock()}
 	}
 	work := w.work(o.Task, o.Spec)
 	if !work.Needs.Fits(b.free) {
