--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -120,7 +120,7 @@
 		}
 		clock = b.clock()
 		if o.LeaseUntil <= clock {
-			return platform.ErrOrderRefused{Reason: platform.RefusedLate, ClockMs: clock}
+			return platform.ErrOrderRefused{Reason: platform.RefusedLeaseExpired, ClockMs: clock}
 		}
 		v.w.extend(b, o.LeaseUntil)
 		return v.w.begin(b, o)
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -131,7 +131,7 @@
 const (
 	RefusedStaleToken   RefusalReason = "fence"  // it has seen a higher fencing token
 	RefusedStaleAttempt RefusalReason = "old"    // the attempt is not above one that ended there
-	RefusedLate         RefusalReason = "late"   // the lease in the order has run out
+	RefusedLeaseExpired RefusalReason = "late"   // the lease in the order has run out
 	RefusedRoom         RefusalReason = "room"   // it has not enough resources
 	RefusedTicket       RefusalReason = "ticket" // the ticket is not valid there
 	RefusedOther        RefusalReason = "other"
