--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -28,7 +28,7 @@
 	work := w.work(o.Task, o.Spec)
 	if !work.Needs.Fits(b.free) {
 		if !w.takesAll {
-			return platform.ErrOrderRefused{Reason: platform.RefusedRoom, ClockMs: b.clock()}
+			return platform.ErrOrderRefused{Reason: platform.RefusedNoCapacity, ClockMs: b.clock()}
 		}
 		if !b.fitsOfLate(work.Needs) {
 			w.witness.Overfilled(b.info.Boot, o.Task)
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -132,7 +132,7 @@
 	RefusedStaleToken   RefusalReason = "fence"  // it has seen a higher fencing token
 	RefusedStaleAttempt RefusalReason = "old"    // the attempt is not above one that ended there
 	RefusedLeaseExpired RefusalReason = "late"   // the lease in the order has run out
-	RefusedRoom         RefusalReason = "room"   // it has not enough resources
+	RefusedNoCapacity   RefusalReason = "room"   // it has not enough resources
 	RefusedTicket       RefusalReason = "ticket" // the ticket is not valid there
 	RefusedOther        RefusalReason = "other"
 	RefusedUnhealthy    RefusalReason = "unhealthy" // it cannot do anything at present
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -127,7 +127,7 @@
 		return
 	case platform.RefusedTicket:
 		o.ticketRefused(r.Task.Step, s.ref.Boot)
-	case platform.RefusedRoom:
+	case platform.RefusedNoCapacity:
 		s.pausedTo = now + pauseFull
 	case platform.RefusedUnhealthy, platform.RefusedOther:
 		s.health.unanswered(now)
