--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -129,13 +129,13 @@
 
 // The reasons of refusals.
 const (
-	RefusedStaleToken   RefusalReason = "fence"  // it has seen a higher fencing token
-	RefusedStaleAttempt RefusalReason = "old"    // the attempt is not above one that ended there
-	RefusedLeaseExpired RefusalReason = "late"   // the lease in the order has run out
-	RefusedNoCapacity   RefusalReason = "room"   // it has not enough resources
-	RefusedTicket       RefusalReason = "ticket" // the ticket is not valid there
-	RefusedOther        RefusalReason = "other"
-	RefusedUnhealthy    RefusalReason = "unhealthy" // it cannot do anything at present
+	RefusedStaleToken    RefusalReason = "fence"  // it has seen a higher fencing token
+	RefusedStaleAttempt  RefusalReason = "old"    // the attempt is not above one that ended there
+	RefusedLeaseExpired  RefusalReason = "late"   // the lease in the order has run out
+	RefusedNoCapacity    RefusalReason = "room"   // it has not enough resources
+	RefusedInvalidTicket RefusalReason = "ticket" // the ticket is not valid there
+	RefusedOther         RefusalReason = "other"
+	RefusedUnhealthy     RefusalReason = "unhealthy" // it cannot do anything at present
 )
 
 // ErrOrderRefused reports an order that the worker did not carry out.
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -125,7 +125,7 @@
 		}
 		o.outranked(s)
 		return
-	case platform.RefusedTicket:
+	case platform.RefusedInvalidTicket:
 		o.ticketRefused(r.Task.Step, s.ref.Boot)
 	case platform.RefusedNoCapacity:
 		s.pausedTo = now + pauseFull
