--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -145,7 +145,7 @@
 
 // report returns what a boot lists of itself.
 func (w *Workers) report(b *boot) platform.WorkerReport {
-	r := platform.WorkerReport{ClockMs: b.clock(), Born: b.born, Ended: slices.Clone(b.ended)}
+	r := platform.WorkerReport{ClockMs: b.clock(), BootedAtMs: b.born, Ended: slices.Clone(b.ended)}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
 		a := b.running[task]
 		r.Running = append(r.Running, platform.RunningAttempt{Task: task, Attempt: a.number, Percent: a.percent()})
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -116,12 +116,12 @@
 
 // WorkerReport is what a worker says of itself.
 type WorkerReport struct {
-	ClockMs   int64 // the worker's steady clock, NoClock if it did not say
-	Born      int64 // when the boot that answers started, in Unix milliseconds, 0 if it does not say
-	Remaining time.Duration
-	Draining  bool
-	Running   []RunningAttempt
-	Ended     []AttemptEnd
+	ClockMs    int64 // the worker's steady clock, NoClock if it did not say
+	BootedAtMs int64 // when the boot that answers started, in Unix milliseconds, 0 if it does not say
+	Remaining  time.Duration
+	Draining   bool
+	Running    []RunningAttempt
+	Ended      []AttemptEnd
 }
 
 // RefusalReason tells why a worker did not carry out an order.
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -113,7 +113,7 @@
 		o.lookFailed(s, &order, err)
 		return
 	}
-	if boot := s.answeredBy(report.Born); boot != s.ref.Boot {
+	if boot := s.answeredBy(report.BootedAtMs); boot != s.ref.Boot {
 		o.cfg.Metrics.Look(platform.ErrOtherBoot{Boot: boot})
 		o.restarted(s, platform.WorkerRef{Boot: boot, Address: s.ref.Address})
 		return
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -111,7 +111,7 @@
 
 func (b bornless) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	r, err := b.Workers.RenewLeases(ctx, w, o)
-	r.Born = 0
+	r.BootedAtMs = 0
 	return r, err
 }
 
