--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -82,7 +82,7 @@
 	b.free = b.free.Add(a.needs)
 	b.highest[task] = max(b.highest[task], a.number)
 	b.last++
-	b.ended = append(b.ended, platform.AttemptEnd{Number: b.last, Task: task, Attempt: a.number, Reason: reason})
+	b.ended = append(b.ended, platform.AttemptEnd{Seq: b.last, Task: task, Attempt: a.number, Reason: reason})
 	w.witness.Ended(b.info.Boot, task, a.number, reason)
 	close(b.changed)
 	b.changed = make(chan struct{})
@@ -135,12 +135,12 @@
 
 func (w *Workers) acknowledge(b *boot, upTo int64) {
 	for _, e := range b.ended {
-		if e.Number <= upTo {
+		if e.Seq <= upTo {
 			w.witness.Acked(b.info.Boot, e.Task, e.Reason)
 		}
 	}
 	b.acked = max(b.acked, upTo)
-	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Number <= b.acked })
+	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Seq <= b.acked })
 }
 
 // report returns what a boot lists of itself.
@@ -161,8 +161,8 @@
 		return
 	}
 	r.Ended = slices.DeleteFunc(r.Ended, func(e platform.AttemptEnd) bool {
-		left[e.Number]--
-		return left[e.Number] >= 0
+		left[e.Seq]--
+		return left[e.Seq] >= 0
 	})
 }
 
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -104,7 +104,7 @@
 
 // AttemptEnd is an attempt that ended at a worker.
 type AttemptEnd struct {
-	Number     int64 // counts the ends of this boot from 1
+	Seq        int64 // counts the ends of this boot from 1
 	Task       string
 	Attempt    int64
 	Reason     EndReason
--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -76,20 +76,20 @@
 // numbers go on: to it the first list has a gap.
 func (e *ends) countable(listed []platform.AttemptEnd) (countable []platform.AttemptEnd, missing int64) {
 	all := append(slices.Clone(listed), e.behind...)
-	slices.SortStableFunc(all, func(a, b platform.AttemptEnd) int { return cmp.Compare(a.Number, b.Number) })
-	all = slices.CompactFunc(all, func(a, b platform.AttemptEnd) bool { return a.Number == b.Number })
+	slices.SortStableFunc(all, func(a, b platform.AttemptEnd) int { return cmp.Compare(a.Seq, b.Seq) })
+	all = slices.CompactFunc(all, func(a, b platform.AttemptEnd) bool { return a.Seq == b.Seq })
 	missingBefore := int64(0) // the list before had no other numbers up to here
 	if n := len(e.behind); n > 0 {
-		missingBefore = e.behind[n-1].Number
+		missingBefore = e.behind[n-1].Seq
 	}
 	e.behind = nil
 	next := e.counted + 1
 	for i := range all {
-		if all[i].Number > next && next > missingBefore {
+		if all[i].Seq > next && next > missingBefore {
 			e.behind = slices.Clone(all[i:])
 			return all[:i], next
 		}
-		next = max(next, all[i].Number+1)
+		next = max(next, all[i].Seq+1)
 	}
 	return all, 0
 }
--- a/pkg/shard/ends_test.go
+++ b/pkg/shard/ends_test.go
@@ -40,7 +40,7 @@
 
 func listed(numbers []int64) (list []platform.AttemptEnd) {
 	for _, n := range numbers {
-		list = append(list, platform.AttemptEnd{Number: n})
+		list = append(list, platform.AttemptEnd{Seq: n})
 	}
 	return list
 }
@@ -48,7 +48,7 @@
 func numbers(list []platform.AttemptEnd) []int64 {
 	ns := []int64{}
 	for _, e := range list {
-		ns = append(ns, e.Number)
+		ns = append(ns, e.Seq)
 	}
 	return ns
 }
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -38,7 +38,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range r.Ended {
-		h.last[w.Boot] = max(h.last[w.Boot], e.Number)
+		h.last[w.Boot] = max(h.last[w.Boot], e.Seq)
 	}
 	return r, err
 }
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -79,15 +79,15 @@
 func (o *Owner) takeEnds(s *session, listed []platform.AttemptEnd, now time.Duration) {
 	countable, missing := s.ends.countable(listed)
 	if missing > 0 {
-		o.log.Debug().Str("event", "end_missing").Str("boot", s.ref.Boot).Int64("end", missing).Int64("listed", s.ends.behind[0].Number).Send()
+		o.log.Debug().Str("event", "end_missing").Str("boot", s.ref.Boot).Int64("end", missing).Int64("listed", s.ends.behind[0].Seq).Send()
 	}
 	for i := range countable {
 		e := &countable[i]
 		switch {
-		case e.Number > s.ends.counted:
-			s.ends.count(e.Number, e.Task)
+		case e.Seq > s.ends.counted:
+			s.ends.count(e.Seq, e.Task)
 			o.takeEnd(s, e, now)
-		case e.Number <= s.ends.kept:
+		case e.Seq <= s.ends.kept:
 			o.passOver(s, e)
 		}
 	}
@@ -100,7 +100,7 @@
 	s.forgetForeign(foreignKey{task: e.Task, number: e.Attempt})
 	o.cfg.Metrics.End(e.Reason)
 	ev := o.log.Info().Str("event", "attempt_ended").Str("task", e.Task).Int64("attempt", e.Attempt).
-		Str("boot", s.ref.Boot).Int64("end", e.Number).Str("reason", string(e.Reason))
+		Str("boot", s.ref.Boot).Int64("end", e.Seq).Str("reason", string(e.Reason))
 	if t == nil {
 		ev.Bool("known", false).Send()
 		return
@@ -134,7 +134,7 @@
 func (o *Owner) passOver(s *session, e *platform.AttemptEnd) {
 	o.cfg.Metrics.EndPassedOver()
 	o.log.Warn().Str("event", "end_passed_over").Str("task", e.Task).Int64("attempt", e.Attempt).Str("boot", s.ref.Boot).
-		Int64("end", e.Number).Int64("acknowledged", s.ends.kept).Str("reason", string(e.Reason)).Send()
+		Int64("end", e.Seq).Int64("acknowledged", s.ends.kept).Str("reason", string(e.Reason)).Send()
 }
 
 // settled drops the attempts whose start got no answer and that the worker does
