--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -163,7 +163,7 @@
 			return err
 		}
 		v.w.extend(b, o.LeaseUntil)
-		v.w.acknowledge(b, o.AckedEnd)
+		v.w.acknowledge(b, o.AckedSeq)
 		report, changed, asked = v.w.report(b), b.changed, b
 		return nil
 	}
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -76,7 +76,7 @@
 type RenewOrder struct {
 	Token      int64
 	LeaseUntil int64         // milliseconds of the worker's clock, 0 to renew nothing
-	AckedEnd   int64         // ends up to this number need not be reported again
+	AckedSeq   int64         // ends up to this number need not be reported again
 	Wait       time.Duration // how long to wait for an end that was not acknowledged
 }
 
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -119,7 +119,7 @@
 		return
 	}
 	o.cfg.Metrics.Look(nil)
-	s.ends.tell(order.AckedEnd)
+	s.ends.tell(order.AckedSeq)
 	s.heardAt = sentAt
 	o.lookAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
@@ -160,13 +160,13 @@
 func (o *Owner) renewal(s *session, now time.Duration) platform.RenewOrder {
 	// A start that has no answer yet, or a look without one, may have reached a later boot.
 	safe := s.failures == 0 && !s.inDoubt && s.inFlight == 0
-	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.toTell(safe)}
+	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.toTell(safe)}
 	if s.failures == 0 && o.confirmed(now) {
 		// A look without an answer may still arrive; were each of them to renew,
 		// the leases of a worker that is gone would never run out.
 		order.LeaseUntil = s.lease(now)
 	}
-	if s.known && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
+	if s.known && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedSeq) && s.failures == 0 && order.LeaseUntil > 0 {
 		order.Wait = lookWait
 		if s.watches() {
 			order.Wait = watchLook
@@ -200,7 +200,7 @@
 		o.outranked(s)
 		return
 	}
-	if order.AckedEnd > 0 && !platform.IsNotDone(err) {
+	if order.AckedSeq > 0 && !platform.IsNotDone(err) {
 		s.inDoubt = true // a higher token keeps its acknowledgement from a later boot
 	}
 	s.unanswered(o.now())
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -32,7 +32,7 @@
 
 func (h *hasty) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	h.mu.Lock()
-	o.AckedEnd = max(o.AckedEnd, h.last[w.Boot])
+	o.AckedSeq = max(o.AckedSeq, h.last[w.Boot])
 	h.mu.Unlock()
 	r, err := h.Workers.RenewLeases(ctx, w, o)
 	h.mu.Lock()
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -125,8 +125,8 @@
 func (f *forgetless) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	f.mu.Lock()
 	id, _ := platform.ParseBootID(w.Boot)
-	f.acked[id] = max(f.acked[id], o.AckedEnd)
-	o.AckedEnd = f.acked[id]
+	f.acked[id] = max(f.acked[id], o.AckedSeq)
+	o.AckedSeq = f.acked[id]
 	f.mu.Unlock()
 	return f.Workers.RenewLeases(ctx, w, o)
 }
