--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -111,8 +111,8 @@
 	w.takesAll = on
 }
 
-// SetDark has workers that end fall silent, as those do that lose their power.
-func (w *Workers) SetDark(on bool) {
+// SetBlackhole has workers that end fall silent, as those do that lose their power.
+func (w *Workers) SetBlackhole(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.dark = on
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -20,7 +20,7 @@
 		defer e.close()
 		e.sameID = true
 		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
-		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
+		e.workers.SetBlackhole(rapid.Bool().Draw(t, "dark"))
 		m.bootAll(4)
 		m.takeOver()
 		m.mayRuin = rapid.Bool().Draw(t, "crashing tasks")
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -26,7 +26,7 @@
 		e := m.e
 		defer e.close()
 		e.backAfter = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
-		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
+		e.workers.SetBlackhole(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
 		m.mayRuin = rapid.Bool().Draw(t, "crashing tasks")
 		kinds := []func(){m.short, m.short, m.submit, m.restart, m.restart, m.takeOver, m.handOver, m.usurp, m.orderFault, m.heal, m.ruinIf}
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -137,7 +137,7 @@
 		e.backAfter = after
 		return ""
 	case "dark":
-		e.workers.SetDark(true)
+		e.workers.SetBlackhole(true)
 		return ""
 	case "crashes":
 		after, err := time.ParseDuration(arg("after", "10ms"))
