--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -104,8 +104,8 @@
 	w.fault = f
 }
 
-// SetTakesAll has workers start whatever they are told to, or reject what does not fit.
-func (w *Workers) SetTakesAll(on bool) {
+// SetAllowOvercommit has workers start whatever they are told to, or reject what does not fit.
+func (w *Workers) SetAllowOvercommit(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.takesAll = on
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -72,7 +72,7 @@
 		m := newMachine(t, plant)
 		e := m.e
 		defer e.close()
-		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
+		e.workers.SetAllowOvercommit(rapid.Bool().Draw(t, "takes all"))
 		m.bootAll(3)
 		m.takeOver()
 		m.bind()
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -19,7 +19,7 @@
 		e := m.e
 		defer e.close()
 		e.sameID = true
-		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
+		e.workers.SetAllowOvercommit(rapid.Bool().Draw(t, "takes all"))
 		e.workers.SetBlackhole(rapid.Bool().Draw(t, "dark"))
 		m.bootAll(4)
 		m.takeOver()
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -63,7 +63,7 @@
 		e.list(platform.Worker{Boot: boot, VM: boot, Pool: pool, Address: boot, Capacity: platform.Resources{CPU: cpu, MemoryMB: 1 << 20}})
 		return ""
 	case "takes-all":
-		e.workers.SetTakesAll(true)
+		e.workers.SetAllowOvercommit(true)
 		return ""
 	case "unlist":
 		e.locked(func() {
