--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -118,9 +118,9 @@
 	w.dark = on
 }
 
-// SetShortLists has one list of each boot in every so many lack an entry, 0 for none: an end, or
+// SetOmitEvery has one list of each boot in every so many lack an entry, 0 for none: an end, or
 // an attempt that runs. Each attempt is lacked once at most.
-func (w *Workers) SetShortLists(every int) {
+func (w *Workers) SetOmitEvery(every int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.shortEvery = every
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -16,7 +16,7 @@
 		m := newRestartingMachine(t, plant)
 		e := m.e
 		defer e.close()
-		e.workers.SetShortLists(rapid.IntRange(2, 5).Draw(t, "short every"))
+		e.workers.SetOmitEvery(rapid.IntRange(2, 5).Draw(t, "short every"))
 		m.takeOver()
 		kinds := []func(){m.short, m.submit, m.submit, m.cancel, m.restart, m.takeOver, m.handOver, m.rowFault, m.heal, m.fail}
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
