--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -126,8 +126,8 @@
 	w.shortEvery = every
 }
 
-// LeaveOut has the next reports of a boot that would list an end leave it out, so many times.
-func (w *Workers) LeaveOut(name string, end int64, times int) {
+// OmitEnd has the next reports of a boot that would list an end leave it out, so many times.
+func (w *Workers) OmitEnd(name string, end int64, times int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.leftOut[name] == nil {
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -55,7 +55,7 @@
 	case "leave-out":
 		end, _ := strconv.ParseInt(arg("end", "0"), 10, 64)
 		times, _ := strconv.Atoi(arg("times", "1"))
-		e.workers.LeaveOut(arg("boot", ""), end, times)
+		e.workers.OmitEnd(arg("boot", ""), end, times)
 		return ""
 	case "list":
 		cpu, _ := strconv.Atoi(arg("cpu", "0"))
