--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -136,8 +136,8 @@
 	w.leftOut[name][end] = times
 }
 
-// SetCrashed names what is told of each boot that a task has brought down.
-func (w *Workers) SetCrashed(f func(info platform.Worker)) {
+// SetOnCrash names what is told of each boot that a task has brought down.
+func (w *Workers) SetOnCrash(f func(info platform.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.crashed = f
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -104,7 +104,7 @@
 	e.rows.SetFault(func(op fake.RowOp, entry string) fake.Fault { return e.fault("rows", string(op), entry) })
 	e.workers = fake.NewWorkers(time.Millisecond, 3*time.Second, 50*time.Millisecond, e.work, e.witness)
 	e.workers.SetFault(func(op fake.OrderOp, boot, entry string) fake.Fault { return e.fault(string(op), boot, entry) })
-	e.workers.SetCrashed(func(w platform.Worker) { time.AfterFunc(e.backAfter, func() { e.boot(w) }) })
+	e.workers.SetOnCrash(func(w platform.Worker) { time.AfterFunc(e.backAfter, func() { e.boot(w) }) })
 	return e
 }
 
