--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -163,8 +163,8 @@
 // before: the directory tells of it with the next heartbeat, and owners may read it late.
 const roomNoticed = 4500 * time.Millisecond
 
-// SetRoom changes what a boot has room for; what runs there runs on.
-func (w *Workers) SetRoom(name string, room platform.Resources) {
+// SetCapacity changes what a boot has room for; what runs there runs on.
+func (w *Workers) SetCapacity(name string, room platform.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.named(name)
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -112,7 +112,7 @@
 // resize changes what a worker has room for; the directory tells of it with the next heartbeat.
 func (e *estate) resize(boot string, cpu int) {
 	room := platform.Resources{CPU: cpu, MemoryMB: 1 << 20}
-	e.workers.SetRoom(boot, room)
+	e.workers.SetCapacity(boot, room)
 	time.AfterFunc(heartbeat, func() {
 		e.locked(func() {
 			e.listed = slices.Clone(e.listed)
