--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -222,8 +222,8 @@
 	b.changed = make(chan struct{})
 }
 
-// Present returns the boot of a worker that is up, empty if there is none.
-func (w *Workers) Present(worker string) string {
+// CurrentBoot returns the boot of a worker that is up, empty if there is none.
+func (w *Workers) CurrentBoot(worker string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b := w.named(worker); b != nil && !b.dead {
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -67,7 +67,7 @@
 	}
 	w := listed[at]
 	if !silent {
-		e.workers.Reset(e.workers.Present(id))
+		e.workers.Reset(e.workers.CurrentBoot(id))
 	}
 	w.Boot = platform.BootID(id, time.Now().Add(-e.clockBack).UnixMilli())
 	e.workers.Boot(w, 0)
@@ -83,7 +83,7 @@
 // relistRestarted lists a boot that has started again, unless it has ended meanwhile.
 func (e *estate) relistRestarted(w platform.Worker) {
 	id, _ := platform.ParseBootID(w.Boot)
-	if e.workers.Present(id) == w.Boot {
+	if e.workers.CurrentBoot(id) == w.Boot {
 		e.list(w)
 	}
 }
