--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -25,8 +25,8 @@
 // EndCrashed is told to the witness of an attempt that went with its boot; no worker reports it.
 const EndCrashed platform.EndReason = "crashed"
 
-// Witness is told what workers do; a test checks its promises by it.
-type Witness interface {
+// WorkersObserver is told what workers do; a test checks its promises by it.
+type WorkersObserver interface {
 	Started(boot, task string, attempt int64)
 	Ended(boot, task string, attempt int64, reason platform.EndReason)
 	Acked(boot, task string, reason platform.EndReason)
@@ -43,7 +43,7 @@
 	stopTime time.Duration
 	spread   *Spread
 	work     func(task, spec string) Work
-	witness  Witness
+	witness  WorkersObserver
 
 	mu    sync.Mutex
 	fault func(op OrderOp, boot, entry string) Fault
@@ -86,7 +86,7 @@
 
 // NewWorkers returns no workers yet; orders take latency, those carried out late
 // lateBy, and tasks stopTime to end once they are told to.
-func NewWorkers(latency, lateBy, stopTime time.Duration, work func(task, spec string) Work, w Witness) *Workers {
+func NewWorkers(latency, lateBy, stopTime time.Duration, work func(task, spec string) Work, w WorkersObserver) *Workers {
 	return &Workers{
 		latency: latency, lateBy: lateBy, stopTime: stopTime, work: work, witness: w,
 		fault: func(OrderOp, string, string) Fault { return FaultNone }, boots: map[string]*boot{},
