--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -67,7 +67,7 @@
 
 func (idleWitness) Started(string, string, int64)                   {}
 func (idleWitness) Ended(string, string, int64, platform.EndReason) {}
-func (idleWitness) Overfilled(string, string)                       {}
+func (idleWitness) Overcommitted(string, string)                    {}
 func (idleWitness) BroughtDown(string, string)                      {}
 func (idleWitness) Acked(string, string, platform.EndReason)        {}
 
--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -31,7 +31,7 @@
 			return platform.ErrOrderRefused{Reason: platform.RefusedNoCapacity, ClockMs: b.clock()}
 		}
 		if !b.fitsOfLate(work.Needs) {
-			w.witness.Overfilled(b.info.Boot, o.Task)
+			w.witness.Overcommitted(b.info.Boot, o.Task)
 		}
 	}
 	b.free = b.free.Sub(work.Needs)
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -30,8 +30,8 @@
 	Started(boot, task string, attempt int64)
 	Ended(boot, task string, attempt int64, reason platform.EndReason)
 	Acked(boot, task string, reason platform.EndReason)
-	// Overfilled tells of a start for which the boot, which does not reject it, has no room.
-	Overfilled(boot, task string)
+	// Overcommitted tells of a start for which the boot, which does not reject it, has no room.
+	Overcommitted(boot, task string)
 	// BroughtDown tells of a task that has brought the boot down.
 	BroughtDown(boot, task string)
 }
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -153,8 +153,8 @@
 	return w.down[task] > 0 && w.under[task] >= leastLost
 }
 
-// Overfilled implements fake.Witness.
-func (w *witness) Overfilled(boot, task string) {
+// Overcommitted implements fake.Witness.
+func (w *witness) Overcommitted(boot, task string) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
 	w.breaks("%s started at %s, which has no room for it", task, boot)
