--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -68,7 +68,7 @@
 func (idleWitness) Started(string, string, int64)                   {}
 func (idleWitness) Ended(string, string, int64, platform.EndReason) {}
 func (idleWitness) Overcommitted(string, string)                    {}
-func (idleWitness) BroughtDown(string, string)                      {}
+func (idleWitness) Crashed(string, string)                          {}
 func (idleWitness) Acked(string, string, platform.EndReason)        {}
 
 // source reads rows that the test writes as JSON.
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -32,8 +32,8 @@
 	Acked(boot, task string, reason platform.EndReason)
 	// Overcommitted tells of a start for which the boot, which does not reject it, has no room.
 	Overcommitted(boot, task string)
-	// BroughtDown tells of a task that has brought the boot down.
-	BroughtDown(boot, task string)
+	// Crashed tells of a task that has brought the boot down.
+	Crashed(boot, task string)
 }
 
 // Workers is a stand-in of the workers of a deployment.
@@ -256,7 +256,7 @@
 	if b.dead {
 		return
 	}
-	w.witness.BroughtDown(b.info.Boot, task)
+	w.witness.Crashed(b.info.Boot, task)
 	w.end(b)
 	close(b.changed)
 	go w.crashed(b.info)
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -160,8 +160,8 @@
 	w.breaks("%s started at %s, which has no room for it", task, boot)
 }
 
-// BroughtDown implements fake.Witness.
-func (w *witness) BroughtDown(_, task string) {
+// Crashed implements fake.Witness.
+func (w *witness) Crashed(_, task string) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
 	w.down[task]++
