--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -66,7 +66,7 @@
 	latency time.Duration
 	lateBy  time.Duration
 	start   time.Time
-	spread  *Spread
+	spread  *Jitter
 
 	mu      sync.Mutex
 	fault   func(op RowOp, entry string) Fault
@@ -95,7 +95,7 @@
 }
 
 // SetSpread has each call take a delay of its own longer; it is called before the first one.
-func (r *Rows) SetSpread(s *Spread) { r.spread = s }
+func (r *Rows) SetSpread(s *Jitter) { r.spread = s }
 
 // NewRows returns an empty table service whose calls take latency, and late effects lateBy more.
 func NewRows(latency, lateBy time.Duration) *Rows {
--- a/pkg/platform/fake/spread.go
+++ b/pkg/platform/fake/spread.go
@@ -14,11 +14,11 @@
 // widestSpread bounds what a spread adds to a call.
 const widestSpread = 100 * time.Microsecond
 
-// Spread adds a small delay of its own to each call, so that no two are answered at the same
+// Jitter adds a small delay of its own to each call, so that no two are answered at the same
 // instant: the runtime shuffles timers of virtual time that are due together. The delay follows
 // from what the call is, from how many of its kind came before, and from the millisecond, so that
-// another course has other orders. A nil Spread adds nothing.
-type Spread struct {
+// another course has other orders. A nil Jitter adds nothing.
+type Jitter struct {
 	mu    sync.Mutex
 	start time.Time
 	salt  uint64
@@ -26,12 +26,12 @@
 }
 
 // NewSpread returns a spread for a course that begins now; another salt has other orders.
-func NewSpread(salt uint64) *Spread {
-	return &Spread{start: time.Now(), salt: salt, calls: map[string]uint64{}}
+func NewSpread(salt uint64) *Jitter {
+	return &Jitter{start: time.Now(), salt: salt, calls: map[string]uint64{}}
 }
 
 // delay is what the next call of a kind takes longer.
-func (s *Spread) delay(kind ...string) time.Duration {
+func (s *Jitter) delay(kind ...string) time.Duration {
 	if s == nil {
 		return 0
 	}
@@ -49,12 +49,12 @@
 }
 
 // outlast waits until ctx has ended, as a call does that gets no answer.
-func (s *Spread) outlast(ctx context.Context, kind ...string) {
+func (s *Jitter) outlast(ctx context.Context, kind ...string) {
 	<-ctx.Done()
 	s.hold(kind...)
 }
 
 // hold puts off what a call does next.
-func (s *Spread) hold(kind ...string) {
+func (s *Jitter) hold(kind ...string) {
 	_ = pause.For(context.Background(), s.delay(kind...)) // it ends by itself
 }
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -41,7 +41,7 @@
 	latency  time.Duration
 	lateBy   time.Duration
 	stopTime time.Duration
-	spread   *Spread
+	spread   *Jitter
 	work     func(task, spec string) Work
 	witness  WorkersObserver
 
@@ -95,7 +95,7 @@
 }
 
 // SetSpread has each order take a delay of its own longer; it is called before the first one.
-func (w *Workers) SetSpread(s *Spread) { w.spread = s }
+func (w *Workers) SetSpread(s *Jitter) { w.spread = s }
 
 // SetFault decides about each order from now on.
 func (w *Workers) SetFault(f func(op OrderOp, boot, entry string) Fault) {
