--- a/pkg/platform/fake/spread.go
+++ b/pkg/platform/fake/spread.go
@@ -25,8 +25,8 @@
 	calls map[string]uint64
 }
 
-// NewSpread returns a spread for a course that begins now; another salt has other orders.
-func NewSpread(salt uint64) *Jitter {
+// NewJitter returns a spread for a course that begins now; another salt has other orders.
+func NewJitter(salt uint64) *Jitter {
 	return &Jitter{start: time.Now(), salt: salt, calls: map[string]uint64{}}
 }
 
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -49,7 +49,7 @@
 // breaks something.
 func newMachine(t *rapid.T, plant func(*estate)) *machine {
 	e := newEstate(t)
-	spread := fake.NewSpread(*salt)
+	spread := fake.NewJitter(*salt)
 	e.rows.SetSpread(spread)
 	e.workers.SetSpread(spread)
 	if plant != nil {
