--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// SetSpread has each order take a delay of its own longer; it is called before the first one.
-func (w *Workers) SetSpread(s *Jitter) { w.spread = s }
+// SetJitter has each order take a delay of its own longer; it is called before the first one.
+func (w *Workers) SetJitter(s *Jitter) { w.spread = s }
 
 // SetFault decides about each order from now on.
 func (w *Workers) SetFault(f func(op OrderOp, boot, entry string) Fault) {
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -51,7 +51,7 @@
 	e := newEstate(t)
 	spread := fake.NewJitter(*salt)
 	e.rows.SetSpread(spread)
-	e.workers.SetSpread(spread)
+	e.workers.SetJitter(spread)
 	if plant != nil {
 		plant(e)
 	}
