--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -94,8 +94,8 @@
 	return r.latency
 }
 
-// SetSpread has each call take a delay of its own longer; it is called before the first one.
-func (r *Rows) SetSpread(s *Jitter) { r.spread = s }
+// SetJitter has each call take a delay of its own longer; it is called before the first one.
+func (r *Rows) SetJitter(s *Jitter) { r.spread = s }
 
 // NewRows returns an empty table service whose calls take latency, and late effects lateBy more.
 func NewRows(latency, lateBy time.Duration) *Rows {
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -50,7 +50,7 @@
 func newMachine(t *rapid.T, plant func(*estate)) *machine {
 	e := newEstate(t)
 	spread := fake.NewJitter(*salt)
-	e.rows.SetSpread(spread)
+	e.rows.SetJitter(spread)
 	e.workers.SetJitter(spread)
 	if plant != nil {
 		plant(e)
