--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -105,12 +105,12 @@
 	return w.stall != nil && w.stall(b.info.Boot, task)
 }
 
-// LongestLease is the longest lease that a worker grants; longer ones are cut.
-const LongestLease = 10 * time.Second
+// MaxLease is the longest lease that a worker grants; longer ones are cut.
+const MaxLease = 10 * time.Second
 
 // extend moves the deadline of the leases; it is never shortened.
 func (w *Workers) extend(b *boot, until int64) {
-	until = min(until, b.clock()+LongestLease.Milliseconds())
+	until = min(until, b.clock()+MaxLease.Milliseconds())
 	if until <= b.lease {
 		return
 	}
