--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -119,8 +119,8 @@
 	r.rate = bytes
 }
 
-// Forget drops the history of changes.
-func (r *Rows) Forget() {
+// TruncateHistory drops the history of changes.
+func (r *Rows) TruncateHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log, r.forgot = nil, r.version
