--- a/pkg/platform/fake/fake.go
+++ b/pkg/platform/fake/fake.go
@@ -55,7 +55,7 @@
 func WithRebootTime(d time.Duration) Option { return func(p *Platform) { p.fleet.rebootTime = d } }
 
 // WithMachine connects the VMs to the backend servers that run on them.
-func WithMachine(m Machine) Option { return func(p *Platform) { p.fleet.machine = m } }
+func WithMachine(m VMRuntime) Option { return func(p *Platform) { p.fleet.machine = m } }
 
 // WithObserver tells o of every write that takes effect.
 func WithObserver(o Observer) Option { return func(p *Platform) { p.table.observer = o } }
--- a/pkg/platform/fake/fleet.go
+++ b/pkg/platform/fake/fleet.go
@@ -14,8 +14,8 @@
 
 const defaultRebootTime = 500 * time.Millisecond
 
-// Machine is what runs on the VMs; its methods must not call the platform.
-type Machine interface {
+// VMRuntime is what runs on the VMs; its methods must not call the platform.
+type VMRuntime interface {
 	// Leaving tells the VM's backend server whether it is leaving.
 	Leaving(vm string, leaving bool)
 	// Power starts or stops everything on the VM.
@@ -49,7 +49,7 @@
 	mu         sync.Mutex
 	lag        time.Duration
 	rebootTime time.Duration
-	machine    Machine
+	machine    VMRuntime
 	vms        map[string]*fakeVM
 }
 
