--- a/pkg/bench/standin/standin.go
+++ b/pkg/bench/standin/standin.go
@@ -74,7 +74,7 @@
 	}
 	s.Farm = backend.NewFarm(s.Checker, farm...)
 	s.Platform = fake.New(fake.WithSeed(o.Seed), fake.WithLatency(o.Latency), fake.WithListLag(o.ListLag),
-		fake.WithRebootTime(o.RebootTime), fake.WithMachine(s.Farm), fake.WithObserver(s.Checker))
+		fake.WithRebootTime(o.RebootTime), fake.WithVMRuntime(s.Farm), fake.WithObserver(s.Checker))
 	if err := s.startBackends(rows); err != nil {
 		s.Close()
 		return nil, err
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -72,7 +72,7 @@
 		t: t, plants: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
 		off: map[string]bool{}, leaving: map[string]bool{},
 	}
-	w.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(w), fake.WithObserver(w),
+	w.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithVMRuntime(w), fake.WithObserver(w),
 		fake.WithListLag(2*time.Second), fake.WithRebootTime(2*time.Second), fake.WithLimits(10_000, 100_000))
 	for range worldNodes {
 		w.nodes = append(w.nodes, w.newNode())
--- a/pkg/platform/fake/fake.go
+++ b/pkg/platform/fake/fake.go
@@ -54,8 +54,8 @@
 // WithRebootTime sets how long a reboot takes.
 func WithRebootTime(d time.Duration) Option { return func(p *Platform) { p.fleet.rebootTime = d } }
 
-// WithMachine connects the VMs to the backend servers that run on them.
-func WithMachine(m VMRuntime) Option { return func(p *Platform) { p.fleet.machine = m } }
+// WithVMRuntime connects the VMs to the backend servers that run on them.
+func WithVMRuntime(m VMRuntime) Option { return func(p *Platform) { p.fleet.machine = m } }
 
 // WithObserver tells o of every write that takes effect.
 func WithObserver(o Observer) Option { return func(p *Platform) { p.table.observer = o } }
