--- a/cmd/gannetwelld/cmds/serve.go
+++ b/cmd/gannetwelld/cmds/serve.go
@@ -77,7 +77,7 @@
 		DecodeEvacuation: platform.DecodeEvacuation, DecodeWave: platform.DecodeWave, EncodeWave: platform.EncodeWaveReport,
 	}, log)
 	handleSignals(n.Stop, func() { c.reload(s, log) })
-	return n.Run(node.Handlers{Callers: platform.CallerHandler(n), Readiness: platform.Readiness(n)})
+	return n.Run(node.Handlers{Callers: platform.CallerHandler(n), Readiness: platform.ReadinessHandler(n)})
 }
 
 // processors is how many processors an entry runs on at once: no more than its
