--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -12,26 +12,26 @@
 	number   int64
 	needs    platform.Resources
 	timer    *time.Timer
-	ending   bool
+	stopping   bool
 	started  time.Time
 	duration time.Duration // 0 for a task that runs until it is stopped
-	stalled  time.Duration // progress at which it stands still, 0 for never
+	stallAfter  time.Duration // progress at which it stands still, 0 for never
 }
 
-func (w *Workers) begin(b *boot, o platform.StartOrder) error {
+func (w *Workers) startAttempt(b *boot, o platform.StartOrder) error {
 	if a := b.running[o.Task]; a != nil && a.number == o.Attempt {
 		return nil
 	}
-	if o.Attempt <= b.highest[o.Task] {
+	if o.Attempt <= b.highestAttempt[o.Task] {
 		return platform.ErrOrderRefused{Reason: platform.RefusedStaleAttempt, ClockMs: b.clock()}
 	}
 	work := w.work(o.Task, o.Spec)
 	if !work.Needs.Fits(b.free) {
-		if !w.takesAll {
+		if !w.allowOvercommit {
 			return platform.ErrOrderRefused{Reason: platform.RefusedNoCapacity, ClockMs: b.clock()}
 		}
-		if !b.fitsOfLate(work.Needs) {
-			w.witness.Overcommitted(b.info.Boot, o.Task)
+		if !b.fitsNowOrRecently(work.Needs) {
+			w.observer.Overcommitted(b.info.Boot, o.Task)
 		}
 	}
 	b.free = b.free.Sub(work.Needs)
@@ -45,26 +45,26 @@
 	}
 	a := &attempt{number: o.Attempt, needs: work.Needs, started: time.Now(), duration: work.Duration}
 	if w.stalls(b, o.Task) {
-		a.stalled = work.Duration / 4
+		a.stallAfter = work.Duration / 4
 	}
 	a.timer = time.AfterFunc(duration, func() { w.finish(b, o.Task, a, reason) })
 	b.running[o.Task] = a
-	w.witness.Started(b.info.Boot, o.Task, o.Attempt)
+	w.observer.Started(b.info.Boot, o.Task, o.Attempt)
 	switch {
 	case work.Crashes && work.CrashAfter == 0:
-		w.bringDown(b, o.Task)
+		w.crashBoot(b, o.Task)
 	case work.Crashes:
-		time.AfterFunc(work.CrashAfter, func() { w.crash(b, o.Task, a) })
+		time.AfterFunc(work.CrashAfter, func() { w.crashIfRunning(b, o.Task, a) })
 	}
 	return nil
 }
 
-// crash has an attempt that runs still bring its worker down.
-func (w *Workers) crash(b *boot, task string, a *attempt) {
+// crashIfRunning has an attempt that runs still bring its worker down.
+func (w *Workers) crashIfRunning(b *boot, task string, a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b.running[task] == a {
-		w.bringDown(b, task)
+		w.crashBoot(b, task)
 	}
 }
 
@@ -80,10 +80,10 @@
 	a.timer.Stop()
 	delete(b.running, task)
 	b.free = b.free.Add(a.needs)
-	b.highest[task] = max(b.highest[task], a.number)
-	b.last++
-	b.ended = append(b.ended, platform.AttemptEnd{Seq: b.last, Task: task, Attempt: a.number, Reason: reason})
-	w.witness.Ended(b.info.Boot, task, a.number, reason)
+	b.highestAttempt[task] = max(b.highestAttempt[task], a.number)
+	b.lastSeq++
+	b.ended = append(b.ended, platform.AttemptEnd{Seq: b.lastSeq, Task: task, Attempt: a.number, Reason: reason})
+	w.observer.Ended(b.info.Boot, task, a.number, reason)
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
@@ -94,8 +94,8 @@
 		return 100
 	}
 	ran := time.Since(a.started)
-	if a.stalled > 0 {
-		ran = min(ran, a.stalled)
+	if a.stallAfter > 0 {
+		ran = min(ran, a.stallAfter)
 	}
 	return int(100 * ran / a.duration)
 }
@@ -108,24 +108,24 @@
 // MaxLease is the longest lease that a worker grants; longer ones are cut.
 const MaxLease = 10 * time.Second
 
-// extend moves the deadline of the leases; it is never shortened.
-func (w *Workers) extend(b *boot, until int64) {
+// extendLeases moves the deadline of the leases; it is never shortened.
+func (w *Workers) extendLeases(b *boot, until int64) {
 	until = min(until, b.clock()+MaxLease.Milliseconds())
-	if until <= b.lease {
+	if until <= b.leaseUntil {
 		return
 	}
-	b.lease = until
-	if b.lapse != nil {
-		b.lapse.Stop()
+	b.leaseUntil = until
+	if b.leaseTimer != nil {
+		b.leaseTimer.Stop()
 	}
 	left := time.Duration(float64(until-b.clock())/(1-b.drift)) * time.Millisecond
-	b.lapse = time.AfterFunc(left, func() { w.lapse(b, until) })
+	b.leaseTimer = time.AfterFunc(left, func() { w.expireLeases(b, until) })
 }
 
-func (w *Workers) lapse(b *boot, until int64) {
+func (w *Workers) expireLeases(b *boot, until int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b.dead || b.lease != until {
+	if b.dead || b.leaseUntil != until {
 		return
 	}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
@@ -136,27 +136,27 @@
 func (w *Workers) acknowledge(b *boot, upTo int64) {
 	for _, e := range b.ended {
 		if e.Seq <= upTo {
-			w.witness.Acked(b.info.Boot, e.Task, e.Reason)
+			w.observer.Acked(b.info.Boot, e.Task, e.Reason)
 		}
 	}
-	b.acked = max(b.acked, upTo)
-	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Seq <= b.acked })
+	b.ackedSeq = max(b.ackedSeq, upTo)
+	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Seq <= b.ackedSeq })
 }
 
 // report returns what a boot lists of itself.
 func (w *Workers) report(b *boot) platform.WorkerReport {
-	r := platform.WorkerReport{ClockMs: b.clock(), BootedAtMs: b.born, Ended: slices.Clone(b.ended)}
+	r := platform.WorkerReport{ClockMs: b.clock(), BootedAtMs: b.bootedAtMs, Ended: slices.Clone(b.ended)}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
 		a := b.running[task]
 		r.Running = append(r.Running, platform.RunningAttempt{Task: task, Attempt: a.number, Percent: a.percent()})
 	}
-	w.leaveOut(b, &r)
+	w.omitEnds(b, &r)
 	return r
 }
 
-// leaveOut takes the ends out of a report that are to be left out yet.
-func (w *Workers) leaveOut(b *boot, r *platform.WorkerReport) {
-	left := w.leftOut[b.info.Boot]
+// omitEnds takes the ends out of a report that are to be left out yet.
+func (w *Workers) omitEnds(b *boot, r *platform.WorkerReport) {
+	left := w.endOmissions[b.info.Boot]
 	if left == nil {
 		return
 	}
@@ -172,21 +172,21 @@
 	number int64
 }
 
-// shorten takes an entry out of one answer of a boot in so many, that of an attempt no list of
+// omitEntry takes an entry out of one answer of a boot in so many, that of an attempt no list of
 // it has lacked yet.
-func (w *Workers) shorten(b *boot, r *platform.WorkerReport) {
+func (w *Workers) omitEntry(b *boot, r *platform.WorkerReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	b.lists++
-	if w.shortEvery == 0 || b.lists%w.shortEvery != 0 {
+	b.reportCount++
+	if w.omitEvery == 0 || b.reportCount%w.omitEvery != 0 {
 		return
 	}
 	once := func(task string, number int64) bool {
 		key := attemptKey{task: task, number: number}
-		if b.lacked[key] {
+		if b.omitted[key] {
 			return false
 		}
-		b.lacked[key] = true
+		b.omitted[key] = true
 		return true
 	}
 	for i, e := range r.Ended {
--- a/pkg/platform/fake/fake.go
+++ b/pkg/platform/fake/fake.go
@@ -13,7 +13,7 @@
 const (
 	DefaultWritesPerSecond = 100
 	DefaultReadsPerSecond  = 2000
-	limitBurst             = 0.25 // of a second
+	burstSeconds             = 0.25 // of a second
 )
 
 // Platform is the stand-in's state, shared by all views.
@@ -55,13 +55,13 @@
 func WithRebootTime(d time.Duration) Option { return func(p *Platform) { p.fleet.rebootTime = d } }
 
 // WithVMRuntime connects the VMs to the backend servers that run on them.
-func WithVMRuntime(m VMRuntime) Option { return func(p *Platform) { p.fleet.machine = m } }
+func WithVMRuntime(m VMRuntime) Option { return func(p *Platform) { p.fleet.runtime = m } }
 
 // WithObserver tells o of every write that takes effect.
 func WithObserver(o Observer) Option { return func(p *Platform) { p.table.observer = o } }
 
 func limiter(perSecond int) *rate.Limiter {
-	burst := max(1, int(float64(perSecond)*limitBurst))
+	burst := max(1, int(float64(perSecond)*burstSeconds))
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
--- a/pkg/platform/fake/faults.go
+++ b/pkg/platform/fake/faults.go
@@ -42,8 +42,8 @@
 	mu    sync.Mutex
 	rng   *rand.Rand
 	rules []Rule
-	spent []int // faults that each rule has brought about
-	seen  []int // calls that each rule has matched
+	fired []int // faults that each rule has brought about
+	matched  []int // calls that each rule has matched
 	calls map[rest.Operation]int
 }
 
@@ -55,8 +55,8 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.rules = append([]Rule(nil), rules...)
-	in.spent = make([]int, len(rules))
-	in.seen = make([]int, len(rules))
+	in.fired = make([]int, len(rules))
+	in.matched = make([]int, len(rules))
 }
 
 // decide returns the fault of one call and its delay.
@@ -68,14 +68,14 @@
 		if r.Op != "" && r.Op != op || r.Zone != "" && r.Zone != zone {
 			continue
 		}
-		in.seen[i]++
-		if in.seen[i] <= r.Skip || r.Count > 0 && in.spent[i] >= r.Count {
+		in.matched[i]++
+		if in.matched[i] <= r.Skip || r.Count > 0 && in.fired[i] >= r.Count {
 			continue
 		}
 		if r.Chance > 0 && in.rng.Float64() >= r.Chance {
 			continue
 		}
-		in.spent[i]++
+		in.fired[i]++
 		if r.Fault == FaultSlow {
 			delay += time.Duration(r.DelayMs) * time.Millisecond
 			continue
@@ -85,8 +85,8 @@
 	return FaultNone, delay
 }
 
-// around carries out one call under the rules and limits.
-func (v *view) around(ctx context.Context, op rest.Operation, effect func() error) error {
+// call carries out one call under the rules and limits.
+func (v *view) call(ctx context.Context, op rest.Operation, effect func() error) error {
 	fault, delay := v.p.faults.decide(op, v.zone)
 	if err := pause.For(ctx, v.p.latency+delay); err != nil {
 		return platform.ErrNotDone{Op: string(op), Cause: err.Error()}
@@ -98,17 +98,17 @@
 	case FaultDown:
 		return platform.ErrNotDone{Op: string(op), Cause: "the platform is down"}
 	case FaultLostBefore:
-		return lostCall(op, "the connection broke")
+		return lostError(op, "the connection broke")
 	}
 	err := effect()
 	if fault == FaultLostAfter && err == nil {
-		return lostCall(op, "the answer was lost")
+		return lostError(op, "the answer was lost")
 	}
 	return err
 }
 
-// lostCall is what a client learns when no answer comes: a read never has an effect.
-func lostCall(op rest.Operation, cause string) error {
+// lostError is what a client learns when no answer comes: a read never has an effect.
+func lostError(op rest.Operation, cause string) error {
 	if op.Writes() {
 		return platform.ErrUnknown{Op: string(op), Cause: cause}
 	}
--- a/pkg/platform/fake/fleet.go
+++ b/pkg/platform/fake/fleet.go
@@ -24,15 +24,15 @@
 	InFlight(vm string) int
 }
 
-// bareMachine runs nothing.
-type bareMachine struct{}
+// noRuntime runs nothing.
+type noRuntime struct{}
 
-func (bareMachine) Leaving(string, bool) {}
-func (bareMachine) Power(string, bool)   {}
-func (bareMachine) InFlight(string) int  { return 0 }
+func (noRuntime) Leaving(string, bool) {}
+func (noRuntime) Power(string, bool)   {}
+func (noRuntime) InFlight(string) int  { return 0 }
 
-// seenState is a state that a VM had from a time on.
-type seenState struct {
+// stateChange is a state that a VM had from a time on.
+type stateChange struct {
 	at    time.Time
 	state platform.VMState
 }
@@ -41,7 +41,7 @@
 	listed    platform.ListedVM
 	boot      int
 	operation string
-	history   []seenState
+	history   []stateChange
 }
 
 // fleet is the VMs.
@@ -49,13 +49,13 @@
 	mu         sync.Mutex
 	lag        time.Duration
 	rebootTime time.Duration
-	machine    VMRuntime
+	runtime    VMRuntime
 	vms        map[string]*fakeVM
 }
 
 func (f *fleet) init() {
 	f.rebootTime = defaultRebootTime
-	f.machine = bareMachine{}
+	f.runtime = noRuntime{}
 	f.vms = map[string]*fakeVM{}
 }
 
@@ -65,7 +65,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	vm.State = platform.VMLive
-	f.vms[vm.Name] = &fakeVM{listed: vm, boot: 1, history: []seenState{{time.Now(), platform.VMLive}}}
+	f.vms[vm.Name] = &fakeVM{listed: vm, boot: 1, history: []stateChange{{time.Now(), platform.VMLive}}}
 }
 
 // Fail stops a VM without notice.
@@ -79,25 +79,25 @@
 	f.mu.Lock()
 	vm, ok := f.vms[name]
 	if ok {
-		vm.become(state)
+		vm.setState(state)
 		if state == platform.VMLive {
 			vm.boot++
 		}
 	}
 	f.mu.Unlock()
 	if ok {
-		f.machine.Power(name, state == platform.VMLive)
+		f.runtime.Power(name, state == platform.VMLive)
 	}
 }
 
-// become sets the state; the caller holds the lock.
-func (vm *fakeVM) become(state platform.VMState) {
+// setState sets the state; the caller holds the lock.
+func (vm *fakeVM) setState(state platform.VMState) {
 	vm.listed.State = state
-	vm.history = append(vm.history, seenState{time.Now(), state})
+	vm.history = append(vm.history, stateChange{time.Now(), state})
 }
 
-// at returns the state at a time, false when the VM did not exist then.
-func (vm *fakeVM) at(t time.Time) (state platform.VMState, ok bool) {
+// stateAt returns the state stateAt a time, false when the VM did not exist then.
+func (vm *fakeVM) stateAt(t time.Time) (state platform.VMState, ok bool) {
 	for i, h := range slices.Backward(vm.history) {
 		if !h.at.After(t) {
 			vm.history = vm.history[i:]
@@ -109,14 +109,14 @@
 
 // ListVMs implements platform.Lister.
 func (v *view) ListVMs(ctx context.Context, zone string) (list platform.VMList, err error) {
-	err = v.around(ctx, rest.OpListVMs, func() error {
+	err = v.call(ctx, rest.OpListVMs, func() error {
 		f := &v.p.fleet
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		asOf := time.Now().Add(-f.lag)
 		list.AsOfMs = asOf.UnixMilli()
 		for _, vm := range f.vms {
-			state, ok := vm.at(asOf)
+			state, ok := vm.stateAt(asOf)
 			if !ok || zone != "" && vm.listed.Zone != zone {
 				continue
 			}
@@ -130,9 +130,9 @@
 	return list, err
 }
 
-// onVM carries out an operation on an existing VM; f runs under the lock.
-func (v *view) onVM(ctx context.Context, op rest.Operation, name string, f func(vm *fakeVM) error) error {
-	return v.around(ctx, op, func() error {
+// withVM carries out an operation on an existing VM; f runs under the lock.
+func (v *view) withVM(ctx context.Context, op rest.Operation, name string, f func(vm *fakeVM) error) error {
+	return v.call(ctx, op, func() error {
 		fl := &v.p.fleet
 		fl.mu.Lock()
 		defer fl.mu.Unlock()
@@ -146,8 +146,8 @@
 
 // Drain implements platform.VMs.
 func (v *view) Drain(ctx context.Context, name string, boot int) error {
-	return v.onVM(ctx, rest.OpDrain, name, func(vm *fakeVM) error {
-		if err := vm.expect(rest.OpDrain, boot); err != nil {
+	return v.withVM(ctx, rest.OpDrain, name, func(vm *fakeVM) error {
+		if err := vm.checkBoot(rest.OpDrain, boot); err != nil {
 			return err
 		}
 		v.p.fleet.setLeaving(vm, platform.VMLive, platform.VMLeaving)
@@ -157,14 +157,14 @@
 
 // Undrain implements platform.VMs.
 func (v *view) Undrain(ctx context.Context, name string) error {
-	return v.onVM(ctx, rest.OpUndrain, name, func(vm *fakeVM) error {
+	return v.withVM(ctx, rest.OpUndrain, name, func(vm *fakeVM) error {
 		v.p.fleet.setLeaving(vm, platform.VMLeaving, platform.VMLive)
 		return nil
 	})
 }
 
-// expect refuses an operation on a VM that has booted since.
-func (vm *fakeVM) expect(op rest.Operation, boot int) error {
+// checkBoot refuses an operation on a VM that has booted since.
+func (vm *fakeVM) checkBoot(op rest.Operation, boot int) error {
 	if vm.boot == boot {
 		return nil
 	}
@@ -176,24 +176,24 @@
 	if vm.listed.State != from {
 		return
 	}
-	vm.become(to)
-	f.machine.Leaving(vm.listed.Name, to == platform.VMLeaving)
+	vm.setState(to)
+	f.runtime.Leaving(vm.listed.Name, to == platform.VMLeaving)
 }
 
 // Reboot implements platform.VMs.
 func (v *view) Reboot(ctx context.Context, name, operation string, boot int) error {
-	return v.onVM(ctx, rest.OpReboot, name, func(vm *fakeVM) error {
+	return v.withVM(ctx, rest.OpReboot, name, func(vm *fakeVM) error {
 		if vm.operation == operation {
 			return nil
 		}
-		if err := vm.expect(rest.OpReboot, boot); err != nil {
+		if err := vm.checkBoot(rest.OpReboot, boot); err != nil {
 			return err
 		}
 		if vm.listed.State == platform.VMRebooting {
 			return platform.ErrRefused{Op: string(rest.OpReboot), Reason: "the VM is rebooting"}
 		}
 		vm.operation = operation
-		vm.become(platform.VMRebooting)
+		vm.setState(platform.VMRebooting)
 		go v.p.fleet.reboot(name)
 		return nil
 	})
@@ -201,31 +201,31 @@
 
 // reboot takes a VM down and up again.
 func (f *fleet) reboot(name string) {
-	f.machine.Power(name, false)
+	f.runtime.Power(name, false)
 	time.Sleep(f.rebootTime)
 	f.mu.Lock()
 	vm, ok := f.vms[name]
-	came := ok && vm.listed.State == platform.VMRebooting
+	rebooting := ok && vm.listed.State == platform.VMRebooting
 	f.mu.Unlock()
-	if !came {
+	if !rebooting {
 		return
 	}
-	f.machine.Power(name, true)
+	f.runtime.Power(name, true)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	vm.boot++
-	vm.become(platform.VMLive)
+	vm.setState(platform.VMLive)
 }
 
 // VMStatus implements platform.VMs.
 func (v *view) VMStatus(ctx context.Context, name string) (status platform.VMStatus, err error) {
-	err = v.onVM(ctx, rest.OpVMStatus, name, func(vm *fakeVM) error {
+	err = v.withVM(ctx, rest.OpVMStatus, name, func(vm *fakeVM) error {
 		if vm.listed.State == platform.VMGone {
 			return platform.ErrNotDone{Op: string(rest.OpVMStatus), Cause: name + " does not answer"}
 		}
 		status = platform.VMStatus{
 			Name: name, State: vm.listed.State, Boot: vm.boot, Operation: vm.operation,
-			InFlight: v.p.fleet.machine.InFlight(name),
+			InFlight: v.p.fleet.runtime.InFlight(name),
 		}
 		return nil
 	})
--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -29,18 +29,18 @@
 // As returns the workers as one entry reaches them.
 func (w *Workers) As(entry string) platform.Workers { return &workersView{w: w, entry: entry} }
 
-// call carries one order out, for a task or none, under the fault in force; do runs under the lock.
-func (v *workersView) call(ctx context.Context, op OrderOp, ref platform.WorkerRef, task string, do func(b *boot) error) error {
-	kind := []string{string(op), ref.Boot, v.entry, task}
+// sendOrder carries one order out, for a task or none, under the fault in force; do runs under the lock.
+func (v *workersView) sendOrder(ctx context.Context, op OrderOp, ref platform.WorkerRef, task string, do func(b *boot) error) error {
+	jitterKey := []string{string(op), ref.Boot, v.entry, task}
 	v.w.mu.Lock()
 	fault := v.w.fault(op, ref.Boot, v.entry)
 	v.w.mu.Unlock()
-	if err := pause.For(ctx, v.w.latency+v.w.spread.delay(kind...)); err != nil {
-		v.w.spread.hold(kind...)
+	if err := pause.For(ctx, v.w.latency+v.w.jitter.delay(jitterKey...)); err != nil {
+		v.w.jitter.sleep(jitterKey...)
 		return platform.ErrUnknown{Op: string(op), Cause: err.Error()}
 	}
 	lost := func() error {
-		v.w.spread.outlast(ctx, kind...)
+		v.w.jitter.waitDone(ctx, jitterKey...)
 		return platform.ErrUnknown{Op: string(op), Cause: ctx.Err().Error()}
 	}
 	switch fault {
@@ -53,7 +53,7 @@
 		return lost()
 	}
 	err := v.apply(ref, do)
-	if fault == FaultLostAfter || v.w.silentIn(ref, err) {
+	if fault == FaultLostAfter || v.w.dropsAnswer(ref, err) {
 		return lost()
 	}
 	return err
@@ -64,12 +64,12 @@
 func (v *workersView) applyLate(ref platform.WorkerRef, do func(b *boot) error) {
 	v.w.mu.Lock()
 	defer v.w.mu.Unlock()
-	took := v.w.reached(ref)
-	time.AfterFunc(v.w.lateBy, func() {
+	target := v.w.resolve(ref)
+	time.AfterFunc(v.w.lateDelay, func() {
 		v.w.mu.Lock()
 		defer v.w.mu.Unlock()
-		if took != nil && !took.dead {
-			_ = do(took)
+		if target != nil && !target.dead {
+			_ = do(target)
 		}
 	})
 }
@@ -77,7 +77,7 @@
 func (v *workersView) apply(ref platform.WorkerRef, do func(b *boot) error) error {
 	v.w.mu.Lock()
 	defer v.w.mu.Unlock()
-	if b := v.w.reached(ref); b != nil {
+	if b := v.w.resolve(ref); b != nil {
 		err := do(b)
 		if b.dead {
 			return platform.ErrUnknown{Op: "order", Cause: "connection was closed"}
@@ -92,19 +92,19 @@
 	return platform.ErrNotDone{Op: "order", Cause: "connection refused"}
 }
 
-// silentIn tells whether a call that ended so gets no answer, since its worker is dark.
-func (w *Workers) silentIn(ref platform.WorkerRef, err error) bool {
+// dropsAnswer tells whether a call that ended so gets no answer, since its worker is dark.
+func (w *Workers) dropsAnswer(ref platform.WorkerRef, err error) bool {
 	if err == nil || errors.As(err, new(platform.ErrOtherBoot)) {
 		return false
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.boots[ref.Boot]
-	return w.dark && b != nil && b.dead
+	return w.blackhole && b != nil && b.dead
 }
 
-// admit checks an order's token.
-func (b *boot) admit(token int64) error {
+// checkToken checks an order's token.
+func (b *boot) checkToken(token int64) error {
 	if token < b.token {
 		return platform.ErrOrderRefused{Reason: platform.RefusedStaleToken, ClockMs: b.clock()}
 	}
@@ -114,30 +114,30 @@
 
 // StartAttempt implements platform.Workers.
 func (v *workersView) StartAttempt(ctx context.Context, ref platform.WorkerRef, o platform.StartOrder) (clock int64, err error) {
-	err = v.call(ctx, OrderStart, ref, o.Task, func(b *boot) error {
-		if err := b.admit(o.Token); err != nil {
+	err = v.sendOrder(ctx, OrderStart, ref, o.Task, func(b *boot) error {
+		if err := b.checkToken(o.Token); err != nil {
 			return err
 		}
 		clock = b.clock()
 		if o.LeaseUntil <= clock {
 			return platform.ErrOrderRefused{Reason: platform.RefusedLeaseExpired, ClockMs: clock}
 		}
-		v.w.extend(b, o.LeaseUntil)
-		return v.w.begin(b, o)
+		v.w.extendLeases(b, o.LeaseUntil)
+		return v.w.startAttempt(b, o)
 	})
 	return clock, err
 }
 
 // StopAttempt implements platform.Workers.
 func (v *workersView) StopAttempt(ctx context.Context, ref platform.WorkerRef, o platform.StopOrder) (clock int64, err error) {
-	err = v.call(ctx, OrderStop, ref, o.Task, func(b *boot) error {
-		if err := b.admit(o.Token); err != nil {
+	err = v.sendOrder(ctx, OrderStop, ref, o.Task, func(b *boot) error {
+		if err := b.checkToken(o.Token); err != nil {
 			return err
 		}
 		clock = b.clock()
-		b.highest[o.Task] = max(b.highest[o.Task], o.Attempt)
-		if a := b.running[o.Task]; a != nil && a.number <= o.Attempt && !a.ending {
-			a.ending = true
+		b.highestAttempt[o.Task] = max(b.highestAttempt[o.Task], o.Attempt)
+		if a := b.running[o.Task]; a != nil && a.number <= o.Attempt && !a.stopping {
+			a.stopping = true
 			time.AfterFunc(v.w.stopTime, func() { v.w.finish(b, o.Task, a, platform.EndStopped) })
 		}
 		return nil
@@ -147,9 +147,9 @@
 
 // ThrottleAttempt implements platform.Workers.
 func (v *workersView) ThrottleAttempt(ctx context.Context, ref platform.WorkerRef, o platform.ThrottleOrder) (clock int64, err error) {
-	err = v.call(ctx, OrderPace, ref, o.Task, func(b *boot) error {
+	err = v.sendOrder(ctx, OrderPace, ref, o.Task, func(b *boot) error {
 		clock = b.clock()
-		return b.admit(o.Token)
+		return b.checkToken(o.Token)
 	})
 	return clock, err
 }
@@ -157,20 +157,20 @@
 // RenewLeases implements platform.Workers.
 func (v *workersView) RenewLeases(ctx context.Context, ref platform.WorkerRef, o platform.RenewOrder) (report platform.WorkerReport, err error) {
 	var changed chan struct{}
-	var asked *boot
-	look := func(b *boot) error {
-		if err := b.admit(o.Token); err != nil {
+	var answering *boot
+	renew := func(b *boot) error {
+		if err := b.checkToken(o.Token); err != nil {
 			return err
 		}
-		v.w.extend(b, o.LeaseUntil)
+		v.w.extendLeases(b, o.LeaseUntil)
 		v.w.acknowledge(b, o.AckedSeq)
-		report, changed, asked = v.w.report(b), b.changed, b
+		report, changed, answering = v.w.report(b), b.changed, b
 		return nil
 	}
-	if err := v.call(ctx, OrderRenew, ref, "", look); err != nil {
+	if err := v.sendOrder(ctx, OrderRenew, ref, "", renew); err != nil {
 		return report, err
 	}
-	defer func() { v.w.shorten(asked, &report) }()
+	defer func() { v.w.omitEntry(answering, &report) }()
 	if o.Wait <= 0 || len(report.Ended) > 0 || changed == nil {
 		return report, nil
 	}
@@ -181,26 +181,26 @@
 	case <-t.C:
 	case <-ctx.Done():
 	}
-	v.w.spread.hold(string(OrderRenew), ref.Boot, v.entry)
+	v.w.jitter.sleep(string(OrderRenew), ref.Boot, v.entry)
 	if ctx.Err() != nil {
 		return report, platform.ErrUnknown{Op: string(OrderRenew), Cause: ctx.Err().Error()}
 	}
 	err = v.apply(ref, func(b *boot) error {
-		if b != asked {
+		if b != answering {
 			return platform.ErrUnknown{Op: string(OrderRenew), Cause: "connection was closed"}
 		}
 		report = v.w.report(b)
 		return nil
 	})
-	if err == nil && v.w.silent(OrderRenew, ref.Boot, v.entry) {
-		v.w.spread.outlast(ctx, string(OrderRenew), ref.Boot, v.entry)
+	if err == nil && v.w.losesAnswer(OrderRenew, ref.Boot, v.entry) {
+		v.w.jitter.waitDone(ctx, string(OrderRenew), ref.Boot, v.entry)
 		err = platform.ErrUnknown{Op: string(OrderRenew), Cause: ctx.Err().Error()}
 	}
 	return report, err
 }
 
-// silent tells whether an answer that is due now would be lost.
-func (w *Workers) silent(op OrderOp, boot, entry string) bool {
+// losesAnswer tells whether an answer that is due now would be lost.
+func (w *Workers) losesAnswer(op OrderOp, boot, entry string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fault(op, boot, entry) != FaultNone
--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -40,8 +40,8 @@
 	maxKeyBytes   = 200
 )
 
-// refuse tells why a transaction is never carried out, nil if it may be.
-func refuse(txn *platform.RowTxn) error {
+// checkTxn tells why a transaction is never carried out, nil if it may be.
+func checkTxn(txn *platform.RowTxn) error {
 	bytes, reason := 0, ""
 	if len(txn.Expect)+len(txn.Put)+len(txn.Remove) > maxTxnEntries {
 		reason = "too many entries"
@@ -64,17 +64,17 @@
 // Rows is a stand-in of the partitioned table service.
 type Rows struct {
 	latency time.Duration
-	lateBy  time.Duration
+	lateDelay  time.Duration
 	start   time.Time
-	spread  *Jitter
+	jitter  *Jitter
 
 	mu      sync.Mutex
 	fault   func(op RowOp, entry string) Fault
-	rate    int // bytes of values that a caller's link carries a second, 0 for no bound
+	bytesPerSecond    int // bytes of values that a caller's link carries a second, 0 for no bound
 	rows    map[platform.RowKey]platform.Row
 	log     []platform.Row // changes in order of their versions
 	version int64
-	forgot  int64 // changes up to this version are no longer known
+	truncatedTo  int64 // changes up to this version are no longer known
 	changed chan struct{}
 }
 
@@ -87,20 +87,20 @@
 	r.latency = d
 }
 
-// takes is how long a call takes.
-func (r *Rows) takes() time.Duration {
+// callLatency is how long a call callLatency.
+func (r *Rows) callLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.latency
 }
 
 // SetJitter has each call take a delay of its own longer; it is called before the first one.
-func (r *Rows) SetJitter(s *Jitter) { r.spread = s }
+func (r *Rows) SetJitter(j *Jitter) { r.jitter = j }
 
 // NewRows returns an empty table service whose calls take latency, and late effects lateBy more.
-func NewRows(latency, lateBy time.Duration) *Rows {
+func NewRows(latency, lateDelay time.Duration) *Rows {
 	return &Rows{
-		latency: latency, lateBy: lateBy, start: time.Now(), fault: func(RowOp, string) Fault { return FaultNone },
+		latency: latency, lateDelay: lateDelay, start: time.Now(), fault: func(RowOp, string) Fault { return FaultNone },
 		rows: map[platform.RowKey]platform.Row{}, changed: make(chan struct{}),
 	}
 }
@@ -116,14 +116,14 @@
 func (r *Rows) SetRate(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rate = bytes
+	r.bytesPerSecond = bytes
 }
 
 // TruncateHistory drops the history of changes.
 func (r *Rows) TruncateHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.log, r.forgot = nil, r.version
+	r.log, r.truncatedTo = nil, r.version
 }
 
 // Corrupt puts bytes into a row that is there, as another writer may; its version rises.
@@ -154,7 +154,7 @@
 	entry string
 }
 
-func (r *rowsView) decide(op RowOp) Fault {
+func (r *rowsView) nextFault(op RowOp) Fault {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fault(op, r.entry)
@@ -162,9 +162,9 @@
 
 // CommitRows implements platform.Rows.
 func (r *rowsView) CommitRows(ctx context.Context, txn platform.RowTxn) (version int64, err error) {
-	fault := r.decide(RowCommit)
-	if err := pause.For(ctx, r.takes()+r.spread.delay(string(RowCommit), r.entry)); err != nil {
-		r.spread.hold(string(RowCommit), r.entry)
+	fault := r.nextFault(RowCommit)
+	if err := pause.For(ctx, r.callLatency()+r.jitter.delay(string(RowCommit), r.entry)); err != nil {
+		r.jitter.sleep(string(RowCommit), r.entry)
 		return 0, platform.ErrUnknown{Op: string(RowCommit), Cause: err.Error()}
 	}
 	switch fault {
@@ -173,21 +173,21 @@
 	case FaultRefused:
 		return 0, platform.ErrRefused{Op: string(RowCommit), Reason: "refused by a test"}
 	}
-	if err := refuse(&txn); err != nil && r.entry != Operator {
+	if err := checkTxn(&txn); err != nil && r.entry != Operator {
 		return 0, err
 	}
 	switch fault {
 	case FaultLostBefore:
-		r.spread.outlast(ctx, string(RowCommit), r.entry)
+		r.jitter.waitDone(ctx, string(RowCommit), r.entry)
 		return 0, platform.ErrUnknown{Op: string(RowCommit), Cause: ctx.Err().Error()}
 	case FaultLate:
-		time.AfterFunc(r.lateBy, func() { _, _ = r.commit(txn) })
-		r.spread.outlast(ctx, string(RowCommit), r.entry)
+		time.AfterFunc(r.lateDelay, func() { _, _ = r.commit(txn) })
+		r.jitter.waitDone(ctx, string(RowCommit), r.entry)
 		return 0, platform.ErrUnknown{Op: string(RowCommit), Cause: ctx.Err().Error()}
 	}
 	version, err = r.commit(txn)
 	if fault == FaultLostAfter {
-		r.spread.outlast(ctx, string(RowCommit), r.entry)
+		r.jitter.waitDone(ctx, string(RowCommit), r.entry)
 		return 0, platform.ErrUnknown{Op: string(RowCommit), Cause: ctx.Err().Error()}
 	}
 	return version, err
@@ -229,11 +229,11 @@
 
 // ListRows implements platform.Rows.
 func (r *rowsView) ListRows(ctx context.Context, table, partition, from string) (page platform.RowPage, err error) {
-	if err := r.read(ctx, RowList, 0); err != nil {
+	if err := r.beginRead(ctx, RowList, 0); err != nil {
 		return page, err
 	}
 	page = r.list(table, partition, from)
-	return page, r.carry(ctx, RowList, page)
+	return page, r.transfer(ctx, RowList, page)
 }
 
 func (r *Rows) list(table, partition, from string) (page platform.RowPage) {
@@ -252,10 +252,10 @@
 	return page
 }
 
-// carry takes the time that a page takes on the caller's link.
-func (r *Rows) carry(ctx context.Context, op RowOp, page platform.RowPage) error {
+// transfer takes the time that a page takes on the caller's link.
+func (r *Rows) transfer(ctx context.Context, op RowOp, page platform.RowPage) error {
 	r.mu.Lock()
-	rate := r.rate
+	rate := r.bytesPerSecond
 	r.mu.Unlock()
 	if rate == 0 {
 		return nil
@@ -270,12 +270,12 @@
 	return nil
 }
 
-// read takes the time of a call and brings its fault about; an answer that is lost
+// beginRead takes the time of a call and brings its fault about; an answer that is lost
 // is given up when nothing has come for as long as callers wait.
-func (r *rowsView) read(ctx context.Context, op RowOp, wait time.Duration) error {
-	fault := r.decide(op)
-	if err := pause.For(ctx, r.takes()+r.spread.delay(string(op), r.entry)); err != nil {
-		r.spread.hold(string(op), r.entry)
+func (r *rowsView) beginRead(ctx context.Context, op RowOp, wait time.Duration) error {
+	fault := r.nextFault(op)
+	if err := pause.For(ctx, r.callLatency()+r.jitter.delay(string(op), r.entry)); err != nil {
+		r.jitter.sleep(string(op), r.entry)
 		return platform.ErrNotDone{Op: string(op), Cause: err.Error()}
 	}
 	switch fault {
@@ -283,7 +283,7 @@
 		return platform.ErrNotDone{Op: string(op), Cause: "the table service is down"}
 	case FaultLostBefore, FaultLostAfter:
 		_ = pause.For(ctx, wait+platform.ReadIdleTimeout)
-		r.spread.hold(string(op), r.entry)
+		r.jitter.sleep(string(op), r.entry)
 		return platform.ErrUnknown{Op: string(op), Cause: "no answer"}
 	}
 	return nil
@@ -291,7 +291,7 @@
 
 // FollowRows implements platform.Rows.
 func (r *rowsView) FollowRows(ctx context.Context, table string, after int64, wait time.Duration) (page platform.RowPage, err error) {
-	if err := r.read(ctx, RowFollow, wait); err != nil {
+	if err := r.beginRead(ctx, RowFollow, wait); err != nil {
 		return page, err
 	}
 	end := time.NewTimer(wait)
@@ -299,7 +299,7 @@
 	for {
 		r.mu.Lock()
 		changed := r.changed
-		if after < r.forgot {
+		if after < r.truncatedTo {
 			r.mu.Unlock()
 			return page, platform.ErrHistoryGone{}
 		}
@@ -311,7 +311,7 @@
 		page.Version, page.Now = r.version, time.Since(r.start)
 		r.mu.Unlock()
 		if len(page.Rows) > 0 {
-			return page, r.carry(ctx, RowFollow, page)
+			return page, r.transfer(ctx, RowFollow, page)
 		}
 		select {
 		case <-changed:
--- a/pkg/platform/fake/store.go
+++ b/pkg/platform/fake/store.go
@@ -83,7 +83,7 @@
 
 // Get implements platform.Table.
 func (v *view) Get(ctx context.Context, key string) (item platform.Item, err error) {
-	err = v.around(ctx, rest.OpGet, func() error {
+	err = v.call(ctx, rest.OpGet, func() error {
 		item = v.p.table.get(key)
 		return nil
 	})
@@ -92,7 +92,7 @@
 
 // Scan implements platform.Table.
 func (v *view) Scan(ctx context.Context, from, to string, limit int) (items []platform.Item, err error) {
-	err = v.around(ctx, rest.OpScan, func() error {
+	err = v.call(ctx, rest.OpScan, func() error {
 		items = v.p.table.scan(from, to, limit)
 		return nil
 	})
@@ -101,7 +101,7 @@
 
 // Commit implements platform.Table.
 func (v *view) Commit(ctx context.Context, txn platform.Txn) error {
-	return v.around(ctx, rest.OpCommit, func() error { return v.p.table.commit(txn) })
+	return v.call(ctx, rest.OpCommit, func() error { return v.p.table.commit(txn) })
 }
 
 // objects is the object store.
@@ -114,7 +114,7 @@
 
 // PutObject implements platform.Objects.
 func (v *view) PutObject(ctx context.Context, name string, data []byte) error {
-	return v.around(ctx, rest.OpPutObject, func() error {
+	return v.call(ctx, rest.OpPutObject, func() error {
 		o := &v.p.objects
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -125,7 +125,7 @@
 
 // GetObject implements platform.Objects.
 func (v *view) GetObject(ctx context.Context, name string) (data []byte, err error) {
-	err = v.around(ctx, rest.OpGetObject, func() error {
+	err = v.call(ctx, rest.OpGetObject, func() error {
 		o := &v.p.objects
 		o.mu.Lock()
 		defer o.mu.Unlock()
@@ -141,7 +141,7 @@
 
 // ListObjects implements platform.Objects.
 func (v *view) ListObjects(ctx context.Context, prefix string) (names []string, err error) {
-	err = v.around(ctx, rest.OpListObjects, func() error {
+	err = v.call(ctx, rest.OpListObjects, func() error {
 		o := &v.p.objects
 		o.mu.Lock()
 		defer o.mu.Unlock()
--- a/pkg/platform/fake/tasks.go
+++ b/pkg/platform/fake/tasks.go
@@ -15,12 +15,12 @@
 	spec       platform.TaskSpec
 	state      platform.TaskState
 	leaseUntil time.Time
-	cap        float64 // processors, 0 for none
+	cpuLimit        float64 // processors, 0 for none
 	reason     string
 }
 
-// lapse stops a task whose lease has run out.
-func (t *fakeTask) lapse(now time.Time) {
+// expireLease stops a task whose lease has run out.
+func (t *fakeTask) expireLease(now time.Time) {
 	if t.running() && now.After(t.leaseUntil) {
 		t.state = platform.TaskStopped
 		t.reason = "the lease lapsed"
@@ -36,7 +36,7 @@
 	mu       sync.Mutex
 	byID     map[string]*fakeTask
 	lag      time.Duration
-	reported map[string]lastReport // by VM
+	lastReports map[string]lastReport // by VM
 }
 
 // lastReport is what a worker said last.
@@ -47,7 +47,7 @@
 
 func (t *tasks) init() {
 	t.byID = map[string]*fakeTask{}
-	t.reported = map[string]lastReport{}
+	t.lastReports = map[string]lastReport{}
 }
 
 // report returns the last report of a worker, or a fresh one when it is older than the lag.
@@ -55,7 +55,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := time.Now()
-	if last, ok := t.reported[vm]; ok && now.Sub(last.at) < t.lag {
+	if last, ok := t.lastReports[vm]; ok && now.Sub(last.at) < t.lag {
 		return slices.Clone(last.reports)
 	}
 	var reports []platform.TaskReport
@@ -63,20 +63,20 @@
 		if task.spec.VM != vm {
 			continue
 		}
-		task.lapse(now)
+		task.expireLease(now)
 		reports = append(reports, platform.TaskReport{
 			ID: id, VM: vm, State: task.state, AsOfMs: now.UnixMilli(),
 			Cpus: usedCpus(task), MemoryMB: task.spec.MemoryMB, Reason: task.reason,
 		})
 	}
 	slices.SortFunc(reports, func(a, b platform.TaskReport) int { return strings.Compare(a.ID, b.ID) })
-	t.reported[vm] = lastReport{at: now, reports: reports}
+	t.lastReports[vm] = lastReport{at: now, reports: reports}
 	return slices.Clone(reports)
 }
 
 // StartTask implements platform.Tasks.
 func (v *view) StartTask(ctx context.Context, spec platform.TaskSpec) error {
-	return v.around(ctx, rest.OpStartTask, func() error {
+	return v.call(ctx, rest.OpStartTask, func() error {
 		t := &v.p.tasks
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -91,9 +91,9 @@
 	})
 }
 
-// onTask carries out an operation on an existing task; f runs under the lock.
-func (v *view) onTask(ctx context.Context, op rest.Operation, id string, f func(t *fakeTask) error) error {
-	return v.around(ctx, op, func() error {
+// withTask carries out an operation on an existing task; f runs under the lock.
+func (v *view) withTask(ctx context.Context, op rest.Operation, id string, f func(t *fakeTask) error) error {
+	return v.call(ctx, op, func() error {
 		ts := &v.p.tasks
 		ts.mu.Lock()
 		defer ts.mu.Unlock()
@@ -101,14 +101,14 @@
 		if !ok {
 			return platform.ErrRefused{Op: string(op), Reason: "there is no task " + id}
 		}
-		t.lapse(time.Now())
+		t.expireLease(time.Now())
 		return f(t)
 	})
 }
 
 // RenewTask implements platform.Tasks.
 func (v *view) RenewTask(ctx context.Context, id string, leaseMs int) error {
-	return v.onTask(ctx, rest.OpRenewTask, id, func(t *fakeTask) error {
+	return v.withTask(ctx, rest.OpRenewTask, id, func(t *fakeTask) error {
 		if !t.running() {
 			return platform.ErrRefused{Op: string(rest.OpRenewTask), Reason: "the task is " + string(t.state)}
 		}
@@ -119,7 +119,7 @@
 
 // CheckpointTask implements platform.Tasks.
 func (v *view) CheckpointTask(ctx context.Context, id, object string) error {
-	return v.onTask(ctx, rest.OpCheckpointTask, id, func(t *fakeTask) error {
+	return v.withTask(ctx, rest.OpCheckpointTask, id, func(t *fakeTask) error {
 		if !t.running() {
 			return nil
 		}
@@ -135,11 +135,11 @@
 
 // ThrottleTask implements platform.Tasks.
 func (v *view) ThrottleTask(ctx context.Context, id string, cpus float64) error {
-	return v.onTask(ctx, rest.OpThrottleTask, id, func(t *fakeTask) error {
+	return v.withTask(ctx, rest.OpThrottleTask, id, func(t *fakeTask) error {
 		if !t.running() {
 			return nil
 		}
-		t.cap = cpus
+		t.cpuLimit = cpus
 		t.state = platform.TaskRunning
 		if cpus > 0 {
 			t.state = platform.TaskThrottled
@@ -150,7 +150,7 @@
 
 // StopTask implements platform.Tasks.
 func (v *view) StopTask(ctx context.Context, id string) error {
-	return v.onTask(ctx, rest.OpStopTask, id, func(t *fakeTask) error {
+	return v.withTask(ctx, rest.OpStopTask, id, func(t *fakeTask) error {
 		if t.running() {
 			t.state = platform.TaskStopped
 		}
@@ -160,7 +160,7 @@
 
 // ReportTasks implements platform.Tasks.
 func (v *view) ReportTasks(ctx context.Context, vm string) (reports []platform.TaskReport, err error) {
-	err = v.around(ctx, rest.OpReportTasks, func() error {
+	err = v.call(ctx, rest.OpReportTasks, func() error {
 		reports = v.p.tasks.report(vm)
 		return nil
 	})
@@ -171,8 +171,8 @@
 	switch {
 	case !t.running():
 		return 0
-	case t.cap > 0:
-		return min(t.cap, t.spec.Cpus)
+	case t.cpuLimit > 0:
+		return min(t.cpuLimit, t.spec.Cpus)
 	}
 	return t.spec.Cpus
 }
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -39,63 +39,63 @@
 // Workers is a stand-in of the workers of a deployment.
 type Workers struct {
 	latency  time.Duration
-	lateBy   time.Duration
+	lateDelay   time.Duration
 	stopTime time.Duration
-	spread   *Jitter
+	jitter   *Jitter
 	work     func(task, spec string) Work
-	witness  WorkersObserver
+	observer  WorkersObserver
 
 	mu    sync.Mutex
 	fault func(op OrderOp, boot, entry string) Fault
 	stall func(boot, task string) bool
-	// dark has calls to boots that have ended go unanswered; else they are refused.
-	dark bool
-	// crashed is told of boots that a task has brought down.
-	crashed func(info platform.Worker)
+	// blackhole has calls to boots that have ended go unanswered; else they are refused.
+	blackhole bool
+	// onCrash is told of boots that a task has brought down.
+	onCrash func(info platform.Worker)
 	boots   map[string]*boot
-	// leftOut are the numbers of ends that reports of a boot leave out, and in how many yet.
-	leftOut map[string]map[int64]int
-	// shortEvery has one list of each boot in so many lack an entry, 0 for none.
-	shortEvery int
-	// takesAll has workers start what does not fit, as those do that do not guard their capacity.
-	takesAll bool
+	// endOmissions are the numbers of ends that reports of a boot leave out, and in how many yet.
+	endOmissions map[string]map[int64]int
+	// omitEvery has one list of each boot in so many lack an entry, 0 for none.
+	omitEvery int
+	// allowOvercommit has workers start what does not fit, as those do that do not guard their capacity.
+	allowOvercommit bool
 }
 
 // boot is one boot of a worker.
 type boot struct {
 	info    platform.Worker
-	lists   int                 // that it has given
-	lacked  map[attemptKey]bool // attempts that a list has lacked
+	reportCount   int                 // that it has given
+	omitted  map[attemptKey]bool // attempts that a list has lacked
 	worker  string              // its ID, which a later boot may have as well
-	born    int64               // in Unix milliseconds, 0 if it does not say
+	bootedAtMs    int64               // in Unix milliseconds, 0 if it does not say
 	start   time.Time
 	drift   float64 // how much slower its clock runs, 0.02 for 2%
 	dead    bool
 	token   int64
 	running map[string]*attempt
 	ended   []platform.AttemptEnd
-	last    int64 // number of the last end
-	acked   int64
-	highest map[string]int64 // attempt that ended or was stopped here, by task
-	lease   int64            // deadline by the worker's clock
-	lapse   *time.Timer
+	lastSeq    int64 // number of the last end
+	ackedSeq   int64
+	highestAttempt map[string]int64 // attempt that ended or was stopped here, by task
+	leaseUntil   int64            // deadline by the worker's clock
+	leaseTimer   *time.Timer
 	free    platform.Resources
-	rooms   []formerRoom // it had, in order
+	pastCapacities   []pastCapacity // it had, in order
 	changed chan struct{}
 }
 
 // NewWorkers returns no workers yet; orders take latency, those carried out late
 // lateBy, and tasks stopTime to end once they are told to.
-func NewWorkers(latency, lateBy, stopTime time.Duration, work func(task, spec string) Work, w WorkersObserver) *Workers {
+func NewWorkers(latency, lateDelay, stopTime time.Duration, work func(task, spec string) Work, w WorkersObserver) *Workers {
 	return &Workers{
-		latency: latency, lateBy: lateBy, stopTime: stopTime, work: work, witness: w,
+		latency: latency, lateDelay: lateDelay, stopTime: stopTime, work: work, observer: w,
 		fault: func(OrderOp, string, string) Fault { return FaultNone }, boots: map[string]*boot{},
-		crashed: func(platform.Worker) {}, leftOut: map[string]map[int64]int{},
+		onCrash: func(platform.Worker) {}, endOmissions: map[string]map[int64]int{},
 	}
 }
 
 // SetJitter has each order take a delay of its own longer; it is called before the first one.
-func (w *Workers) SetJitter(s *Jitter) { w.spread = s }
+func (w *Workers) SetJitter(j *Jitter) { w.jitter = j }
 
 // SetFault decides about each order from now on.
 func (w *Workers) SetFault(f func(op OrderOp, boot, entry string) Fault) {
@@ -108,14 +108,14 @@
 func (w *Workers) SetAllowOvercommit(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.takesAll = on
+	w.allowOvercommit = on
 }
 
 // SetBlackhole has workers that end fall silent, as those do that lose their power.
 func (w *Workers) SetBlackhole(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dark = on
+	w.blackhole = on
 }
 
 // SetOmitEvery has one list of each boot in every so many lack an entry, 0 for none: an end, or
@@ -123,24 +123,24 @@
 func (w *Workers) SetOmitEvery(every int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shortEvery = every
+	w.omitEvery = every
 }
 
 // OmitEnd has the next reports of a boot that would list an end leave it out, so many times.
 func (w *Workers) OmitEnd(name string, end int64, times int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.leftOut[name] == nil {
-		w.leftOut[name] = map[int64]int{}
+	if w.endOmissions[name] == nil {
+		w.endOmissions[name] = map[int64]int{}
 	}
-	w.leftOut[name][end] = times
+	w.endOmissions[name][end] = times
 }
 
 // SetOnCrash names what is told of each boot that a task has brought down.
 func (w *Workers) SetOnCrash(f func(info platform.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.crashed = f
+	w.onCrash = f
 }
 
 // Boot starts a worker, in place of an earlier boot at the same address.
@@ -149,55 +149,55 @@
 	defer w.mu.Unlock()
 	for _, old := range w.boots {
 		if old.info.Address == info.Address {
-			w.end(old)
+			w.endBoot(old)
 		}
 	}
 	worker, born := platform.ParseBootID(info.Boot)
 	w.boots[info.Boot] = &boot{
-		info: info, worker: worker, born: born, start: time.Now(), drift: drift, lacked: map[attemptKey]bool{}, running: map[string]*attempt{}, highest: map[string]int64{},
+		info: info, worker: worker, bootedAtMs: born, start: time.Now(), drift: drift, omitted: map[attemptKey]bool{}, running: map[string]*attempt{}, highestAttempt: map[string]int64{},
 		free: info.Capacity, changed: make(chan struct{}),
 	}
 }
 
-// roomNoticed is how long after its room has shrunk a start may still count on the room
+// capacityGrace is how long after its room has shrunk a start may still count on the room
 // before: the directory tells of it with the next heartbeat, and owners may read it late.
-const roomNoticed = 4500 * time.Millisecond
+const capacityGrace = 4500 * time.Millisecond
 
 // SetCapacity changes what a boot has room for; what runs there runs on.
-func (w *Workers) SetCapacity(name string, room platform.Resources) {
+func (w *Workers) SetCapacity(name string, capacity platform.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	b := w.named(name)
+	b := w.lookup(name)
 	if b == nil || b.dead {
 		return
 	}
-	b.rooms = append(b.rooms, formerRoom{room: b.info.Capacity, until: time.Now()})
-	b.free = b.free.Add(room).Sub(b.info.Capacity)
-	b.info.Capacity = room
+	b.pastCapacities = append(b.pastCapacities, pastCapacity{capacity: b.info.Capacity, until: time.Now()})
+	b.free = b.free.Add(capacity).Sub(b.info.Capacity)
+	b.info.Capacity = capacity
 }
 
-// formerRoom is what a boot had room for until a time.
-type formerRoom struct {
-	room  platform.Resources
+// pastCapacity is what a boot had room for until a time.
+type pastCapacity struct {
+	capacity  platform.Resources
 	until time.Time
 }
 
-// fitsOfLate tells whether a start fits what the boot has room for, or had a moment ago.
-func (b *boot) fitsOfLate(needs platform.Resources) bool {
+// fitsNowOrRecently tells whether a start fits what the boot has room for, or had a moment ago.
+func (b *boot) fitsNowOrRecently(needs platform.Resources) bool {
 	if needs.Fits(b.free) {
 		return true
 	}
-	for _, f := range b.rooms {
-		if time.Since(f.until) <= roomNoticed && needs.Fits(b.free.Add(f.room).Sub(b.info.Capacity)) {
+	for _, f := range b.pastCapacities {
+		if time.Since(f.until) <= capacityGrace && needs.Fits(b.free.Add(f.capacity).Sub(b.info.Capacity)) {
 			return true
 		}
 	}
 	return false
 }
 
-// reached returns the boot that a call for a boot reaches: what a call names is the ID of the
+// resolve returns the boot that a call for a boot reaches: what a call names is the ID of the
 // worker, under which another boot may have started. It is nil when that worker is not there.
-func (w *Workers) reached(ref platform.WorkerRef) *boot {
+func (w *Workers) resolve(ref platform.WorkerRef) *boot {
 	if b := w.boots[ref.Boot]; b != nil && !b.dead {
 		return b
 	}
@@ -226,14 +226,14 @@
 func (w *Workers) CurrentBoot(worker string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b := w.named(worker); b != nil && !b.dead {
+	if b := w.lookup(worker); b != nil && !b.dead {
 		return b.info.Boot
 	}
 	return ""
 }
 
-// named returns a boot, or the one that is up of a worker of that ID.
-func (w *Workers) named(name string) *boot {
+// lookup returns a boot, or the one that is up of a worker of that ID.
+func (w *Workers) lookup(name string) *boot {
 	for _, b := range w.boots {
 		if b.worker == name && !b.dead {
 			return b
@@ -246,23 +246,23 @@
 func (w *Workers) Crash(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b := w.named(name); b != nil {
-		w.end(b)
+	if b := w.lookup(name); b != nil {
+		w.endBoot(b)
 	}
 }
 
-// bringDown ends a boot that one of its tasks has brought down; calls under way there end at once.
-func (w *Workers) bringDown(b *boot, task string) {
+// crashBoot ends a boot that one of its tasks has brought down; calls under way there end at once.
+func (w *Workers) crashBoot(b *boot, task string) {
 	if b.dead {
 		return
 	}
-	w.witness.Crashed(b.info.Boot, task)
-	w.end(b)
+	w.observer.Crashed(b.info.Boot, task)
+	w.endBoot(b)
 	close(b.changed)
-	go w.crashed(b.info)
+	go w.onCrash(b.info)
 }
 
-func (w *Workers) end(b *boot) {
+func (w *Workers) endBoot(b *boot) {
 	if b.dead {
 		return
 	}
@@ -270,7 +270,7 @@
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
 		a := b.running[task]
 		a.timer.Stop()
-		w.witness.Ended(b.info.Boot, task, a.number, EndCrashed)
+		w.observer.Ended(b.info.Boot, task, a.number, EndCrashed)
 	}
 	b.running = map[string]*attempt{}
 }
@@ -279,7 +279,7 @@
 func (w *Workers) Running(name string) (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b := w.named(name); b != nil {
+	if b := w.lookup(name); b != nil {
 		for t := range b.running {
 			tasks = append(tasks, t)
 		}
--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -79,29 +79,29 @@
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, lost(op, err)
+		return nil, transportError(op, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	c.onBytes(len(body), len(raw))
 	if err != nil {
-		return nil, lost(op, err)
+		return nil, transportError(op, err)
 	}
-	return sortAnswer(op, resp, raw)
+	return decodeAnswer(op, resp, raw)
 }
 
-// lost turns a transport error into the right type: what was never sent, or only read, had no effect.
-func lost(op Operation, err error) error {
+// transportError turns a transport error into the right type: what was never sent, or only read, had no effect.
+func transportError(op Operation, err error) error {
 	var opErr *net.OpError
 	dialed := !errors.As(err, &opErr) || opErr.Op != "dial"
 	if op.Writes() && dialed {
-		return platform.ErrUnknown{Op: string(op), Cause: causeOf(err)}
+		return platform.ErrUnknown{Op: string(op), Cause: transportCause(err)}
 	}
-	return platform.ErrNotDone{Op: string(op), Cause: causeOf(err)}
+	return platform.ErrNotDone{Op: string(op), Cause: transportCause(err)}
 }
 
-// causeOf leaves out the URL that net/http puts before each error.
-func causeOf(err error) string {
+// transportCause leaves out the URL that net/http puts before each error.
+func transportCause(err error) string {
 	var ue *url.Error
 	if errors.As(err, &ue) {
 		return ue.Err.Error()
@@ -109,7 +109,7 @@
 	return err.Error()
 }
 
-func sortAnswer(op Operation, resp *http.Response, raw []byte) (ans *Answer, err error) {
+func decodeAnswer(op Operation, resp *http.Response, raw []byte) (ans *Answer, err error) {
 	ans = &Answer{}
 	parseErr := json.Unmarshal(raw, ans)
 	switch {
@@ -141,8 +141,8 @@
 	return err
 }
 
-// missing reports an answer without the field that the operation promises.
-func missing(op Operation) error {
+// missingResult reports an answer without the field that the operation promises.
+func missingResult(op Operation) error {
 	return platform.ErrNotDone{Op: string(op), Cause: "the answer lacks its result"}
 }
 
@@ -153,7 +153,7 @@
 		return platform.Item{}, err
 	}
 	if ans.Item == nil {
-		return platform.Item{}, missing(OpGet)
+		return platform.Item{}, missingResult(OpGet)
 	}
 	return *ans.Item, nil
 }
@@ -202,7 +202,7 @@
 		return platform.VMList{}, err
 	}
 	if ans.VMs == nil {
-		return platform.VMList{}, missing(OpListVMs)
+		return platform.VMList{}, missingResult(OpListVMs)
 	}
 	return *ans.VMs, nil
 }
@@ -229,7 +229,7 @@
 		return platform.VMStatus{}, err
 	}
 	if ans.Status == nil {
-		return platform.VMStatus{}, missing(OpVMStatus)
+		return platform.VMStatus{}, missingResult(OpVMStatus)
 	}
 	return *ans.Status, nil
 }
--- a/pkg/platform/rest/handler.go
+++ b/pkg/platform/rest/handler.go
@@ -25,38 +25,38 @@
 			err = json.Unmarshal(body, &args)
 		}
 		if err != nil {
-			answer(w, http.StatusBadRequest, &Answer{Error: err.Error()})
+			writeAnswer(w, http.StatusBadRequest, &Answer{Error: err.Error()})
 			return
 		}
 		ans, err := dispatch(r.Context(), p, op, &args)
 		if err != nil {
-			fail(w, err)
+			writeError(w, err)
 			return
 		}
-		answer(w, http.StatusOK, ans)
+		writeAnswer(w, http.StatusOK, ans)
 	})
 }
 
-func answer(w http.ResponseWriter, status int, ans *Answer) {
+func writeAnswer(w http.ResponseWriter, status int, ans *Answer) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(ans) // the client sees a broken answer by itself
 }
 
-// fail answers with the status that the client turns back into the same type of error.
-func fail(w http.ResponseWriter, err error) {
+// writeError answers with the status that the client turns back into the same type of error.
+func writeError(w http.ResponseWriter, err error) {
 	var refused platform.ErrRefused
 	var notDone platform.ErrNotDone
 	switch {
 	case errors.As(err, &refused) && refused.Conflict:
-		answer(w, http.StatusConflict, &Answer{Error: refused.Reason})
+		writeAnswer(w, http.StatusConflict, &Answer{Error: refused.Reason})
 	case errors.As(err, &refused):
-		answer(w, http.StatusBadRequest, &Answer{Error: refused.Reason})
+		writeAnswer(w, http.StatusBadRequest, &Answer{Error: refused.Reason})
 	case errors.As(err, &notDone):
 		if s := int(notDone.RetryAfter.Seconds()); s > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(s))
 		}
-		answer(w, http.StatusServiceUnavailable, &Answer{Error: notDone.Cause})
+		writeAnswer(w, http.StatusServiceUnavailable, &Answer{Error: notDone.Cause})
 	default:
 		panic(http.ErrAbortHandler) // an unknown outcome is a connection that breaks
 	}
