--- a/service/api/convert.go
+++ b/service/api/convert.go
@@ -23,12 +23,12 @@
 	PathReady    = "/readyz"
 )
 
-var null = json.RawMessage("null")
+var jsonNull = json.RawMessage("null")
 
 // orNull makes an absent value valid JSON.
 func orNull(v json.RawMessage) json.RawMessage {
 	if len(v) == 0 {
-		return null
+		return jsonNull
 	}
 	return v
 }
--- a/service/client/client.go
+++ b/service/client/client.go
@@ -19,7 +19,7 @@
 
 const (
 	defaultTimeout = 15 * time.Second
-	maxAnswer      = 64 << 20
+	maxAnswerBytes      = 64 << 20
 )
 
 // ErrAPI is an answer that is not a success.
@@ -81,7 +81,7 @@
 		return errors.Wrap(err, "call entry")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return errors.Wrap(err, "read answer")
 	}
@@ -98,13 +98,13 @@
 // Rows returns the rows of a kind and name; empty ones mean all.
 func (c *Client) Rows(ctx context.Context, kind, name string) (rows api.Rows, err error) {
 	q := url.Values{}
-	setIf(q, "kind", kind)
-	setIf(q, "name", name)
+	setNonEmpty(q, "kind", kind)
+	setNonEmpty(q, "name", name)
 	err = c.call(ctx, api.PathRows, q, nil, &rows)
 	return rows, err
 }
 
-func setIf(q url.Values, key, value string) {
+func setNonEmpty(q url.Values, key, value string) {
 	if value != "" {
 		q.Set(key, value)
 	}
@@ -132,9 +132,9 @@
 // Audit searches the audit trail, the newest entry first.
 func (c *Client) Audit(ctx context.Context, query AuditQuery) (audit api.Audit, err error) {
 	q := url.Values{}
-	setIf(q, "kind", query.Kind)
-	setIf(q, "name", query.Name)
-	setIf(q, "actor", query.Actor)
+	setNonEmpty(q, "kind", query.Kind)
+	setNonEmpty(q, "name", query.Name)
+	setNonEmpty(q, "actor", query.Actor)
 	for key, n := range map[string]int{"from_ms": query.FromMs, "to_ms": query.ToMs, "limit": query.Limit} {
 		if n > 0 {
 			q.Set(key, strconv.Itoa(n))
--- a/service/server/audit.go
+++ b/service/server/audit.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	auditPage  = 500 // entries of one read
-	auditPages = 40  // reads of one request
+	auditPageSize  = 500 // entries of one read
+	maxAuditPages = 40  // reads of one request
 )
 
 // decodeStrict reads one JSON value without unknown fields.
@@ -35,7 +35,7 @@
 }
 
 func parseFilter(c echo.Context) (f auditFilter, err error) {
-	f = auditFilter{kind: c.QueryParam("kind"), name: c.QueryParam("name"), actor: c.QueryParam("actor"), limit: defaultLimit}
+	f = auditFilter{kind: c.QueryParam("kind"), name: c.QueryParam("name"), actor: c.QueryParam("actor"), limit: defaultAuditLimit}
 	for name, target := range map[string]*int{"from_ms": &f.fromMs, "to_ms": &f.toMs, "limit": &f.limit} {
 		raw := c.QueryParam(name)
 		if raw == "" {
@@ -43,7 +43,7 @@
 		}
 		n, err := strconv.Atoi(raw)
 		if err != nil || n < 0 {
-			return f, fail(http.StatusBadRequest, api.ErrorCodeMalformed, name+" must be a number of 0 or more")
+			return f, newAPIError(http.StatusBadRequest, api.ErrorCodeMalformed, name+" must be a number of 0 or more")
 		}
 		*target = n
 	}
@@ -68,9 +68,9 @@
 	}
 	out := api.Audit{Entries: []api.AuditEntry{}}
 	end := s.table.Snapshot().Revision
-	for page := 0; page < auditPages && end > 0 && len(out.Entries) < f.limit; page++ {
-		begin := max(0, end-auditPage)
-		entries, err := s.pageOf(c.Request().Context(), begin, end-begin)
+	for page := 0; page < maxAuditPages && end > 0 && len(out.Entries) < f.limit; page++ {
+		begin := max(0, end-auditPageSize)
+		entries, err := s.entriesAfter(c.Request().Context(), begin, end-begin)
 		if err != nil {
 			return errors.Wrap(err, "read the audit trail")
 		}
@@ -85,8 +85,8 @@
 	return c.JSON(http.StatusOK, out)
 }
 
-// pageOf returns entries after a revision, from memory when they are still kept there.
-func (s *Server) pageOf(ctx context.Context, after, limit int) ([]schema.Entry, error) {
+// entriesAfter returns entries after a revision, from memory when they are still kept there.
+func (s *Server) entriesAfter(ctx context.Context, after, limit int) ([]schema.Entry, error) {
 	if entries, ok := s.table.Since(after, limit); ok {
 		return entries, nil
 	}
--- a/service/server/auth.go
+++ b/service/server/auth.go
@@ -13,7 +13,7 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-const accountKey = "account"
+const contextKeyAccount = "account"
 
 // HashToken returns what settings keep of a token.
 func HashToken(token string) string {
@@ -25,18 +25,18 @@
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
-		account := s.account(token)
+		account := s.accountByToken(token)
 		if !ok || account == nil {
 			c.Response().Header().Set(echo.HeaderWWWAuthenticate, "Bearer")
-			return fail(http.StatusUnauthorized, api.ErrorCodeUnauthorized, "a known bearer token is needed")
+			return newAPIError(http.StatusUnauthorized, api.ErrorCodeUnauthorized, "a known bearer token is needed")
 		}
-		c.Set(accountKey, account)
+		c.Set(contextKeyAccount, account)
 		return next(c)
 	}
 }
 
-// account returns the account of a token; all are compared, so that time tells nothing.
-func (s *Server) account(token string) (found *schema.Account) {
+// accountByToken returns the accountByToken of a token; all are compared, so that time tells nothing.
+func (s *Server) accountByToken(token string) (found *schema.Account) {
 	hash := []byte(HashToken(token))
 	for i := range s.accounts {
 		if subtle.ConstantTimeCompare(hash, []byte(s.accounts[i].TokenSha256)) == 1 {
@@ -46,11 +46,11 @@
 	return found
 }
 
-// mayEdit refuses accounts that only view.
-func mayEdit(next echo.HandlerFunc) echo.HandlerFunc {
+// requireEditRole refuses accounts that only view.
+func requireEditRole(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if actor(c).Role != schema.RoleEdit {
-			return fail(http.StatusForbidden, api.ErrorCodeForbidden, "the account may view but not edit")
+			return newAPIError(http.StatusForbidden, api.ErrorCodeForbidden, "the account may view but not edit")
 		}
 		return next(c)
 	}
@@ -58,6 +58,6 @@
 
 // actor returns the account that authenticate found.
 func actor(c echo.Context) *schema.Account {
-	account, _ := c.Get(accountKey).(*schema.Account)
+	account, _ := c.Get(contextKeyAccount).(*schema.Account)
 	return account
 }
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -20,7 +20,7 @@
 const (
 	editTimeout   = 3 * time.Second
 	maxEditIDLen  = 128
-	defaultLimit  = 100
+	defaultAuditLimit  = 100
 	maxAuditLimit = 10000
 )
 
@@ -89,14 +89,14 @@
 
 func (s *Server) routes() *echo.Echo {
 	e := echo.New()
-	e.HTTPErrorHandler = s.answerError
+	e.HTTPErrorHandler = s.writeError
 	e.Use(limitBody)
 	e.GET(api.PathHealth, func(c echo.Context) error { return c.NoContent(http.StatusOK) })
 	e.GET(api.PathReady, s.getReady)
 	g := e.Group("", s.authenticate)
 	g.GET(api.PathMetrics, echo.WrapHandler(s.metrics))
 	g.GET(api.PathRows, s.getRows)
-	g.POST(api.PathEdits, s.postEdit, mayEdit)
+	g.POST(api.PathEdits, s.postEdit, requireEditRole)
 	g.GET(api.PathStatus, func(c echo.Context) error { return c.JSON(http.StatusOK, s.status()) })
 	g.GET(api.PathAudit, s.getAudit)
 	g.GET(api.PathExplain+":kind/:name", s.getExplain)
@@ -123,7 +123,7 @@
 func (s *Server) getRows(c echo.Context) error {
 	kind, name := schema.Kind(c.QueryParam("kind")), c.QueryParam("name")
 	if kind != "" && !table.KnownKind(kind) {
-		return fail(http.StatusBadRequest, api.ErrorCodeMalformed, "there is no kind of row "+strconv.Quote(string(kind)))
+		return newAPIError(http.StatusBadRequest, api.ErrorCodeMalformed, "there is no kind of row "+strconv.Quote(string(kind)))
 	}
 	snap := s.table.Snapshot()
 	var rows []table.StoredRow
@@ -139,10 +139,10 @@
 func (s *Server) postEdit(c echo.Context) error {
 	var q api.EditRequest
 	if err := decodeStrict(c.Request().Body, &q); err != nil {
-		return fail(http.StatusBadRequest, api.ErrorCodeMalformed, "the edit cannot be read: "+err.Error())
+		return newAPIError(http.StatusBadRequest, api.ErrorCodeMalformed, "the edit cannot be read: "+err.Error())
 	}
 	if q.ID == "" || len(q.ID) > maxEditIDLen {
-		return fail(http.StatusBadRequest, api.ErrorCodeMalformed, "the edit needs an id of 1 to 128 bytes")
+		return newAPIError(http.StatusBadRequest, api.ErrorCodeMalformed, "the edit needs an id of 1 to 128 bytes")
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), editTimeout)
 	defer cancel()
@@ -159,60 +159,60 @@
 func (s *Server) getExplain(c echo.Context) error {
 	sentences, ok := s.explain.Explain(c.Request().Context(), schema.Kind(c.Param("kind")), c.Param("name"))
 	if !ok {
-		return fail(http.StatusNotFound, api.ErrorCodeNotFound, "there is no "+c.Param("kind")+" "+strconv.Quote(c.Param("name")))
+		return newAPIError(http.StatusNotFound, api.ErrorCodeNotFound, "there is no "+c.Param("kind")+" "+strconv.Quote(c.Param("name")))
 	}
 	return c.JSON(http.StatusOK, api.Explanation{Sentences: sentences})
 }
 
-// errAnswer is an error with its answer.
-type errAnswer struct {
+// apiError is an error with its answer.
+type apiError struct {
 	status int
 	body   api.Error
 }
 
 // Error gives the message.
-func (e errAnswer) Error() string { return e.body.Message }
+func (e apiError) Error() string { return e.body.Message }
 
-func fail(status int, code api.ErrorCode, message string) error {
-	return errAnswer{status: status, body: api.Error{Code: code, Message: message, Problems: []api.Problem{}, Conflicts: []api.Conflict{}}}
+func newAPIError(status int, code api.ErrorCode, message string) error {
+	return apiError{status: status, body: api.Error{Code: code, Message: message, Problems: []api.Problem{}, Conflicts: []api.Conflict{}}}
 }
 
-// answerError turns every error into an api.Error.
-func (s *Server) answerError(err error, c echo.Context) {
+// writeError turns every error into an api.Error.
+func (s *Server) writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
-	a := answerOf(err)
+	a := classifyError(err)
 	s.log.Info().Str("event", "operator_request_failed").Str("path", c.Request().URL.Path).
 		Str("code", string(a.body.Code)).Str("detail", a.body.Message).Send()
 	_ = c.JSON(a.status, a.body) // an operator who is gone needs no answer
 }
 
-// answerOf sorts the errors of the table and of echo.
-func answerOf(err error) errAnswer {
-	var answer errAnswer
+// classifyError sorts the errors of the table and of echo.
+func classifyError(err error) apiError {
+	var answer apiError
 	var conflict table.ErrConflict
 	var rejected table.ErrRejected
 	var unsettled replica.ErrUnsettled
-	var http1 *echo.HTTPError
+	var httpErr *echo.HTTPError
 	switch {
 	case errors.As(err, &answer):
 	case errors.As(err, &conflict):
-		answer = fail(http.StatusConflict, api.ErrorCodeConflict, conflict.Error()).(errAnswer)
+		answer = newAPIError(http.StatusConflict, api.ErrorCodeConflict, conflict.Error()).(apiError)
 		answer.body.Conflicts = api.FromConflicts(conflict.Conflicts)
 	case errors.As(err, &rejected):
-		answer = fail(http.StatusUnprocessableEntity, api.ErrorCodeRejected, rejected.Error()).(errAnswer)
+		answer = newAPIError(http.StatusUnprocessableEntity, api.ErrorCodeRejected, rejected.Error()).(apiError)
 		answer.body.Problems = api.FromProblems(rejected.Problems)
 	case errors.As(err, new(table.ErrNoChange)):
-		answer = fail(http.StatusUnprocessableEntity, api.ErrorCodeNoChange, err.Error()).(errAnswer)
+		answer = newAPIError(http.StatusUnprocessableEntity, api.ErrorCodeNoChange, err.Error()).(apiError)
 	case errors.As(err, &unsettled):
-		answer = fail(http.StatusGatewayTimeout, api.ErrorCodeUnknown, unsettled.Error()).(errAnswer)
+		answer = newAPIError(http.StatusGatewayTimeout, api.ErrorCodeUnknown, unsettled.Error()).(apiError)
 	case platform.IsNotDone(err):
-		answer = fail(http.StatusServiceUnavailable, api.ErrorCodeNotDone, err.Error()).(errAnswer)
-	case errors.As(err, &http1):
-		answer = fail(http1.Code, api.ErrorCodeMalformed, http.StatusText(http1.Code)).(errAnswer)
+		answer = newAPIError(http.StatusServiceUnavailable, api.ErrorCodeNotDone, err.Error()).(apiError)
+	case errors.As(err, &httpErr):
+		answer = newAPIError(httpErr.Code, api.ErrorCodeMalformed, http.StatusText(httpErr.Code)).(apiError)
 	default:
-		answer = fail(http.StatusInternalServerError, api.ErrorCodeUnknown, err.Error()).(errAnswer)
+		answer = newAPIError(http.StatusInternalServerError, api.ErrorCodeUnknown, err.Error()).(apiError)
 	}
 	return answer
 }
