--- a/pkg/platform/advice.go
+++ b/pkg/platform/advice.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Permit is the leave of the advice service to run a step at a worker.
+// Permit is the advice service's permission to run a step on a worker.
 type Permit struct {
-	Boot   string
-	Ticket string // to be shown with each start
+	Boot   string // boot ID of the worker
+	Ticket string // sent to the worker with each start order
 }
 
-// Adviser says which workers may run a step; that does not change, only tickets
-// run out. Its error is an [ErrNotDone] when it has too many calls waiting.
+// Adviser tells which workers may run a step. The answer for a worker stays the same;
+// only tickets expire.
 type Adviser interface {
-	// Advise returns permits for those of the workers that may run the step, and
-	// how long they are valid.
+	// Advise returns permits for those of the given boots that may run the step, and how
+	// long the permits are valid. The error is an [ErrNotDone] when the service is overloaded.
 	Advise(ctx context.Context, step string, boots []string) (permits []Permit, valid time.Duration, err error)
 }
--- a/pkg/platform/boot.go
+++ b/pkg/platform/boot.go
@@ -5,12 +5,12 @@
 	"strings"
 )
 
-// bootTimeSeparator stands between a worker's ID and the time of a boot.
+// bootTimeSeparator separates a worker's ID from its boot time.
 const bootTimeSeparator = "@"
 
-// BootID names the boot of a worker that started at a time in Unix milliseconds, 0 if it
-// does not say when. A worker may start again under the ID that it had; it then knows
-// nothing of before, and its counts and its clock start anew.
+// BootID identifies one boot of a worker. bootedAtMs is in Unix milliseconds, 0 if unknown.
+// A restarted worker may keep its ID, but it has lost its state, and its counters and its
+// clock start over.
 func BootID(worker string, bootedAtMs int64) string {
 	if bootedAtMs == 0 {
 		return worker
@@ -18,7 +18,7 @@
 	return worker + bootTimeSeparator + strconv.FormatInt(bootedAtMs, 10)
 }
 
-// ParseBootID returns the ID of a boot's worker and when the boot started, 0 if that is not known.
+// ParseBootID returns the worker's ID and the boot time in Unix milliseconds, 0 if unknown.
 func ParseBootID(boot string) (worker string, bootedAtMs int64) {
 	worker, startedAt, found := strings.Cut(boot, bootTimeSeparator)
 	bootedAtMs, err := strconv.ParseInt(startedAt, 10, 64)
--- a/pkg/platform/boot_test.go
+++ b/pkg/platform/boot_test.go
@@ -9,8 +9,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TestBootOf splits what was put together, and leaves IDs without a time as they are.
-func TestBootOf(t *testing.T) {
+// TestBootID checks that ParseBootID inverts BootID and keeps IDs without a boot time.
+func TestBootID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := rapid.StringMatching(`[a-z0-9-]{1,12}`).Draw(t, "worker")
 		born := rapid.Int64Range(0, 1<<50).Draw(t, "born")
--- a/pkg/platform/doc.go
+++ b/pkg/platform/doc.go
@@ -1,10 +1,16 @@
-// Package platform says what gannetwell needs of the platform it runs on: a
-// transactional table service, an object store, a list of VMs that lags, and
-// operations on VMs and tasks.
+// Package platform defines the interfaces through which gannetwell uses the
+// platform it runs on: a table service, an object store, the VM service, the
+// advice service, and orders to workers.
 //
-// The interfaces are narrow and carry no transport. Every error of an
-// implementation is, or wraps, one of three types that callers must tell apart:
-// [ErrRefused], the platform looked at the call and said no; [ErrNotDone], the
-// call certainly had no effect; [ErrUnknown], it may have had its effect.
-// Package rest is the adapter to HTTP and JSON, package fake a stand-in.
+// The interfaces do not depend on a transport. Callers distinguish three kinds
+// of errors: [ErrRefused], the platform refused the call; [ErrNotDone], the
+// call had no effect and can be retried; [ErrUnknown], the call may have taken
+// effect. [Rows] and [Workers] add errors of their own.
+//
+// Two sets of interfaces exist. [Platform] serves the replicated table of the
+// entries (package replica) and package control; package rest implements it over
+// HTTP and JSON. [Rows], [Workers], [Machines] and [Adviser] serve the job
+// service (packages shard, node and fleetops); the module's top-level package
+// platform implements them for the users' platform. Package fake implements
+// both sets in memory for tests, except Machines and Adviser.
 package platform
--- a/pkg/platform/errors.go
+++ b/pkg/platform/errors.go
@@ -7,56 +7,57 @@
 	"github.com/pkg/errors"
 )
 
-// ErrRefused reports a call that the platform refused; it had no effect and would be refused again.
+// ErrRefused reports a call that the platform refused. It had no effect, and a retry
+// would be refused too.
 type ErrRefused struct {
 	Op       string
 	Reason   string
 	Conflict bool // a precondition of a transaction did not hold
 }
 
-// Error says what was attempted and the platform's reason.
+// Error returns the operation and the platform's reason.
 func (e ErrRefused) Error() string { return fmt.Sprintf("%s refused: %s", e.Op, e.Reason) }
 
-// ErrNotDone reports a call that had no effect; it may be tried again.
+// ErrNotDone reports a call that had no effect and may be retried.
 type ErrNotDone struct {
 	Op         string
 	Cause      string
-	RetryAfter time.Duration // the platform's wish, 0 for none
+	RetryAfter time.Duration // requested by the platform, 0 for none
 }
 
-// Error says what was attempted and why it did not happen.
+// Error returns the operation and the cause.
 func (e ErrNotDone) Error() string { return fmt.Sprintf("%s did not happen: %s", e.Op, e.Cause) }
 
-// ErrUnknown reports a call whose answer was lost; it may have had its effect.
+// ErrUnknown reports a call whose answer was lost or unreadable; it may have taken effect.
 type ErrUnknown struct {
 	Op    string
 	Cause string
 }
 
-// Error says what was attempted and how the answer was lost.
+// Error returns the operation and the cause.
 func (e ErrUnknown) Error() string {
 	return fmt.Sprintf("%s has an unknown outcome: %s", e.Op, e.Cause)
 }
 
-// IsConflict tells that a transaction's preconditions did not hold.
+// IsConflict reports whether err is an [ErrRefused] for a failed transaction precondition.
 func IsConflict(err error) bool {
 	var refused ErrRefused
 	return errors.As(err, &refused) && refused.Conflict
 }
 
-// IsRefused tells that the platform said no.
+// IsRefused reports whether err is an [ErrRefused].
 func IsRefused(err error) bool {
 	var refused ErrRefused
 	return errors.As(err, &refused)
 }
 
-// IsNotDone tells that the call had no effect and may be tried again.
+// IsNotDone reports whether err is an [ErrNotDone].
 func IsNotDone(err error) bool {
 	var notDone ErrNotDone
 	return errors.As(err, &notDone)
 }
 
-// IsUnknown tells that the call may have had its effect.
+// IsUnknown reports whether err is an [ErrUnknown].
 func IsUnknown(err error) bool {
 	var unknown ErrUnknown
 	return errors.As(err, &unknown)
--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -9,13 +9,13 @@
 )
 
 type attempt struct {
-	number   int64
-	needs    platform.Resources
-	timer    *time.Timer
+	number     int64
+	needs      platform.Resources
+	timer      *time.Timer
 	stopping   bool
-	started  time.Time
-	duration time.Duration // 0 for a task that runs until it is stopped
-	stallAfter  time.Duration // progress at which it stands still, 0 for never
+	started    time.Time
+	duration   time.Duration // 0 for a task that runs until it is stopped
+	stallAfter time.Duration // progress at which it stands still, 0 for never
 }
 
 func (w *Workers) startAttempt(b *boot, o platform.StartOrder) error {
--- a/pkg/platform/fake/fake.go
+++ b/pkg/platform/fake/fake.go
@@ -13,7 +13,7 @@
 const (
 	DefaultWritesPerSecond = 100
 	DefaultReadsPerSecond  = 2000
-	burstSeconds             = 0.25 // of a second
+	burstSeconds           = 0.25 // of a second
 )
 
 // Platform is the stand-in's state, shared by all views.
--- a/pkg/platform/fake/faults.go
+++ b/pkg/platform/fake/faults.go
@@ -39,12 +39,12 @@
 
 // injector decides about each call.
 type injector struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	rules []Rule
-	fired []int // faults that each rule has brought about
-	matched  []int // calls that each rule has matched
-	calls map[rest.Operation]int
+	mu      sync.Mutex
+	rng     *rand.Rand
+	rules   []Rule
+	fired   []int // faults that each rule has brought about
+	matched []int // calls that each rule has matched
+	calls   map[rest.Operation]int
 }
 
 func newInjector(seed uint64) *injector {
--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -63,19 +63,19 @@
 
 // Rows is a stand-in of the partitioned table service.
 type Rows struct {
-	latency time.Duration
-	lateDelay  time.Duration
-	start   time.Time
-	jitter  *Jitter
-
-	mu      sync.Mutex
-	fault   func(op RowOp, entry string) Fault
-	bytesPerSecond    int // bytes of values that a caller's link carries a second, 0 for no bound
-	rows    map[platform.RowKey]platform.Row
-	log     []platform.Row // changes in order of their versions
-	version int64
-	truncatedTo  int64 // changes up to this version are no longer known
-	changed chan struct{}
+	latency   time.Duration
+	lateDelay time.Duration
+	start     time.Time
+	jitter    *Jitter
+
+	mu             sync.Mutex
+	fault          func(op RowOp, entry string) Fault
+	bytesPerSecond int // bytes of values that a caller's link carries a second, 0 for no bound
+	rows           map[platform.RowKey]platform.Row
+	log            []platform.Row // changes in order of their versions
+	version        int64
+	truncatedTo    int64 // changes up to this version are no longer known
+	changed        chan struct{}
 }
 
 var _ platform.Rows = (*rowsView)(nil)
--- a/pkg/platform/fake/tasks.go
+++ b/pkg/platform/fake/tasks.go
@@ -15,7 +15,7 @@
 	spec       platform.TaskSpec
 	state      platform.TaskState
 	leaseUntil time.Time
-	cpuLimit        float64 // processors, 0 for none
+	cpuLimit   float64 // processors, 0 for none
 	reason     string
 }
 
@@ -33,9 +33,9 @@
 
 // tasks is what runs on the workers.
 type tasks struct {
-	mu       sync.Mutex
-	byID     map[string]*fakeTask
-	lag      time.Duration
+	mu          sync.Mutex
+	byID        map[string]*fakeTask
+	lag         time.Duration
 	lastReports map[string]lastReport // by VM
 }
 
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -38,11 +38,11 @@
 
 // Workers is a stand-in of the workers of a deployment.
 type Workers struct {
-	latency  time.Duration
-	lateDelay   time.Duration
-	stopTime time.Duration
-	jitter   *Jitter
-	work     func(task, spec string) Work
+	latency   time.Duration
+	lateDelay time.Duration
+	stopTime  time.Duration
+	jitter    *Jitter
+	work      func(task, spec string) Work
 	observer  WorkersObserver
 
 	mu    sync.Mutex
@@ -63,25 +63,25 @@
 
 // boot is one boot of a worker.
 type boot struct {
-	info    platform.Worker
-	reportCount   int                 // that it has given
-	omitted  map[attemptKey]bool // attempts that a list has lacked
-	worker  string              // its ID, which a later boot may have as well
-	bootedAtMs    int64               // in Unix milliseconds, 0 if it does not say
-	start   time.Time
-	drift   float64 // how much slower its clock runs, 0.02 for 2%
-	dead    bool
-	token   int64
-	running map[string]*attempt
-	ended   []platform.AttemptEnd
-	lastSeq    int64 // number of the last end
-	ackedSeq   int64
+	info           platform.Worker
+	reportCount    int                 // that it has given
+	omitted        map[attemptKey]bool // attempts that a list has lacked
+	worker         string              // its ID, which a later boot may have as well
+	bootedAtMs     int64               // in Unix milliseconds, 0 if it does not say
+	start          time.Time
+	drift          float64 // how much slower its clock runs, 0.02 for 2%
+	dead           bool
+	token          int64
+	running        map[string]*attempt
+	ended          []platform.AttemptEnd
+	lastSeq        int64 // number of the last end
+	ackedSeq       int64
 	highestAttempt map[string]int64 // attempt that ended or was stopped here, by task
-	leaseUntil   int64            // deadline by the worker's clock
-	leaseTimer   *time.Timer
-	free    platform.Resources
-	pastCapacities   []pastCapacity // it had, in order
-	changed chan struct{}
+	leaseUntil     int64            // deadline by the worker's clock
+	leaseTimer     *time.Timer
+	free           platform.Resources
+	pastCapacities []pastCapacity // it had, in order
+	changed        chan struct{}
 }
 
 // NewWorkers returns no workers yet; orders take latency, those carried out late
@@ -178,8 +178,8 @@
 
 // pastCapacity is what a boot had room for until a time.
 type pastCapacity struct {
-	capacity  platform.Resources
-	until time.Time
+	capacity platform.Resources
+	until    time.Time
 }
 
 // fitsNowOrRecently tells whether a start fits what the boot has room for, or had a moment ago.
--- a/pkg/platform/machines.go
+++ b/pkg/platform/machines.go
@@ -5,7 +5,7 @@
 // MachineState is the state of a VM in the VM service's list.
 type MachineState string
 
-// The states of VMs in the VM service's list.
+// The states of a [Machine].
 const (
 	MachineUp          MachineState = "up"
 	MachineMoving      MachineState = "moving"
@@ -21,22 +21,23 @@
 	Zone     string
 	Labels   []string
 	Capacity Resources
-	Worker   string // ID of its worker, empty when there is none; a later boot may have it as well
+	Worker   string // ID of its worker, empty for none; later boots may reuse it
 }
 
-// Holder says who orders, so that the VM service can tell orders of a former holder.
+// Holder identifies the sender of an order, so that the VM service can refuse orders from
+// an earlier holder of the fleet lease.
 type Holder struct {
 	Name  string
-	Token int64 // fencing token, rises with each new holder
+	Token int64 // fencing token, increases with each new holder
 }
 
-// Machines lists VMs and changes what they are for. Errors of orders are an
-// [ErrRefused] when the VM cannot do it now, an [ErrNotDone], or an [ErrUnknown].
+// Machines lists VMs, moves them between pools and starts their maintenance. Errors of
+// orders are an [ErrRefused] when the VM cannot do it now, an [ErrNotDone], or an [ErrUnknown].
 type Machines interface {
 	// ListMachines returns all VMs.
 	ListMachines(ctx context.Context) ([]Machine, error)
-	// MoveMachine puts a VM into another pool; what runs there ends at once.
+	// MoveMachine moves a VM to another pool; its running tasks end at once.
 	MoveMachine(ctx context.Context, vm, pool string, h Holder) error
-	// MaintainMachine takes a VM down for its maintenance in a wave; what runs there ends at once.
+	// MaintainMachine takes a VM down for its maintenance in a wave; its running tasks end at once.
 	MaintainMachine(ctx context.Context, vm string, wave int, h Holder) error
 }
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Resources are amounts of what a worker has or a task asks for.
+// Resources are amounts that a worker has or a task requests.
 type Resources struct {
 	CPU      int `msgpack:"c,omitempty"` // thousandths of a core
 	MemoryMB int `msgpack:"m,omitempty"`
 	GPU      int `msgpack:"g,omitempty"`
 }
 
-// Fits tells whether r is no more than free in each kind.
+// Fits reports whether r does not exceed free in any resource.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.MemoryMB <= free.MemoryMB && r.GPU <= free.GPU
 }
 
-// Add returns the sum.
+// Add returns r + o.
 func (r Resources) Add(o Resources) Resources {
 	return Resources{CPU: r.CPU + o.CPU, MemoryMB: r.MemoryMB + o.MemoryMB, GPU: r.GPU + o.GPU}
 }
 
-// Sub returns the difference.
+// Sub returns r - o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
 
-// Worker is one boot of a worker VM as it registers itself in the directory.
+// Worker is one boot of a worker as registered in the worker directory.
 type Worker struct {
-	Boot     string // identifies this boot, see [BootOf]
+	Boot     string // see [BootID]
 	VM       string
 	Pool     string
-	Address  string // host:port, may later belong to another boot
+	Address  string // host:port, may be reused by another boot
 	Zone     string
-	Draining bool // it is about to end and must get no new tasks
+	Draining bool // it will shut down and must get no new tasks
 	Capacity Resources
 	Labels   []string
 }
@@ -46,18 +46,18 @@
 	Address string
 }
 
-// StartOrder tells a worker to begin an attempt of a task.
+// StartOrder tells a worker to start an attempt of a task.
 type StartOrder struct {
 	Task       string
-	Attempt    int64 // rises with each attempt of the task
+	Attempt    int64 // increases with each attempt of the task
 	Spec       string
-	Checkpoint string // what to go on from, empty for the beginning
-	Ticket     string // leave of the advice service, empty where the queue has none
+	Checkpoint string // to resume from, empty to start over
+	Ticket     string // from [Permit], empty if the queue uses no advice service
 	Token      int64  // fencing token of the sender
-	LeaseUntil int64  // milliseconds of the worker's clock, for all that runs there
+	LeaseUntil int64  // in ms of the worker's clock; applies to all attempts on the worker
 }
 
-// StopOrder tells a worker to end an attempt.
+// StopOrder tells a worker to stop an attempt.
 type StopOrder struct {
 	Task    string
 	Attempt int64
@@ -72,103 +72,102 @@
 	Token   int64
 }
 
-// RenewOrder renews the leases of all that runs at a worker and asks for a report.
+// RenewOrder renews the leases of all attempts on a worker and requests a report.
 type RenewOrder struct {
 	Token      int64
-	LeaseUntil int64         // milliseconds of the worker's clock, 0 to renew nothing
-	AckedSeq   int64         // ends up to this number need not be reported again
-	Wait       time.Duration // how long to wait for an end that was not acknowledged
+	LeaseUntil int64         // in ms of the worker's clock, 0 to renew nothing
+	AckedSeq   int64         // ends up to this sequence number are acknowledged
+	Wait       time.Duration // how long to wait for an unacknowledged end
 }
 
-// RunningAttempt is an attempt that runs at a worker.
+// RunningAttempt is an attempt that is running on a worker.
 type RunningAttempt struct {
 	Task       string
 	Attempt    int64
 	Checkpoint string
-	Percent    int // of the work done; of a long-running task 100 when it serves
-	Load       int // tail latency in ms of a task that serves others, else thousandths of a core in use
+	Percent    int // progress; for a long-running task 100 once it serves requests
+	Load       int // tail latency in ms of a long-running task, else thousandths of a core in use
 }
 
-// EndReason tells how an attempt ended.
+// EndReason is why an attempt ended.
 type EndReason string
 
-// The ways in which an attempt ends.
+// The reasons for the end of an attempt.
 const (
 	EndDone           EndReason = "done"
 	EndFailed         EndReason = "failed"
 	EndStopped        EndReason = "stopped"
-	EndLeaseExpired   EndReason = "lapsed" // its lease ran out
+	EndLeaseExpired   EndReason = "lapsed" // its lease expired
 	EndGangBroken     EndReason = "broken" // another member of its gang ended
-	EndGangIncomplete EndReason = "alone"  // the other members of its gang did not come in time
+	EndGangIncomplete EndReason = "alone"  // the other members of its gang did not start in time
 )
 
-// AttemptEnd is an attempt that ended at a worker.
+// AttemptEnd is an attempt that ended on a worker.
 type AttemptEnd struct {
-	Seq        int64 // counts the ends of this boot from 1
+	Seq        int64 // sequence number of the end within the boot, from 1
 	Task       string
 	Attempt    int64
 	Reason     EndReason
 	Checkpoint string
 }
 
-// ClockUnknown stands for the clock of a worker that did not say; one that has just started says 0.
+// ClockUnknown is the clock of a worker that did not report it; 0 is a valid clock.
 const ClockUnknown int64 = -1
 
-// WorkerReport is what a worker says of itself.
+// WorkerReport is a worker's report of its own state.
 type WorkerReport struct {
-	ClockMs    int64 // the worker's steady clock, NoClock if it did not say
-	BootedAtMs int64 // when the boot that answers started, in Unix milliseconds, 0 if it does not say
-	Remaining  time.Duration
+	ClockMs    int64         // the worker's monotonic clock, or [ClockUnknown]
+	BootedAtMs int64         // boot time in Unix milliseconds, 0 if unknown
+	Remaining  time.Duration // until it shuts down, valid while it drains
 	Draining   bool
 	Running    []RunningAttempt
-	Ended      []AttemptEnd
+	Ended      []AttemptEnd // those not yet acknowledged
 }
 
-// RefusalReason tells why a worker did not carry out an order.
+// RefusalReason is why a worker refused an order.
 type RefusalReason string
 
-// The reasons of refusals.
+// The reasons for a refused order.
 const (
-	RefusedStaleToken    RefusalReason = "fence"  // it has seen a higher fencing token
-	RefusedStaleAttempt  RefusalReason = "old"    // the attempt is not above one that ended there
-	RefusedLeaseExpired  RefusalReason = "late"   // the lease in the order has run out
-	RefusedNoCapacity    RefusalReason = "room"   // it has not enough resources
-	RefusedInvalidTicket RefusalReason = "ticket" // the ticket is not valid there
+	RefusedStaleToken    RefusalReason = "fence"  // the worker has seen a higher fencing token
+	RefusedStaleAttempt  RefusalReason = "old"    // the same or a later attempt has ended there
+	RefusedLeaseExpired  RefusalReason = "late"   // the lease in the order has expired
+	RefusedNoCapacity    RefusalReason = "room"   // the worker lacks free resources
+	RefusedInvalidTicket RefusalReason = "ticket" // the advice service's ticket is not valid there
 	RefusedOther         RefusalReason = "other"
-	RefusedUnhealthy     RefusalReason = "unhealthy" // it cannot do anything at present
+	RefusedUnhealthy     RefusalReason = "unhealthy" // the worker cannot take orders at present
 )
 
-// ErrOrderRefused reports an order that the worker did not carry out.
+// ErrOrderRefused reports an order that the worker refused.
 type ErrOrderRefused struct {
 	Reason  RefusalReason
-	ClockMs int64 // the worker's clock, NoClock if it did not say
+	ClockMs int64 // the worker's clock, or [ClockUnknown]
 }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e ErrOrderRefused) Error() string {
 	return fmt.Sprintf("the worker refused the order: %s", e.Reason)
 }
 
-// ErrOtherBoot reports that another boot answers at the address, so the one that was meant has ended.
+// ErrOtherBoot reports that another worker answers at the address, so the addressed boot has ended.
 type ErrOtherBoot struct {
-	Boot string // empty if it did not say
+	Boot string // that answered, empty if unknown
 }
 
-// Error names the boot.
+// Error names the boot that answered.
 func (e ErrOtherBoot) Error() string { return fmt.Sprintf("boot %q answers at the address", e.Boot) }
 
-// Workers gives orders to workers. What an order names is the ID of the worker that its boot
-// is of, so that it reaches a later boot of that ID as well; only the report of RenewLeases
-// tells which boot has answered. Errors are an [ErrOrderRefused], an
-// [ErrOtherBoot], an [ErrNotDone] when the order did not reach the worker, or
-// an [ErrUnknown]: the order may have been carried out, or may be later.
+// Workers sends orders to workers. Orders are addressed to the worker's ID and so may reach
+// a later boot with the same ID; only the report of RenewLeases tells which boot answered.
+// Errors are an [ErrOrderRefused], an [ErrOtherBoot], an [ErrNotDone] if the order was not
+// sent, or an [ErrUnknown] if it may have been or may still be carried out.
 type Workers interface {
-	// StartAttempt begins an attempt and returns the worker's clock in milliseconds.
+	// StartAttempt starts an attempt and returns the worker's clock in milliseconds.
 	StartAttempt(ctx context.Context, w WorkerRef, o StartOrder) (clockMs int64, err error)
-	// StopAttempt ends an attempt; its end is reported by RenewLeases.
+	// StopAttempt stops an attempt; RenewLeases reports its end.
 	StopAttempt(ctx context.Context, w WorkerRef, o StopOrder) (clockMs int64, err error)
-	// ThrottleAttempt limits an attempt's speed.
+	// ThrottleAttempt limits an attempt to a share of its normal speed.
 	ThrottleAttempt(ctx context.Context, w WorkerRef, o ThrottleOrder) (clockMs int64, err error)
-	// RenewLeases renews what runs at a worker and returns its report.
+	// RenewLeases renews the leases of all attempts on a worker and returns its report.
 	RenewLeases(ctx context.Context, w WorkerRef, o RenewOrder) (WorkerReport, error)
 }
--- a/service/client/client.go
+++ b/service/client/client.go
@@ -19,7 +19,7 @@
 
 const (
 	defaultTimeout = 15 * time.Second
-	maxAnswerBytes      = 64 << 20
+	maxAnswerBytes = 64 << 20
 )
 
 // ErrAPI is an answer that is not a success.
--- a/service/server/audit.go
+++ b/service/server/audit.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	auditPageSize  = 500 // entries of one read
+	auditPageSize = 500 // entries of one read
 	maxAuditPages = 40  // reads of one request
 )
 
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	editTimeout   = 3 * time.Second
-	maxEditIDLen  = 128
-	defaultAuditLimit  = 100
-	maxAuditLimit = 10000
+	editTimeout       = 3 * time.Second
+	maxEditIDLen      = 128
+	defaultAuditLimit = 100
+	maxAuditLimit     = 10000
 )
 
 // Table is the entry's copy of the table.
