--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -14,8 +14,8 @@
 	timer      *time.Timer
 	stopping   bool
 	started    time.Time
-	duration   time.Duration // 0 for a task that runs until it is stopped
-	stallAfter time.Duration // progress at which it stands still, 0 for never
+	duration   time.Duration // 0 to run until stopped
+	stallAfter time.Duration // progress stays at this run time, 0 for never
 }
 
 func (w *Workers) startAttempt(b *boot, o platform.StartOrder) error {
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// crashIfRunning has an attempt that runs still bring its worker down.
+// crashIfRunning ends the boot if the attempt is still running.
 func (w *Workers) crashIfRunning(b *boot, task string, a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,7 +88,7 @@
 	b.changed = make(chan struct{})
 }
 
-// percent is the progress that is reported.
+// percent returns the attempt's progress in percent.
 func (a *attempt) percent() int {
 	if a.duration == 0 {
 		return 100
@@ -100,15 +100,15 @@
 	return int(100 * ran / a.duration)
 }
 
-// stalls tells whether tasks stand still at a boot.
+// stalls reports whether a task stalls on a boot.
 func (w *Workers) stalls(b *boot, task string) bool {
 	return w.stall != nil && w.stall(b.info.Boot, task)
 }
 
-// MaxLease is the longest lease that a worker grants; longer ones are cut.
+// MaxLease is the longest lease that a worker grants; longer ones are shortened to it.
 const MaxLease = 10 * time.Second
 
-// extendLeases moves the deadline of the leases; it is never shortened.
+// extendLeases extends the leases of a boot's attempts to until, in ms of the boot's clock.
 func (w *Workers) extendLeases(b *boot, until int64) {
 	until = min(until, b.clock()+MaxLease.Milliseconds())
 	if until <= b.leaseUntil {
@@ -143,7 +143,7 @@
 	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Seq <= b.ackedSeq })
 }
 
-// report returns what a boot lists of itself.
+// report returns a boot's report with its running and ended attempts.
 func (w *Workers) report(b *boot) platform.WorkerReport {
 	r := platform.WorkerReport{ClockMs: b.clock(), BootedAtMs: b.bootedAtMs, Ended: slices.Clone(b.ended)}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
@@ -154,7 +154,7 @@
 	return r
 }
 
-// omitEnds takes the ends out of a report that are to be left out yet.
+// omitEnds removes ends from a report as requested by [Workers.OmitEnd].
 func (w *Workers) omitEnds(b *boot, r *platform.WorkerReport) {
 	left := w.endOmissions[b.info.Boot]
 	if left == nil {
@@ -166,14 +166,14 @@
 	})
 }
 
-// attemptKey tells attempts apart.
+// attemptKey identifies an attempt.
 type attemptKey struct {
 	task   string
 	number int64
 }
 
-// omitEntry takes an entry out of one answer of a boot in so many, that of an attempt no list of
-// it has lacked yet.
+// omitEntry removes one entry from every omitEvery-th report of a boot. An attempt is
+// omitted at most once.
 func (w *Workers) omitEntry(b *boot, r *platform.WorkerReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pkg/platform/fake/doc.go
+++ b/pkg/platform/fake/doc.go
@@ -1,10 +1,12 @@
-// Package fake is a stand-in for the platform, in memory.
+// Package fake implements the interfaces of package platform in memory, for tests.
 //
-// One [Platform] holds the table, the objects, the VMs and the tasks of a
-// deployment. [Platform.View] gives the platform as one availability zone
-// sees it: rate limits and the [Rule]s in force decide, call by call, whether
-// it is slow, refuses, loses the call before it has its effect, or loses the
-// answer after it. Rules may be changed at any time; chances come from a fixed
-// seed. It reads time by package time only, so that it runs under
+// [Platform] implements platform.Platform: [Platform.View] returns it as one availability
+// zone sees it. Rate limits and the [Rule]s in force decide whether a call is slow, is
+// refused, is lost before it takes effect, or loses its answer. Rules may be changed at any
+// time; their random choices follow from a fixed seed.
+//
+// [Rows] and [Workers] implement the interfaces of the same names for the job service; their
+// SetFault methods inject faults for each call. [Jitter] makes the order of concurrent calls
+// reproducible. The package uses only package time as its clock, so that it runs under
 // testing/synctest.
 package fake
--- a/pkg/platform/fake/fake.go
+++ b/pkg/platform/fake/fake.go
@@ -9,14 +9,14 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// The limits that the users' platform has.
+// Default limits of the table, as on the users' platform.
 const (
 	DefaultWritesPerSecond = 100
 	DefaultReadsPerSecond  = 2000
-	burstSeconds           = 0.25 // of a second
+	burstSeconds           = 0.25 // of the rate
 )
 
-// Platform is the stand-in's state, shared by all views.
+// Platform is the state of the fake platform, shared by all views.
 type Platform struct {
 	latency time.Duration
 	faults  *injector
@@ -28,16 +28,16 @@
 	tasks   tasks
 }
 
-// Option changes how a Platform is made.
+// Option configures a Platform.
 type Option func(*Platform)
 
-// WithSeed fixes the chances of rules.
+// WithSeed sets the seed for the random choices of rules.
 func WithSeed(seed uint64) Option { return func(p *Platform) { p.faults = newInjector(seed) } }
 
 // WithLatency delays every call.
 func WithLatency(d time.Duration) Option { return func(p *Platform) { p.latency = d } }
 
-// WithLimits sets writes and reads a second of the table; calls above are not done.
+// WithLimits sets the table's limits of writes and reads per second; calls above them fail with ErrNotDone.
 func WithLimits(writes, reads int) Option {
 	return func(p *Platform) {
 		p.writes = limiter(writes)
@@ -45,19 +45,19 @@
 	}
 }
 
-// WithListLag delays what the VM list shows.
+// WithListLag sets the lag of the VM list.
 func WithListLag(d time.Duration) Option { return func(p *Platform) { p.fleet.lag = d } }
 
-// WithReportLag sets how old a worker's report of its tasks may be.
+// WithReportLag sets the maximum age of a worker's task report.
 func WithReportLag(d time.Duration) Option { return func(p *Platform) { p.tasks.lag = d } }
 
 // WithRebootTime sets how long a reboot takes.
 func WithRebootTime(d time.Duration) Option { return func(p *Platform) { p.fleet.rebootTime = d } }
 
-// WithVMRuntime connects the VMs to the backend servers that run on them.
+// WithVMRuntime sets what simulates the backend servers on the VMs.
 func WithVMRuntime(m VMRuntime) Option { return func(p *Platform) { p.fleet.runtime = m } }
 
-// WithObserver tells o of every write that takes effect.
+// WithObserver notifies o of every write that takes effect.
 func WithObserver(o Observer) Option { return func(p *Platform) { p.table.observer = o } }
 
 func limiter(perSecond int) *rate.Limiter {
@@ -65,7 +65,7 @@
 	return rate.NewLimiter(rate.Limit(perSecond), burst)
 }
 
-// New returns an empty platform.
+// New returns an empty Platform.
 func New(opts ...Option) *Platform {
 	p := &Platform{
 		faults: newInjector(1),
@@ -82,7 +82,7 @@
 	return p
 }
 
-// SetRules puts rules in force in place of the earlier ones.
+// SetRules replaces the rules in force.
 func (p *Platform) SetRules(rules ...Rule) { p.faults.set(rules) }
 
 // Calls returns how often an operation was called.
@@ -92,7 +92,7 @@
 	return p.faults.calls[op]
 }
 
-// limit refuses table calls above the rate.
+// limit refuses table calls above the rate limit.
 func (p *Platform) limit(op rest.Operation) error {
 	l := p.reads
 	switch op {
@@ -114,5 +114,5 @@
 	zone string
 }
 
-// View returns the platform as a zone sees it.
+// View returns the platform as one availability zone sees it.
 func (p *Platform) View(zone string) platform.Platform { return &view{p: p, zone: zone} }
--- a/pkg/platform/fake/faults.go
+++ b/pkg/platform/fake/faults.go
@@ -11,39 +11,39 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// Fault is what goes wrong with a call.
+// Fault is a failure injected into a call.
 type Fault string
 
-// The faults.
+// The faults of any call; see also [FaultLate] and [FaultRefused].
 const (
 	FaultNone       Fault = ""
-	FaultDown       Fault = "down"        // the call is refused before it has any effect
-	FaultLostBefore Fault = "lost-before" // no answer, no effect
-	FaultLostAfter  Fault = "lost-after"  // the effect, but no answer
-	FaultSlow       Fault = "slow"        // the call takes longer by Rule.DelayMs
+	FaultDown       Fault = "down"        // the call is refused and has no effect
+	FaultLostBefore Fault = "lost-before" // no effect and no answer
+	FaultLostAfter  Fault = "lost-after"  // the call takes effect, but its answer is lost
+	FaultSlow       Fault = "slow"        // the call is delayed by Rule.DelayMs
 )
 
-// Faults returns every fault.
+// Faults returns the faults that a [Rule] can inject.
 func Faults() []Fault { return []Fault{FaultDown, FaultLostBefore, FaultLostAfter, FaultSlow} }
 
-// Rule brings a fault about for some calls.
+// Rule injects a fault into matching calls.
 type Rule struct {
-	Op      rest.Operation `json:"op"`       // empty for every operation
-	Zone    string         `json:"zone"`     // of the caller, empty for every zone
-	Fault   Fault          `json:"fault"`    // what goes wrong
+	Op      rest.Operation `json:"op"`   // empty matches every operation
+	Zone    string         `json:"zone"` // of the caller, empty matches every zone
+	Fault   Fault          `json:"fault"`
 	DelayMs int            `json:"delay_ms"` // for FaultSlow
-	Chance  float64        `json:"chance"`   // of each call, 0 means always
-	Skip    int            `json:"skip"`     // calls that pass before the first fault
-	Count   int            `json:"count"`    // faults until the rule is spent, 0 for no end
+	Chance  float64        `json:"chance"`   // probability per call, 0 for always
+	Skip    int            `json:"skip"`     // matching calls that pass before the first fault
+	Count   int            `json:"count"`    // number of faults to inject, 0 for no limit
 }
 
-// injector decides about each call.
+// injector selects the fault of each call.
 type injector struct {
 	mu      sync.Mutex
 	rng     *rand.Rand
 	rules   []Rule
-	fired   []int // faults that each rule has brought about
-	matched []int // calls that each rule has matched
+	fired   []int // number of faults injected, by rule
+	matched []int // number of calls matched, by rule
 	calls   map[rest.Operation]int
 }
 
@@ -59,7 +59,7 @@
 	in.matched = make([]int, len(rules))
 }
 
-// decide returns the fault of one call and its delay.
+// decide counts the call and returns its fault and its delay.
 func (in *injector) decide(op rest.Operation, zone string) (f Fault, delay time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -85,7 +85,7 @@
 	return FaultNone, delay
 }
 
-// call carries out one call under the rules and limits.
+// call runs effect as one call under the rules and limits.
 func (v *view) call(ctx context.Context, op rest.Operation, effect func() error) error {
 	fault, delay := v.p.faults.decide(op, v.zone)
 	if err := pause.For(ctx, v.p.latency+delay); err != nil {
@@ -107,7 +107,7 @@
 	return err
 }
 
-// lostError is what a client learns when no answer comes: a read never has an effect.
+// lostError is the error for a call without an answer; a read never has an effect.
 func lostError(op rest.Operation, cause string) error {
 	if op.Writes() {
 		return platform.ErrUnknown{Op: string(op), Cause: cause}
--- a/pkg/platform/fake/fleet.go
+++ b/pkg/platform/fake/fleet.go
@@ -14,24 +14,24 @@
 
 const defaultRebootTime = 500 * time.Millisecond
 
-// VMRuntime is what runs on the VMs; its methods must not call the platform.
+// VMRuntime simulates what runs on the VMs; its methods must not call the platform.
 type VMRuntime interface {
 	// Leaving tells the VM's backend server whether it is leaving.
 	Leaving(vm string, leaving bool)
 	// Power starts or stops everything on the VM.
 	Power(vm string, on bool)
-	// InFlight returns how many requests the VM's backend server is working on.
+	// InFlight returns the number of requests that the VM's backend server is processing.
 	InFlight(vm string) int
 }
 
-// noRuntime runs nothing.
+// noRuntime is a VMRuntime without effect.
 type noRuntime struct{}
 
 func (noRuntime) Leaving(string, bool) {}
 func (noRuntime) Power(string, bool)   {}
 func (noRuntime) InFlight(string) int  { return 0 }
 
-// stateChange is a state that a VM had from a time on.
+// stateChange is a VM's state from a time on.
 type stateChange struct {
 	at    time.Time
 	state platform.VMState
@@ -44,7 +44,7 @@
 	history   []stateChange
 }
 
-// fleet is the VMs.
+// fleet holds the VMs.
 type fleet struct {
 	mu         sync.Mutex
 	lag        time.Duration
@@ -59,7 +59,7 @@
 	f.vms = map[string]*fakeVM{}
 }
 
-// AddVM brings a live VM in, in place of an earlier one of that name.
+// AddVM adds a live VM and replaces an earlier one of the same name.
 func (p *Platform) AddVM(vm platform.ListedVM) {
 	f := &p.fleet
 	f.mu.Lock()
@@ -68,10 +68,10 @@
 	f.vms[vm.Name] = &fakeVM{listed: vm, boot: 1, history: []stateChange{{time.Now(), platform.VMLive}}}
 }
 
-// Fail stops a VM without notice.
+// Fail powers a VM off without notice.
 func (p *Platform) Fail(name string) { p.setPower(name, platform.VMGone) }
 
-// Recover starts a failed VM again.
+// Recover powers a failed VM on again.
 func (p *Platform) Recover(name string) { p.setPower(name, platform.VMLive) }
 
 func (p *Platform) setPower(name string, state platform.VMState) {
@@ -90,13 +90,13 @@
 	}
 }
 
-// setState sets the state; the caller holds the lock.
+// setState sets the state and records it in the history; the caller holds the lock.
 func (vm *fakeVM) setState(state platform.VMState) {
 	vm.listed.State = state
 	vm.history = append(vm.history, stateChange{time.Now(), state})
 }
 
-// stateAt returns the state stateAt a time, false when the VM did not exist then.
+// stateAt returns the VM's state at a time; ok is false if the VM did not exist then.
 func (vm *fakeVM) stateAt(t time.Time) (state platform.VMState, ok bool) {
 	for i, h := range slices.Backward(vm.history) {
 		if !h.at.After(t) {
@@ -130,7 +130,7 @@
 	return list, err
 }
 
-// withVM carries out an operation on an existing VM; f runs under the lock.
+// withVM calls f for an existing VM under the lock, as one call of the platform.
 func (v *view) withVM(ctx context.Context, op rest.Operation, name string, f func(vm *fakeVM) error) error {
 	return v.call(ctx, op, func() error {
 		fl := &v.p.fleet
@@ -163,7 +163,7 @@
 	})
 }
 
-// checkBoot refuses an operation on a VM that has booted since.
+// checkBoot refuses an operation on a VM that has rebooted since the caller read boot.
 func (vm *fakeVM) checkBoot(op rest.Operation, boot int) error {
 	if vm.boot == boot {
 		return nil
@@ -171,7 +171,7 @@
 	return platform.ErrRefused{Op: string(op), Reason: fmt.Sprintf("the VM is at boot %d, not %d", vm.boot, boot)}
 }
 
-// setLeaving changes the state and tells the machine; the caller holds the lock.
+// setLeaving changes the state and notifies the runtime; the caller holds the lock.
 func (f *fleet) setLeaving(vm *fakeVM, from, to platform.VMState) {
 	if vm.listed.State != from {
 		return
@@ -199,7 +199,7 @@
 	})
 }
 
-// reboot takes a VM down and up again.
+// reboot powers a VM off and on again.
 func (f *fleet) reboot(name string) {
 	f.runtime.Power(name, false)
 	time.Sleep(f.rebootTime)
--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -13,7 +13,7 @@
 // OrderOp names an order to a worker.
 type OrderOp string
 
-// The orders.
+// The kinds of orders.
 const (
 	OrderStart OrderOp = "start"
 	OrderStop  OrderOp = "stop"
@@ -26,10 +26,10 @@
 	entry string
 }
 
-// As returns the workers as one entry reaches them.
+// As returns the workers as seen by one entry, whose name is passed to the fault function.
 func (w *Workers) As(entry string) platform.Workers { return &workersView{w: w, entry: entry} }
 
-// sendOrder carries one order out, for a task or none, under the fault in force; do runs under the lock.
+// sendOrder runs do under the lock as one order, with the fault in force. task may be empty.
 func (v *workersView) sendOrder(ctx context.Context, op OrderOp, ref platform.WorkerRef, task string, do func(b *boot) error) error {
 	jitterKey := []string{string(op), ref.Boot, v.entry, task}
 	v.w.mu.Lock()
@@ -59,8 +59,8 @@
 	return err
 }
 
-// applyLate carries an order out some time later, at the boot that has taken it, unless that has
-// ended: what a boot has taken ends with it.
+// applyLate runs do after lateDelay on the boot that received the order, unless that boot has
+// ended by then.
 func (v *workersView) applyLate(ref platform.WorkerRef, do func(b *boot) error) {
 	v.w.mu.Lock()
 	defer v.w.mu.Unlock()
@@ -92,7 +92,7 @@
 	return platform.ErrNotDone{Op: "order", Cause: "connection refused"}
 }
 
-// dropsAnswer tells whether a call that ended so gets no answer, since its worker is dark.
+// dropsAnswer reports whether a failed call to an ended boot times out instead of being refused.
 func (w *Workers) dropsAnswer(ref platform.WorkerRef, err error) bool {
 	if err == nil || errors.As(err, new(platform.ErrOtherBoot)) {
 		return false
@@ -103,7 +103,7 @@
 	return w.blackhole && b != nil && b.dead
 }
 
-// checkToken checks an order's token.
+// checkToken refuses an order with a lower fencing token than seen before.
 func (b *boot) checkToken(token int64) error {
 	if token < b.token {
 		return platform.ErrOrderRefused{Reason: platform.RefusedStaleToken, ClockMs: b.clock()}
@@ -199,7 +199,7 @@
 	return report, err
 }
 
-// losesAnswer tells whether an answer that is due now would be lost.
+// losesAnswer reports whether a fault suppresses an answer sent now.
 func (w *Workers) losesAnswer(op OrderOp, boot, entry string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -12,11 +12,11 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// FaultLate is an answer that is lost while the effect comes seconds later, if
-// its preconditions still hold then.
+// FaultLate loses the answer of a commit or an order and applies its effect later, if its
+// preconditions still hold then.
 const FaultLate Fault = "late"
 
-// FaultRefused is a transaction that is refused as one is whose content is not valid.
+// FaultRefused refuses a commit as an invalid transaction.
 const FaultRefused Fault = "refused"
 
 // RowOp names an operation of the partitioned table service.
@@ -29,10 +29,10 @@
 	RowFollow RowOp = "follow"
 )
 
-// maxListedRows is how many rows one listing returns at most.
+// maxListedRows bounds the rows of one page.
 const maxListedRows = 500
 
-// Limits of a transaction, as the platform has them.
+// Limits of a transaction on the users' platform.
 const (
 	maxTxnEntries = 100
 	maxTxnBytes   = 1_000_000
@@ -40,7 +40,7 @@
 	maxKeyBytes   = 200
 )
 
-// checkTxn tells why a transaction is never carried out, nil if it may be.
+// checkTxn returns an error for a transaction that exceeds the limits.
 func checkTxn(txn *platform.RowTxn) error {
 	bytes, reason := 0, ""
 	if len(txn.Expect)+len(txn.Put)+len(txn.Remove) > maxTxnEntries {
@@ -61,7 +61,7 @@
 	return platform.ErrRefused{Op: string(RowCommit), Reason: reason}
 }
 
-// Rows is a stand-in of the partitioned table service.
+// Rows is an in-memory platform.Rows service; entries reach it through [Rows.As].
 type Rows struct {
 	latency   time.Duration
 	lateDelay time.Duration
@@ -70,34 +70,34 @@
 
 	mu             sync.Mutex
 	fault          func(op RowOp, entry string) Fault
-	bytesPerSecond int // bytes of values that a caller's link carries a second, 0 for no bound
+	bytesPerSecond int // link rate of a caller, counting values only; 0 for no limit
 	rows           map[platform.RowKey]platform.Row
-	log            []platform.Row // changes in order of their versions
+	log            []platform.Row // changes ordered by version
 	version        int64
-	truncatedTo    int64 // changes up to this version are no longer known
+	truncatedTo    int64 // changes up to this version are dropped
 	changed        chan struct{}
 }
 
 var _ platform.Rows = (*rowsView)(nil)
 
-// SetLatency changes how long calls take.
+// SetLatency sets the latency of calls.
 func (r *Rows) SetLatency(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.latency = d
 }
 
-// callLatency is how long a call callLatency.
+// callLatency returns the latency of a call.
 func (r *Rows) callLatency() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.latency
 }
 
-// SetJitter has each call take a delay of its own longer; it is called before the first one.
+// SetJitter adds jitter to each call; it must be called before the first call.
 func (r *Rows) SetJitter(j *Jitter) { r.jitter = j }
 
-// NewRows returns an empty table service whose calls take latency, and late effects lateBy more.
+// NewRows returns an empty table service. Calls take latency; lateDelay is added for FaultLate.
 func NewRows(latency, lateDelay time.Duration) *Rows {
 	return &Rows{
 		latency: latency, lateDelay: lateDelay, start: time.Now(), fault: func(RowOp, string) Fault { return FaultNone },
@@ -105,28 +105,28 @@
 	}
 }
 
-// SetFault decides about each call from now on.
+// SetFault sets the function that selects the fault of each call.
 func (r *Rows) SetFault(f func(op RowOp, entry string) Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 }
 
-// SetRate bounds the bytes of values that the link of a caller carries a second, 0 for no bound.
+// SetRate limits the link of each caller to a number of bytes of values per second, 0 for no limit.
 func (r *Rows) SetRate(bytes int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.bytesPerSecond = bytes
 }
 
-// TruncateHistory drops the history of changes.
+// TruncateHistory drops the history, so that FollowRows from an older version fails.
 func (r *Rows) TruncateHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.log, r.truncatedTo = nil, r.version
 }
 
-// Corrupt puts bytes into a row that is there, as another writer may; its version rises.
+// Corrupt overwrites the value of an existing row, as a faulty writer would.
 func (r *Rows) Corrupt(key platform.RowKey, value []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,11 +142,10 @@
 	r.changed = make(chan struct{})
 }
 
-// Operator is the name under which the operator reaches the table service, whose rows may be larger
-// than those of entries.
+// Operator is the entry name that [Rows.As] exempts from the limits of transactions.
 const Operator = "operator"
 
-// As returns the table service as one entry reaches it.
+// As returns the service as seen by one entry, whose name is passed to the fault function.
 func (r *Rows) As(entry string) platform.Rows { return &rowsView{Rows: r, entry: entry} }
 
 type rowsView struct {
@@ -252,7 +251,7 @@
 	return page
 }
 
-// transfer takes the time that a page takes on the caller's link.
+// transfer waits for the time that a page takes on the caller's link.
 func (r *Rows) transfer(ctx context.Context, op RowOp, page platform.RowPage) error {
 	r.mu.Lock()
 	rate := r.bytesPerSecond
@@ -270,8 +269,8 @@
 	return nil
 }
 
-// beginRead takes the time of a call and brings its fault about; an answer that is lost
-// is given up when nothing has come for as long as callers wait.
+// beginRead waits for the latency of a read and injects its fault. A lost answer fails once
+// the caller's idle timeout has passed.
 func (r *rowsView) beginRead(ctx context.Context, op RowOp, wait time.Duration) error {
 	fault := r.nextFault(op)
 	if err := pause.For(ctx, r.callLatency()+r.jitter.delay(string(op), r.entry)); err != nil {
--- a/pkg/platform/fake/spread.go
+++ b/pkg/platform/fake/spread.go
@@ -11,13 +11,13 @@
 	"github.com/gannetwell/gannetwell/pkg/pause"
 )
 
-// maxJitter bounds what a spread adds to a call.
+// maxJitter bounds the delay added to a call.
 const maxJitter = 100 * time.Microsecond
 
-// Jitter adds a small delay of its own to each call, so that no two are answered at the same
-// instant: the runtime shuffles timers of virtual time that are due together. The delay follows
-// from what the call is, from how many of its kind came before, and from the millisecond, so that
-// another course has other orders. A nil Jitter adds nothing.
+// Jitter adds a small delay to each call, so that no two calls complete at the same instant:
+// the runtime runs virtual timers that are due together in random order. The delay depends
+// only on the seed, the kind of call, the number of earlier calls of that kind and the
+// current millisecond. A nil Jitter adds nothing.
 type Jitter struct {
 	mu    sync.Mutex
 	start time.Time
@@ -25,12 +25,12 @@
 	calls map[string]uint64
 }
 
-// NewJitter returns a spread for a course that begins now; another salt has other orders.
+// NewJitter returns a Jitter whose clock starts now.
 func NewJitter(seed uint64) *Jitter {
 	return &Jitter{start: time.Now(), seed: seed, calls: map[string]uint64{}}
 }
 
-// delay is what the next call of a kind takes longer.
+// delay returns the extra delay of the next call of a kind.
 func (j *Jitter) delay(kind ...string) time.Duration {
 	if j == nil {
 		return 0
@@ -48,13 +48,13 @@
 	return time.Duration(h.Sum64() % uint64(maxJitter))
 }
 
-// waitDone waits until ctx has ended, as a call does that gets no answer.
+// waitDone waits until ctx is done, as a call without an answer does, plus the jitter.
 func (j *Jitter) waitDone(ctx context.Context, kind ...string) {
 	<-ctx.Done()
 	j.sleep(kind...)
 }
 
-// sleep puts off what a call does next.
+// sleep waits for the jitter of a call.
 func (j *Jitter) sleep(kind ...string) {
-	_ = pause.For(context.Background(), j.delay(kind...)) // it ends by itself
+	_ = pause.For(context.Background(), j.delay(kind...)) // cannot fail: the context is never cancelled
 }
--- a/pkg/platform/fake/store.go
+++ b/pkg/platform/fake/store.go
@@ -11,12 +11,13 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// Observer is told of writes that take effect, in their order.
+// Observer is notified of writes in the order in which they take effect.
 type Observer interface {
+	// Wrote is called for each write of a transaction.
 	Wrote(w platform.Write)
 }
 
-// store is the transactional table.
+// store is the in-memory transactional table.
 type store struct {
 	mu       sync.Mutex
 	observer Observer
@@ -104,7 +105,7 @@
 	return v.call(ctx, rest.OpCommit, func() error { return v.p.table.commit(txn) })
 }
 
-// objects is the object store.
+// objects is the in-memory object store.
 type objects struct {
 	mu   sync.Mutex
 	data map[string][]byte
--- a/pkg/platform/fake/tasks.go
+++ b/pkg/platform/fake/tasks.go
@@ -15,15 +15,15 @@
 	spec       platform.TaskSpec
 	state      platform.TaskState
 	leaseUntil time.Time
-	cpuLimit   float64 // processors, 0 for none
+	cpuLimit   float64 // processors, 0 for no limit
 	reason     string
 }
 
-// expireLease stops a task whose lease has run out.
+// expireLease stops a task whose lease has expired.
 func (t *fakeTask) expireLease(now time.Time) {
 	if t.running() && now.After(t.leaseUntil) {
 		t.state = platform.TaskStopped
-		t.reason = "the lease lapsed"
+		t.reason = "the lease expired"
 	}
 }
 
@@ -31,7 +31,7 @@
 	return t.state == platform.TaskRunning || t.state == platform.TaskThrottled
 }
 
-// tasks is what runs on the workers.
+// tasks holds the tasks of all workers.
 type tasks struct {
 	mu          sync.Mutex
 	byID        map[string]*fakeTask
@@ -39,7 +39,7 @@
 	lastReports map[string]lastReport // by VM
 }
 
-// lastReport is what a worker said last.
+// lastReport is a worker's cached report.
 type lastReport struct {
 	at      time.Time
 	reports []platform.TaskReport
@@ -50,7 +50,7 @@
 	t.lastReports = map[string]lastReport{}
 }
 
-// report returns the last report of a worker, or a fresh one when it is older than the lag.
+// report returns a worker's cached report, or a new one if the cached one is older than the lag.
 func (t *tasks) report(vm string) []platform.TaskReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,7 +91,7 @@
 	})
 }
 
-// withTask carries out an operation on an existing task; f runs under the lock.
+// withTask calls f for an existing task under the lock, as one call of the platform.
 func (v *view) withTask(ctx context.Context, op rest.Operation, id string, f func(t *fakeTask) error) error {
 	return v.call(ctx, op, func() error {
 		ts := &v.p.tasks
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -9,34 +9,38 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// forever is longer than any test.
+// forever exceeds the run time of any test.
 const forever = 100 * time.Hour
 
-// Work is what a task does at a worker.
+// Work describes the behavior of a task on a worker.
 type Work struct {
 	Needs    platform.Resources
-	Duration time.Duration // 0 to run until it is stopped
-	Fails    bool          // at its end
-	Crashes  bool          // it brings the worker down
-	// CrashAfter is how long after its start it does so; with 0 the start gets no answer.
+	Duration time.Duration // 0 to run until stopped
+	Fails    bool          // ends with EndFailed instead of EndDone
+	Crashes  bool          // crashes the worker
+	// CrashAfter is the time from the start to the crash; if 0, the start order gets no answer.
 	CrashAfter time.Duration
 }
 
-// EndCrashed is told to the witness of an attempt that went with its boot; no worker reports it.
+// EndCrashed is the reason given to the observer for attempts that ended with their boot. It is
+// never reported by a worker.
 const EndCrashed platform.EndReason = "crashed"
 
-// WorkersObserver is told what workers do; a test checks its promises by it.
+// WorkersObserver is notified of what happens on the workers.
 type WorkersObserver interface {
+	// Started is called when an attempt starts.
 	Started(boot, task string, attempt int64)
+	// Ended is called when an attempt ends, before the end is reported.
 	Ended(boot, task string, attempt int64, reason platform.EndReason)
+	// Acked is called when a renewal acknowledges an end.
 	Acked(boot, task string, reason platform.EndReason)
-	// Overcommitted tells of a start for which the boot, which does not reject it, has no room.
+	// Overcommitted is called for a start that exceeds the capacity of a boot that accepts it anyway.
 	Overcommitted(boot, task string)
-	// Crashed tells of a task that has brought the boot down.
+	// Crashed is called for a task that has crashed its boot.
 	Crashed(boot, task string)
 }
 
-// Workers is a stand-in of the workers of a deployment.
+// Workers is an in-memory platform.Workers; entries reach it through [Workers.As].
 type Workers struct {
 	latency   time.Duration
 	lateDelay time.Duration
@@ -48,44 +52,44 @@
 	mu    sync.Mutex
 	fault func(op OrderOp, boot, entry string) Fault
 	stall func(boot, task string) bool
-	// blackhole has calls to boots that have ended go unanswered; else they are refused.
+	// blackhole makes calls to ended boots time out instead of being refused.
 	blackhole bool
-	// onCrash is told of boots that a task has brought down.
+	// onCrash is called with each boot that a task has crashed.
 	onCrash func(info platform.Worker)
 	boots   map[string]*boot
-	// endOmissions are the numbers of ends that reports of a boot leave out, and in how many yet.
+	// endOmissions counts, by boot and end, the reports that must still omit the end.
 	endOmissions map[string]map[int64]int
-	// omitEvery has one list of each boot in so many lack an entry, 0 for none.
+	// omitEvery makes every n-th report of a boot omit one entry, 0 for none.
 	omitEvery int
-	// allowOvercommit has workers start what does not fit, as those do that do not guard their capacity.
+	// allowOvercommit makes workers start attempts that exceed their capacity.
 	allowOvercommit bool
 }
 
 // boot is one boot of a worker.
 type boot struct {
 	info           platform.Worker
-	reportCount    int                 // that it has given
-	omitted        map[attemptKey]bool // attempts that a list has lacked
-	worker         string              // its ID, which a later boot may have as well
-	bootedAtMs     int64               // in Unix milliseconds, 0 if it does not say
+	reportCount    int                 // number of reports sent
+	omitted        map[attemptKey]bool // attempts that a report has omitted
+	worker         string              // worker ID, which later boots may share
+	bootedAtMs     int64               // Unix milliseconds, 0 if unknown
 	start          time.Time
-	drift          float64 // how much slower its clock runs, 0.02 for 2%
+	drift          float64 // fraction by which its clock runs slow, 0.02 for 2%
 	dead           bool
 	token          int64
 	running        map[string]*attempt
 	ended          []platform.AttemptEnd
-	lastSeq        int64 // number of the last end
+	lastSeq        int64 // sequence number of the last end
 	ackedSeq       int64
-	highestAttempt map[string]int64 // attempt that ended or was stopped here, by task
-	leaseUntil     int64            // deadline by the worker's clock
+	highestAttempt map[string]int64 // highest attempt that ended or was stopped here, by task
+	leaseUntil     int64            // in ms of the worker's clock
 	leaseTimer     *time.Timer
 	free           platform.Resources
-	pastCapacities []pastCapacity // it had, in order
+	pastCapacities []pastCapacity // ordered by time
 	changed        chan struct{}
 }
 
-// NewWorkers returns no workers yet; orders take latency, those carried out late
-// lateBy, and tasks stopTime to end once they are told to.
+// NewWorkers returns a Workers without boots. Orders take latency, lateDelay is added for
+// FaultLate, and a task ends stopTime after its stop order. work gives the behavior of a task.
 func NewWorkers(latency, lateDelay, stopTime time.Duration, work func(task, spec string) Work, w WorkersObserver) *Workers {
 	return &Workers{
 		latency: latency, lateDelay: lateDelay, stopTime: stopTime, work: work, observer: w,
@@ -94,39 +98,39 @@
 	}
 }
 
-// SetJitter has each order take a delay of its own longer; it is called before the first one.
+// SetJitter adds jitter to each order; it must be called before the first order.
 func (w *Workers) SetJitter(j *Jitter) { w.jitter = j }
 
-// SetFault decides about each order from now on.
+// SetFault sets the function that selects the fault of each order.
 func (w *Workers) SetFault(f func(op OrderOp, boot, entry string) Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// SetAllowOvercommit has workers start whatever they are told to, or reject what does not fit.
+// SetAllowOvercommit sets whether workers start attempts that exceed their capacity.
 func (w *Workers) SetAllowOvercommit(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.allowOvercommit = on
 }
 
-// SetBlackhole has workers that end fall silent, as those do that lose their power.
+// SetBlackhole sets whether orders to ended boots time out, as after a power loss, instead of being refused.
 func (w *Workers) SetBlackhole(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.blackhole = on
 }
 
-// SetOmitEvery has one list of each boot in every so many lack an entry, 0 for none: an end, or
-// an attempt that runs. Each attempt is lacked once at most.
+// SetOmitEvery makes every n-th report of a boot omit one ended or running attempt, 0 for none.
+// Each attempt is omitted at most once.
 func (w *Workers) SetOmitEvery(every int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.omitEvery = every
 }
 
-// OmitEnd has the next reports of a boot that would list an end leave it out, so many times.
+// OmitEnd makes the next reports of a boot omit an end, as often as given by times.
 func (w *Workers) OmitEnd(name string, end int64, times int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -136,14 +140,14 @@
 	w.endOmissions[name][end] = times
 }
 
-// SetOnCrash names what is told of each boot that a task has brought down.
+// SetOnCrash sets the function called with each boot that a task has crashed.
 func (w *Workers) SetOnCrash(f func(info platform.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.onCrash = f
 }
 
-// Boot starts a worker, in place of an earlier boot at the same address.
+// Boot starts a boot of a worker and ends an earlier one at the same address.
 func (w *Workers) Boot(info platform.Worker, drift float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -159,11 +163,11 @@
 	}
 }
 
-// capacityGrace is how long after its room has shrunk a start may still count on the room
-// before: the directory tells of it with the next heartbeat, and owners may read it late.
+// capacityGrace is how long a start may still rely on a boot's capacity before a reduction:
+// owners learn of it from a later heartbeat.
 const capacityGrace = 4500 * time.Millisecond
 
-// SetCapacity changes what a boot has room for; what runs there runs on.
+// SetCapacity changes the capacity of a boot; its running attempts continue.
 func (w *Workers) SetCapacity(name string, capacity platform.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -176,13 +180,13 @@
 	b.info.Capacity = capacity
 }
 
-// pastCapacity is what a boot had room for until a time.
+// pastCapacity is a capacity that a boot had until a time.
 type pastCapacity struct {
 	capacity platform.Resources
 	until    time.Time
 }
 
-// fitsNowOrRecently tells whether a start fits what the boot has room for, or had a moment ago.
+// fitsNowOrRecently reports whether needs fit into the boot's current capacity or one within capacityGrace.
 func (b *boot) fitsNowOrRecently(needs platform.Resources) bool {
 	if needs.Fits(b.free) {
 		return true
@@ -195,8 +199,8 @@
 	return false
 }
 
-// resolve returns the boot that a call for a boot reaches: what a call names is the ID of the
-// worker, under which another boot may have started. It is nil when that worker is not there.
+// resolve returns the live boot that receives an order: the referenced one, or another boot of the
+// same worker ID at the same address. It returns nil if there is none.
 func (w *Workers) resolve(ref platform.WorkerRef) *boot {
 	if b := w.boots[ref.Boot]; b != nil && !b.dead {
 		return b
@@ -210,7 +214,7 @@
 	return nil
 }
 
-// Reset closes the connections to a boot, so that looks that wait for an end fail at once.
+// Reset closes the connections to a boot, so that renewals waiting for an end return at once.
 func (w *Workers) Reset(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -222,7 +226,7 @@
 	b.changed = make(chan struct{})
 }
 
-// CurrentBoot returns the boot of a worker that is up, empty if there is none.
+// CurrentBoot returns the ID of a worker's live boot, empty if there is none.
 func (w *Workers) CurrentBoot(worker string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -232,7 +236,7 @@
 	return ""
 }
 
-// lookup returns a boot, or the one that is up of a worker of that ID.
+// lookup returns a boot by its ID, or the live boot of a worker by the worker's ID.
 func (w *Workers) lookup(name string) *boot {
 	for _, b := range w.boots {
 		if b.worker == name && !b.dead {
@@ -242,7 +246,7 @@
 	return w.boots[name]
 }
 
-// Crash ends a boot; what ran there is gone.
+// Crash ends a boot and its attempts without reports.
 func (w *Workers) Crash(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -251,7 +255,7 @@
 	}
 }
 
-// crashBoot ends a boot that one of its tasks has brought down; calls under way there end at once.
+// crashBoot ends a boot because of one of its tasks; pending calls to it end at once.
 func (w *Workers) crashBoot(b *boot, task string) {
 	if b.dead {
 		return
@@ -275,7 +279,7 @@
 	b.running = map[string]*attempt{}
 }
 
-// Running returns the tasks that run at a boot, in order.
+// Running returns the sorted IDs of the tasks that run on a boot.
 func (w *Workers) Running(name string) (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -292,7 +296,8 @@
 	return int64(float64(time.Since(b.start).Milliseconds()) * (1 - b.drift))
 }
 
-// SetStall decides for each task that starts from now on whether it stands still.
+// SetStall sets the function that selects, at its start, whether a task stalls after a quarter
+// of its duration.
 func (w *Workers) SetStall(f func(boot, task string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pkg/platform/machines.go
+++ b/pkg/platform/machines.go
@@ -25,7 +25,7 @@
 }
 
 // Holder identifies the sender of an order, so that the VM service can refuse orders from
-// an earlier holder of the fleet lease.
+// an earlier owner of the fleet operations.
 type Holder struct {
 	Name  string
 	Token int64 // fencing token, increases with each new holder
