--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -15,10 +15,10 @@
 
 // The kinds of orders.
 const (
-	OrderStart OrderOp = "start"
-	OrderStop  OrderOp = "stop"
-	OrderRenew OrderOp = "renew"
-	OrderPace  OrderOp = "pace"
+	OrderStart    OrderOp = "start"
+	OrderStop     OrderOp = "stop"
+	OrderRenew    OrderOp = "renew"
+	OrderThrottle OrderOp = "pace"
 )
 
 type workersView struct {
@@ -147,7 +147,7 @@
 
 // ThrottleAttempt implements platform.Workers.
 func (v *workersView) ThrottleAttempt(ctx context.Context, ref platform.WorkerRef, o platform.ThrottleOrder) (clock int64, err error) {
-	err = v.sendOrder(ctx, OrderPace, ref, o.Task, func(b *boot) error {
+	err = v.sendOrder(ctx, OrderThrottle, ref, o.Task, func(b *boot) error {
 		clock = b.clock()
 		return b.checkToken(o.Token)
 	})
