--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -23,7 +23,7 @@
 	maxIdleConns   = 8
 )
 
-// Client calls a platform over HTTP.
+// Client implements platform.Platform over HTTP.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -33,16 +33,16 @@
 
 var _ platform.Platform = (*Client)(nil)
 
-// Option changes how a Client is made.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds each call; the caller's context may be shorter.
+// WithTimeout sets the timeout of each call, which is 2 s by default.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithBytes reports the body bytes of each call, to account for them.
+// WithBytes sets a function that is called with the body sizes of each call in bytes.
 func WithBytes(f func(sent, received int)) Option { return func(c *Client) { c.onBytes = f } }
 
-// New returns a client of the platform at base, such as http://platform:7000/zones/hall-1.
+// New returns a client of the platform at the URL base, such as http://platform:7000/zones/hall-1.
 func New(base string, opts ...Option) *Client {
 	c := &Client{
 		base:    strings.TrimSuffix(base, "/"),
@@ -59,10 +59,10 @@
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call carries out one operation and sorts its errors.
+// call sends one operation and converts a failure to an error type of package platform.
 func (c *Client) call(ctx context.Context, op Operation, args *Call) (ans *Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -72,9 +72,9 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/"+string(op), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
-		return nil, errors.Wrapf(err, "make request of %s", op)
+		return nil, errors.Wrapf(err, "create %s request", op)
 	}
-	// No GetBody: net/http must not send a transaction a second time by itself.
+	// Without GetBody net/http cannot resend a transaction on its own.
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
@@ -90,7 +90,7 @@
 	return decodeAnswer(op, resp, raw)
 }
 
-// transportError turns a transport error into the right type: what was never sent, or only read, had no effect.
+// transportError converts a transport error: reads and calls that were never sent had no effect.
 func transportError(op Operation, err error) error {
 	var opErr *net.OpError
 	dialed := !errors.As(err, &opErr) || opErr.Op != "dial"
@@ -100,7 +100,7 @@
 	return platform.ErrNotDone{Op: string(op), Cause: transportCause(err)}
 }
 
-// transportCause leaves out the URL that net/http puts before each error.
+// transportCause removes the URL that net/http prepends to its errors.
 func transportCause(err error) string {
 	var ue *url.Error
 	if errors.As(err, &ue) {
@@ -141,9 +141,9 @@
 	return err
 }
 
-// missingResult reports an answer without the field that the operation promises.
+// missingResult reports an answer that lacks the operation's result field.
 func missingResult(op Operation) error {
-	return platform.ErrNotDone{Op: string(op), Cause: "the answer lacks its result"}
+	return platform.ErrNotDone{Op: string(op), Cause: "the answer has no result"}
 }
 
 // Get implements platform.Table.
--- a/pkg/platform/rest/handler.go
+++ b/pkg/platform/rest/handler.go
@@ -15,7 +15,7 @@
 
 const maxCallBytes = 16 << 20
 
-// Handler serves a platform over HTTP; stand-ins use it.
+// Handler serves p over HTTP.
 func Handler(p platform.Platform) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		op := Operation(strings.TrimPrefix(r.URL.Path, "/v1/"))
@@ -40,10 +40,10 @@
 func writeAnswer(w http.ResponseWriter, status int, ans *Answer) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(ans) // the client sees a broken answer by itself
+	_ = json.NewEncoder(w).Encode(ans) // the client detects a truncated answer
 }
 
-// writeError answers with the status that the client turns back into the same type of error.
+// writeError answers with the status from which the client restores the error type.
 func writeError(w http.ResponseWriter, err error) {
 	var refused platform.ErrRefused
 	var notDone platform.ErrNotDone
@@ -58,11 +58,11 @@
 		}
 		writeAnswer(w, http.StatusServiceUnavailable, &Answer{Error: notDone.Cause})
 	default:
-		panic(http.ErrAbortHandler) // an unknown outcome is a connection that breaks
+		panic(http.ErrAbortHandler) // breaks the connection: the outcome is unknown
 	}
 }
 
-// dispatch calls the operation's method.
+// dispatch calls the method for an operation.
 func dispatch(ctx context.Context, p platform.Platform, op Operation, args *Call) (ans *Answer, err error) {
 	ans = &Answer{}
 	switch op {
@@ -74,7 +74,7 @@
 		ans.Items, err = p.Scan(ctx, args.From, args.To, args.Limit)
 	case OpCommit:
 		if args.Txn == nil {
-			return nil, platform.ErrRefused{Op: string(op), Reason: "the call lacks its transaction"}
+			return nil, platform.ErrRefused{Op: string(op), Reason: "the call has no transaction"}
 		}
 		err = p.Commit(ctx, *args.Txn)
 	case OpPutObject:
@@ -108,7 +108,7 @@
 	switch op {
 	case OpStartTask:
 		if args.Task == nil {
-			return nil, platform.ErrRefused{Op: string(op), Reason: "the call lacks its task"}
+			return nil, platform.ErrRefused{Op: string(op), Reason: "the call has no task"}
 		}
 		err = p.StartTask(ctx, *args.Task)
 	case OpRenewTask:
--- a/pkg/platform/rest/messages.go
+++ b/pkg/platform/rest/messages.go
@@ -2,7 +2,7 @@
 
 import "github.com/gannetwell/gannetwell/pkg/platform"
 
-// Operation names a call in its path and in errors.
+// Operation names a call in URL paths and errors.
 type Operation string
 
 // The operations.
@@ -26,7 +26,7 @@
 	OpReportTasks    Operation = "tasks.report"
 )
 
-// Writes tells whether the operation changes anything.
+// Writes reports whether the operation changes any state.
 func (o Operation) Writes() bool {
 	switch o {
 	case OpGet, OpScan, OpGetObject, OpListObjects, OpListVMs, OpVMStatus, OpReportTasks:
@@ -35,7 +35,7 @@
 	return true
 }
 
-// Call holds the arguments of every operation; each uses some of the fields.
+// Call holds the arguments of any operation; each uses some of the fields.
 type Call struct {
 	Key       string             `json:"key,omitempty"`
 	From      string             `json:"from,omitempty"`
@@ -53,7 +53,7 @@
 	Cpus      float64            `json:"cpus,omitempty"`
 }
 
-// Answer holds the results of every operation; each fills some of the fields.
+// Answer holds the results of any operation; each sets some of the fields.
 type Answer struct {
 	Item    *platform.Item        `json:"item,omitempty"`
 	Items   []platform.Item       `json:"items,omitempty"`
--- a/pkg/platform/rest/rest_test.go
+++ b/pkg/platform/rest/rest_test.go
@@ -23,8 +23,8 @@
 	return p, c
 }
 
-// TestErrors checks that each fault of the platform arrives as the type of error
-// that says what its caller may conclude, for a write and for a read.
+// TestErrors checks that each fault reaches the client as the error type that tells a caller
+// whether the call had an effect, for a write and for a read.
 func TestErrors(t *testing.T) {
 	ctx := context.Background()
 	write := func(c *rest.Client) error {
@@ -68,7 +68,7 @@
 		err := c.Commit(ctx, platform.Txn{Conditions: []platform.Condition{{Key: "k"}}})
 		qt.Check(t, platform.IsConflict(err), qt.IsTrue, qt.Commentf("%v", err))
 	})
-	t.Run("nobody listens", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		qt.Assert(t, err, qt.IsNil)
 		_ = ln.Close()
@@ -83,7 +83,7 @@
 		qt.Check(t, platform.IsUnknown(write(c)), qt.IsTrue)
 		qt.Check(t, platform.IsNotDone(read(c)), qt.IsTrue)
 	})
-	t.Run("rubbish", func(t *testing.T) {
+	t.Run("malformed answer", func(t *testing.T) {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("<html>")) }))
 		defer s.Close()
 		c := rest.New(s.URL)
@@ -92,7 +92,7 @@
 	})
 }
 
-// TestOperations takes every operation over HTTP.
+// TestOperations calls every operation over HTTP.
 func TestOperations(t *testing.T) {
 	c := qt.New(t)
 	ctx := context.Background()
