--- a/service/api/convert.go
+++ b/service/api/convert.go
@@ -7,13 +7,13 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// The paths of the interface; those with a parameter end in a slash.
+// Paths of the API. Those that end in a slash are followed by parameters.
 const (
 	PathRows     = "/v1/rows"
-	PathShards   = "/v1/shards"   // of the job service
-	PathJobs     = "/v1/jobs"     // of the job service
-	PathAccounts = "/v1/accounts" // of the job service
-	PathZones    = "/v1/zones"    // of the job service
+	PathShards   = "/v1/shards"   // served by package node
+	PathJobs     = "/v1/jobs"     // served by package node
+	PathAccounts = "/v1/accounts" // served by package node
+	PathZones    = "/v1/zones"    // served by package node
 	PathEdits    = "/v1/edits"
 	PathStatus   = "/v1/status"
 	PathAudit    = "/v1/audit"
@@ -25,7 +25,7 @@
 
 var jsonNull = json.RawMessage("null")
 
-// orNull makes an absent value valid JSON.
+// orNull returns null for an absent value, which would be invalid JSON.
 func orNull(v json.RawMessage) json.RawMessage {
 	if len(v) == 0 {
 		return jsonNull
@@ -33,7 +33,7 @@
 	return v
 }
 
-// FromStored converts rows of the table.
+// FromStored converts rows of the table to API rows.
 func FromStored(rows []table.StoredRow) []Row {
 	out := make([]Row, 0, len(rows))
 	for _, r := range rows {
@@ -42,7 +42,7 @@
 	return out
 }
 
-// ToEdit converts an operator's edit.
+// ToEdit converts an API request by actor to an edit of the table.
 func ToEdit(actor string, q *EditRequest) *table.Edit {
 	e := &table.Edit{ID: q.ID, Actor: actor, Operator: true, Reason: q.Reason}
 	for _, c := range q.Changes {
@@ -53,7 +53,7 @@
 	return e
 }
 
-// FromEntry converts an entry of the log.
+// FromEntry converts an entry of the table's log to an audit entry.
 func FromEntry(e *schema.Entry) AuditEntry {
 	out := AuditEntry{
 		Revision: e.Revision, EditID: e.EditID, Actor: e.Actor, AtMs: e.AtMs,
@@ -67,7 +67,7 @@
 	return out
 }
 
-// FromProblems converts the faults of an edit.
+// FromProblems converts the problems of a rejected edit.
 func FromProblems(problems []table.Problem) []Problem {
 	out := make([]Problem, 0, len(problems))
 	for _, p := range problems {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// FromConflicts converts the conflicts of an edit.
+// FromConflicts converts the conflicts of a refused edit.
 func FromConflicts(conflicts []table.Conflict) []Conflict {
 	out := make([]Conflict, 0, len(conflicts))
 	for _, c := range conflicts {
--- a/service/client/client.go
+++ b/service/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls the operators' HTTP interface of an entry.
+// Package client calls the operators' HTTP API of an entry; gannetctl uses it.
 package client
 
 import (
@@ -22,29 +22,29 @@
 	maxAnswerBytes = 64 << 20
 )
 
-// ErrAPI is an answer that is not a success.
+// ErrAPI reports an answer with a status other than 2xx.
 type ErrAPI struct {
 	Status int
 	Body   api.Error
 }
 
-// Error gives the entry's message.
+// Error returns the entry's message.
 func (e ErrAPI) Error() string { return e.Body.Message }
 
-// Client calls one entry.
+// Client calls the API of one entry.
 type Client struct {
 	base  string
 	token string
 	http  *http.Client
 }
 
-// Option changes how a Client is made.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithHTTP sets the HTTP client, such as one with a TLS configuration.
+// WithHTTP sets the HTTP client, for example one with a TLS configuration.
 func WithHTTP(h *http.Client) Option { return func(c *Client) { c.http = h } }
 
-// New returns a client of the entry at base, such as http://entry:7080, with a bearer token.
+// New returns a client of the entry at the URL base, such as http://entry:7080, with a bearer token.
 func New(base, token string, opts ...Option) *Client {
 	c := &Client{base: strings.TrimSuffix(base, "/"), token: token, http: &http.Client{Timeout: defaultTimeout}}
 	for _, o := range opts {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// call makes one request; a body makes it a POST.
+// call sends a request, a POST if it has a body, and decodes the answer.
 func (c *Client) call(ctx context.Context, path string, query url.Values, body, answer any) (err error) {
 	method := http.MethodGet
 	var r io.Reader
@@ -70,7 +70,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, target, r)
 	if err != nil {
-		return errors.Wrap(err, "make request")
+		return errors.Wrap(err, "create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.token)
 	if body != nil {
@@ -95,7 +95,7 @@
 	return errors.Wrap(json.Unmarshal(raw, answer), "decode answer")
 }
 
-// Rows returns the rows of a kind and name; empty ones mean all.
+// Rows returns the rows of a kind and name; an empty kind or name matches all.
 func (c *Client) Rows(ctx context.Context, kind, name string) (rows api.Rows, err error) {
 	q := url.Values{}
 	setNonEmpty(q, "kind", kind)
@@ -110,26 +110,26 @@
 	}
 }
 
-// Edit makes an edit; it may be called again with the same edit when its outcome is unknown.
+// Edit commits an edit. If the outcome is unknown, the call can be repeated with the same edit.
 func (c *Client) Edit(ctx context.Context, edit api.EditRequest) (result api.EditResult, err error) {
 	err = c.call(ctx, api.PathEdits, nil, edit, &result)
 	return result, err
 }
 
-// Status returns what the entry knows of itself and its peers.
+// Status returns the status of the entry and its peers.
 func (c *Client) Status(ctx context.Context) (status api.Status, err error) {
 	err = c.call(ctx, api.PathStatus, nil, nil, &status)
 	return status, err
 }
 
-// AuditQuery selects entries of the audit trail; zero fields select all.
+// AuditQuery selects entries of the audit trail; zero fields match all.
 type AuditQuery struct {
 	Kind, Name, Actor string
 	FromMs, ToMs      int // Unix milliseconds
 	Limit             int
 }
 
-// Audit searches the audit trail, the newest entry first.
+// Audit returns the matching entries of the audit trail, newest first.
 func (c *Client) Audit(ctx context.Context, query AuditQuery) (audit api.Audit, err error) {
 	q := url.Values{}
 	setNonEmpty(q, "kind", query.Kind)
@@ -144,7 +144,7 @@
 	return audit, err
 }
 
-// Explain returns sentences about a row.
+// Explain returns sentences that explain the state of a row.
 func (c *Client) Explain(ctx context.Context, kind, name string) (e api.Explanation, err error) {
 	err = c.call(ctx, api.PathExplain+url.PathEscape(kind)+"/"+url.PathEscape(name), nil, nil, &e)
 	return e, err
--- a/service/server/audit.go
+++ b/service/server/audit.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	auditPageSize = 500 // entries of one read
-	maxAuditPages = 40  // reads of one request
+	auditPageSize = 500 // log entries per read
+	maxAuditPages = 40  // reads per request
 )
 
-// decodeStrict reads one JSON value without unknown fields.
+// decodeStrict decodes one JSON value and refuses unknown fields.
 func decodeStrict(r io.Reader, v any) error {
 	d := json.NewDecoder(r)
 	d.DisallowUnknownFields()
 	return d.Decode(v)
 }
 
-// auditFilter selects entries of the trail.
+// auditFilter selects entries of the audit trail.
 type auditFilter struct {
 	kind, name, actor string
 	fromMs, toMs      int
@@ -60,7 +60,7 @@
 	})
 }
 
-// getAudit searches the trail from its end.
+// getAudit searches the audit trail, newest entry first.
 func (s *Server) getAudit(c echo.Context) error {
 	f, err := parseFilter(c)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return c.JSON(http.StatusOK, out)
 }
 
-// entriesAfter returns entries after a revision, from memory when they are still kept there.
+// entriesAfter returns entries after a revision, from memory if they are still there.
 func (s *Server) entriesAfter(ctx context.Context, after, limit int) ([]schema.Entry, error) {
 	if entries, ok := s.table.Since(after, limit); ok {
 		return entries, nil
--- a/service/server/auth.go
+++ b/service/server/auth.go
@@ -15,13 +15,13 @@
 
 const contextKeyAccount = "account"
 
-// HashToken returns what settings keep of a token.
+// HashToken returns the SHA-256 of a token in hexadecimal, which the settings hold instead of it.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// authenticate finds the account of a request's token.
+// authenticate refuses requests without the token of an operator account.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
@@ -35,7 +35,8 @@
 	}
 }
 
-// accountByToken returns the accountByToken of a token; all are compared, so that time tells nothing.
+// accountByToken returns the account of a token, nil for none. It compares the token with all
+// accounts in constant time, against timing attacks.
 func (s *Server) accountByToken(token string) (found *schema.Account) {
 	hash := []byte(HashToken(token))
 	for i := range s.accounts {
@@ -46,7 +47,7 @@
 	return found
 }
 
-// requireEditRole refuses accounts that only view.
+// requireEditRole refuses accounts that may only view.
 func requireEditRole(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if actor(c).Role != schema.RoleEdit {
@@ -56,7 +57,7 @@
 	}
 }
 
-// actor returns the account that authenticate found.
+// actor returns the account set by authenticate.
 func actor(c echo.Context) *schema.Account {
 	account, _ := c.Get(contextKeyAccount).(*schema.Account)
 	return account
--- a/service/server/doc.go
+++ b/service/server/doc.go
@@ -1,6 +1,7 @@
-// Package server serves the operators' HTTP interface by echo.
+// Package server serves the operators' HTTP API of an entry, whose types are in package api.
 //
-// Every path but the health ones wants a bearer token; only its SHA-256 is
-// known here. An account with the role view reads, one with edit also changes
-// the table. Every answer that is not a success is an api.Error.
+// All paths but the health checks need the bearer token of an operator account; the server
+// holds only the SHA-256 of tokens. Accounts with the role view may read, those with the role
+// edit may also change the table. Every error answer is an api.Error. Package entry runs the
+// server over the entry's replica of the table.
 package server
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -24,7 +24,7 @@
 	maxAuditLimit     = 10000
 )
 
-// Table is the entry's copy of the table.
+// Table is the entry's replica of the table.
 type Table interface {
 	Snapshot() *table.Snapshot
 	Commit(ctx context.Context, e *table.Edit) (*schema.Entry, error)
@@ -32,12 +32,12 @@
 	Since(revision, limit int) ([]schema.Entry, bool)
 }
 
-// Explainer tells in sentences why a thing is where it is.
+// Explainer explains the state of a row in sentences; ok is false if it does not exist.
 type Explainer interface {
 	Explain(ctx context.Context, kind schema.Kind, name string) (sentences []string, ok bool)
 }
 
-// Server serves the interface.
+// Server is the http.Handler of the API.
 type Server struct {
 	echo     *echo.Echo
 	accounts []schema.Account
@@ -49,27 +49,27 @@
 	log      zerolog.Logger
 }
 
-// Option changes how a Server is made.
+// Option configures a Server.
 type Option func(*Server)
 
-// WithAccounts sets who may use the interface.
+// WithAccounts sets the operator accounts.
 func WithAccounts(accounts []schema.Account) Option {
 	return func(s *Server) { s.accounts = accounts }
 }
 
-// WithMetrics serves metrics.
+// WithMetrics sets the handler of the metrics path.
 func WithMetrics(h http.Handler) Option { return func(s *Server) { s.metrics = h } }
 
-// WithReady tells the balancer whether the entry takes requests.
+// WithReady sets the readiness check for the load balancer.
 func WithReady(f func() bool) Option { return func(s *Server) { s.ready = f } }
 
-// WithStatus gives the answer to a request for the status.
+// WithStatus sets the function that returns the entry's status.
 func WithStatus(f func() api.Status) Option { return func(s *Server) { s.status = f } }
 
-// WithLogger logs edits and refused requests.
+// WithLogger sets the logger for edits and failed requests.
 func WithLogger(l zerolog.Logger) Option { return func(s *Server) { s.log = l } }
 
-// New returns a server; it is an http.Handler.
+// New returns a server for a table.
 func New(t Table, e Explainer, opts ...Option) *Server {
 	s := &Server{
 		table: t, explain: e, log: zerolog.Nop(),
@@ -119,7 +119,7 @@
 	return c.NoContent(http.StatusOK)
 }
 
-// getRows answers with the rows of ?kind= and ?name=, all of them without.
+// getRows answers with the rows selected by the query parameters kind and name, which are optional.
 func (s *Server) getRows(c echo.Context) error {
 	kind, name := schema.Kind(c.QueryParam("kind")), c.QueryParam("name")
 	if kind != "" && !table.KnownKind(kind) {
@@ -135,7 +135,7 @@
 	return c.JSON(http.StatusOK, api.Rows{Revision: snap.Revision, Rows: api.FromStored(rows)})
 }
 
-// postEdit commits an edit and answers once it is accepted.
+// postEdit commits an edit and answers once it is committed.
 func (s *Server) postEdit(c echo.Context) error {
 	var q api.EditRequest
 	if err := decodeStrict(c.Request().Body, &q); err != nil {
@@ -155,7 +155,7 @@
 	return c.JSON(http.StatusOK, api.EditResult{Revision: entry.Revision, EditID: entry.EditID})
 }
 
-// getExplain answers with sentences about a row.
+// getExplain answers with an explanation of a row.
 func (s *Server) getExplain(c echo.Context) error {
 	sentences, ok := s.explain.Explain(c.Request().Context(), schema.Kind(c.Param("kind")), c.Param("name"))
 	if !ok {
@@ -164,20 +164,20 @@
 	return c.JSON(http.StatusOK, api.Explanation{Sentences: sentences})
 }
 
-// apiError is an error with its answer.
+// apiError is an error with its HTTP answer.
 type apiError struct {
 	status int
 	body   api.Error
 }
 
-// Error gives the message.
+// Error returns the message of the answer.
 func (e apiError) Error() string { return e.body.Message }
 
 func newAPIError(status int, code api.ErrorCode, message string) error {
 	return apiError{status: status, body: api.Error{Code: code, Message: message, Problems: []api.Problem{}, Conflicts: []api.Conflict{}}}
 }
 
-// writeError turns every error into an api.Error.
+// writeError answers with an api.Error for any error.
 func (s *Server) writeError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -185,10 +185,10 @@
 	a := classifyError(err)
 	s.log.Info().Str("event", "operator_request_failed").Str("path", c.Request().URL.Path).
 		Str("code", string(a.body.Code)).Str("detail", a.body.Message).Send()
-	_ = c.JSON(a.status, a.body) // an operator who is gone needs no answer
+	_ = c.JSON(a.status, a.body) // fails only if the client is gone
 }
 
-// classifyError sorts the errors of the table and of echo.
+// classifyError converts the errors of the table and of echo.
 func classifyError(err error) apiError {
 	var answer apiError
 	var conflict table.ErrConflict
--- a/service/server/server_test.go
+++ b/service/server/server_test.go
@@ -39,7 +39,7 @@
 	return api.RowChange{Kind: kind, Name: name, Seen: seen, Value: json.RawMessage(value)}
 }
 
-// TestAccess tries each kind of account on each kind of path.
+// TestAccess checks the status of each path for each role, and the body of errors.
 func TestAccess(t *testing.T) {
 	_, url := start(t)
 	for _, tc := range []struct {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestEdits takes edits through acceptance, refusal, conflict and outage.
+// TestEdits checks accepted, rejected, conflicting and repeated edits, and a lost answer of the store.
 func TestEdits(t *testing.T) {
 	c := qt.New(t)
 	store, url := start(t)
@@ -103,7 +103,7 @@
 	result, _ := edit("e1", change("zone", "z", `{}`, 0), change("rack", "r", `{"zone": "z"}`, 0))
 	c.Check(result.Revision, qt.Equals, 1)
 	again, _ := edit("e1", change("zone", "z", `{}`, 0), change("rack", "r", `{"zone": "z"}`, 0))
-	c.Check(again, qt.DeepEquals, result, qt.Commentf("the same edit again is the same revision"))
+	c.Check(again, qt.DeepEquals, result, qt.Commentf("a repeated edit keeps its revision"))
 
 	_, failure = edit("e2", change("zone", "z", `{"note": "mine"}`, 0))
 	c.Check(failure.Code, qt.Equals, api.ErrorCodeConflict)
@@ -121,7 +121,7 @@
 
 	store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: fake.FaultLostAfter, Count: 1})
 	result, failure = edit("e6", change("zone", "z", `{"note": "kept"}`, 1))
-	c.Check(result.Revision, qt.Equals, 2, qt.Commentf("a lost answer is settled: %v", failure))
+	c.Check(result.Revision, qt.Equals, 2, qt.Commentf("the outcome after a lost answer is determined: %v", failure))
 
 	audit, err := cl.Audit(ctx, client.AuditQuery{Kind: "zone", Name: "z", Actor: "maria"})
 	c.Assert(err, qt.IsNil)
@@ -133,7 +133,7 @@
 	c.Check(string(rows.Rows[0].Value), qt.Contains, "kept")
 }
 
-// TestBadBodies sends what is no edit.
+// TestBadBodies checks that malformed and oversized edits are refused with a 4xx status.
 func TestBadBodies(t *testing.T) {
 	_, url := start(t)
 	for _, body := range []string{"", "{", "[]", `{"id": 3}`, `{"id": "a", "colour": 1}`, `{"id": "a", "changes": [{"kind": "sky", "name": "a"}]}`, strings.Repeat("x", 17<<20)} {
