--- a/pkg/platform/fake/tasks.go
+++ b/pkg/platform/fake/tasks.go
@@ -15,7 +15,7 @@
 	spec       platform.TaskSpec
 	state      platform.TaskState
 	leaseUntil time.Time
-	cpuLimit   float64 // processors, 0 for no limit
+	cap        float64 // processors, 0 for no limit
 	reason     string
 }
 
@@ -139,7 +139,7 @@
 		if !t.running() {
 			return nil
 		}
-		t.cpuLimit = cpus
+		t.cap = cpus
 		t.state = platform.TaskRunning
 		if cpus > 0 {
 			t.state = platform.TaskThrottled
@@ -171,8 +171,8 @@
 	switch {
 	case !t.running():
 		return 0
-	case t.cpuLimit > 0:
-		return min(t.cpuLimit, t.spec.Cpus)
+	case t.cap > 0:
+		return min(t.cap, t.spec.Cpus)
 	}
 	return t.spec.Cpus
 }
