--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -8,6 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
+// attempt is a running attempt of a task.
 type attempt struct {
 	number     int64
 	needs      platform.Resources
--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -29,7 +29,7 @@
 // As returns the workers as seen by one entry, whose name is passed to the fault function.
 func (w *Workers) As(entry string) platform.Workers { return &workersView{w: w, entry: entry} }
 
-// sendOrder runs do under the lock as one order, with the fault in force. task may be empty.
+// sendOrder runs do under the lock as one order, with the fault for it. task is empty for renewals.
 func (v *workersView) sendOrder(ctx context.Context, op OrderOp, ref platform.WorkerRef, task string, do func(b *boot) error) error {
 	jitterKey := []string{string(op), ref.Boot, v.entry, task}
 	v.w.mu.Lock()
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -156,9 +156,9 @@
 			w.endBoot(old)
 		}
 	}
-	worker, born := platform.ParseBootID(info.Boot)
+	worker, bootedAtMs := platform.ParseBootID(info.Boot)
 	w.boots[info.Boot] = &boot{
-		info: info, worker: worker, bootedAtMs: born, start: time.Now(), drift: drift, omitted: map[attemptKey]bool{}, running: map[string]*attempt{}, highestAttempt: map[string]int64{},
+		info: info, worker: worker, bootedAtMs: bootedAtMs, start: time.Now(), drift: drift, omitted: map[attemptKey]bool{}, running: map[string]*attempt{}, highestAttempt: map[string]int64{},
 		free: info.Capacity, changed: make(chan struct{}),
 	}
 }
