--- a/cmd/gannetctl/cmds/cmds_test.go
+++ b/cmd/gannetctl/cmds/cmds_test.go
@@ -81,7 +81,7 @@
 		dir := t.TempDir()
 		store := fake.New()
 		r := replica.New(store.View("z"))
-		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, blind{}), server.WithAccounts([]schema.Account{
+		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, blind{}), server.WithOperatorAccounts([]schema.Account{
 			{Name: "maria", Role: schema.RoleEdit, TokenSha256: server.HashToken("tok")},
 		}))))
 		defer s.Close()
--- a/pkg/entry/listen.go
+++ b/pkg/entry/listen.go
@@ -129,7 +129,7 @@
 // operatorServer serves the operators' interface.
 func (e *Entry) operatorServer() *http.Server {
 	h := server.New(e.replica, explainer{explain.New(e.replica, e.observer), e},
-		server.WithAccounts(e.settings.Operators.Accounts),
+		server.WithOperatorAccounts(e.settings.Operators.Accounts),
 		server.WithStatus(e.status),
 		server.WithReady(e.gateway.Ready),
 		server.WithMetrics(promhttp.HandlerFor(e.registry, promhttp.HandlerOpts{})),
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -52,8 +52,8 @@
 // Option configures a Server.
 type Option func(*Server)
 
-// WithAccounts sets the operator accounts.
-func WithAccounts(accounts []schema.Account) Option {
+// WithOperatorAccounts sets the operator accounts.
+func WithOperatorAccounts(accounts []schema.Account) Option {
 	return func(s *Server) { s.accounts = accounts }
 }
 
--- a/service/server/server_test.go
+++ b/service/server/server_test.go
@@ -27,7 +27,7 @@
 func start(t *testing.T) (store *fake.Platform, url string) {
 	store = fake.New()
 	r := replica.New(store.View("z"))
-	s := httptest.NewServer(server.New(r, noExplainer{}, server.WithAccounts([]schema.Account{
+	s := httptest.NewServer(server.New(r, noExplainer{}, server.WithOperatorAccounts([]schema.Account{
 		{Name: "eva", Role: schema.RoleView, TokenSha256: server.HashToken("view-token")},
 		{Name: "maria", Role: schema.RoleEdit, TokenSha256: server.HashToken("edit-token")},
 	})))
