--- a/service/server/auth.go
+++ b/service/server/auth.go
@@ -13,7 +13,7 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-const contextKeyAccount = "account"
+const contextKeyOperator = "account"
 
 // HashToken returns the SHA-256 of a token in hexadecimal, which the settings hold instead of it.
 func HashToken(token string) string {
@@ -25,29 +25,29 @@
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
-		account := s.accountByToken(token)
-		if !ok || account == nil {
+		operator := s.operatorByToken(token)
+		if !ok || operator == nil {
 			c.Response().Header().Set(echo.HeaderWWWAuthenticate, "Bearer")
 			return newAPIError(http.StatusUnauthorized, api.ErrorCodeUnauthorized, "a known bearer token is needed")
 		}
-		c.Set(contextKeyAccount, account)
+		c.Set(contextKeyOperator, operator)
 		return next(c)
 	}
 }
 
-// accountByToken returns the account of a token, nil for none. It compares the token with all
-// accounts in constant time, against timing attacks.
-func (s *Server) accountByToken(token string) (found *schema.Account) {
+// operatorByToken returns the operator account of a token, nil for none. It compares the token
+// with all accounts in constant time, against timing attacks.
+func (s *Server) operatorByToken(token string) (found *schema.Account) {
 	hash := []byte(HashToken(token))
-	for i := range s.accounts {
-		if subtle.ConstantTimeCompare(hash, []byte(s.accounts[i].TokenSha256)) == 1 {
-			found = &s.accounts[i]
+	for i := range s.operators {
+		if subtle.ConstantTimeCompare(hash, []byte(s.operators[i].TokenSha256)) == 1 {
+			found = &s.operators[i]
 		}
 	}
 	return found
 }
 
-// requireEditRole refuses accounts that may only view.
+// requireEditRole refuses operators who may only view.
 func requireEditRole(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if actor(c).Role != schema.RoleEdit {
@@ -57,8 +57,8 @@
 	}
 }
 
-// actor returns the account set by authenticate.
+// actor returns the operator account set by authenticate.
 func actor(c echo.Context) *schema.Account {
-	account, _ := c.Get(contextKeyAccount).(*schema.Account)
-	return account
+	operator, _ := c.Get(contextKeyOperator).(*schema.Account)
+	return operator
 }
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -26,27 +26,32 @@
 
 // Table is the entry's replica of the table.
 type Table interface {
+	// Snapshot returns the table at the latest revision.
 	Snapshot() *table.Snapshot
+	// Commit commits an edit and returns its log entry.
 	Commit(ctx context.Context, e *table.Edit) (*schema.Entry, error)
+	// History reads up to limit log entries from a revision on from the store.
 	History(ctx context.Context, from, limit int) ([]schema.Entry, error)
+	// Since returns up to limit log entries after a revision; the result is false if some are no longer in memory.
 	Since(revision, limit int) ([]schema.Entry, bool)
 }
 
 // Explainer explains the state of a row in sentences; ok is false if it does not exist.
 type Explainer interface {
+	// Explain returns the explanation of the row with a kind and name.
 	Explain(ctx context.Context, kind schema.Kind, name string) (sentences []string, ok bool)
 }
 
 // Server is the http.Handler of the API.
 type Server struct {
-	echo     *echo.Echo
-	accounts []schema.Account
-	table    Table
-	explain  Explainer
-	status   func() api.Status
-	ready    func() bool
-	metrics  http.Handler
-	log      zerolog.Logger
+	echo      *echo.Echo
+	operators []schema.Account
+	table     Table
+	explain   Explainer
+	status    func() api.Status
+	ready     func() bool
+	metrics   http.Handler
+	log       zerolog.Logger
 }
 
 // Option configures a Server.
@@ -54,7 +59,7 @@
 
 // WithOperatorAccounts sets the operator accounts.
 func WithOperatorAccounts(accounts []schema.Account) Option {
-	return func(s *Server) { s.accounts = accounts }
+	return func(s *Server) { s.operators = accounts }
 }
 
 // WithMetrics sets the handler of the metrics path.
