--- a/pkg/platform/doc.go
+++ b/pkg/platform/doc.go
@@ -7,10 +7,11 @@
 // call had no effect and can be retried; [ErrUnknown], the call may have taken
 // effect. [Rows] and [Workers] add errors of their own.
 //
-// Two sets of interfaces exist. [Platform] serves the replicated table of the
-// entries (package replica) and package control; package rest implements it over
-// HTTP and JSON. [Rows], [Workers], [Machines] and [Adviser] serve the job
-// service (packages shard, node and fleetops); the module's top-level package
-// platform implements them for the users' platform. Package fake implements
-// both sets in memory for tests, except Machines and Adviser.
+// There are two sets of interfaces. [Platform] is used by entries, the gannetwell
+// servers that route requests, for their replicated table (package replica) and
+// for VMs (package control); package rest implements it over HTTP and JSON.
+// [Rows], [Workers], [Machines] and [Adviser] are used by the job service
+// (packages shard, node and fleetops); the module's top-level package platform
+// implements them for the users' platform. Package fake implements both sets in
+// memory, except Machines and Adviser.
 package platform
--- a/pkg/platform/fake/tasks.go
+++ b/pkg/platform/fake/tasks.go
@@ -23,7 +23,7 @@
 func (t *fakeTask) expireLease(now time.Time) {
 	if t.running() && now.After(t.leaseUntil) {
 		t.state = platform.TaskStopped
-		t.reason = "the lease expired"
+		t.reason = "the lease lapsed"
 	}
 }
 
--- a/pkg/platform/rest/handler.go
+++ b/pkg/platform/rest/handler.go
@@ -74,7 +74,7 @@
 		ans.Items, err = p.Scan(ctx, args.From, args.To, args.Limit)
 	case OpCommit:
 		if args.Txn == nil {
-			return nil, platform.ErrRefused{Op: string(op), Reason: "the call has no transaction"}
+			return nil, platform.ErrRefused{Op: string(op), Reason: "the call lacks its transaction"}
 		}
 		err = p.Commit(ctx, *args.Txn)
 	case OpPutObject:
@@ -108,7 +108,7 @@
 	switch op {
 	case OpStartTask:
 		if args.Task == nil {
-			return nil, platform.ErrRefused{Op: string(op), Reason: "the call has no task"}
+			return nil, platform.ErrRefused{Op: string(op), Reason: "the call lacks its task"}
 		}
 		err = p.StartTask(ctx, *args.Task)
 	case OpRenewTask:
