--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -72,7 +72,7 @@
 		t: t, mutations: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
 		poweredOff: map[string]bool{}, leaving: map[string]bool{},
 	}
-	h.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithMachine(h), fake.WithObserver(h),
+	h.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithVMRuntime(h), fake.WithObserver(h),
 		fake.WithListLag(2*time.Second), fake.WithRebootTime(2*time.Second), fake.WithLimits(10_000, 100_000))
 	for range harnessNodes {
 		h.nodes = append(h.nodes, h.newNode())
--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -8,30 +8,31 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
+// attempt is a running attempt of a task.
 type attempt struct {
-	number   int64
-	needs    platform.Resources
-	timer    *time.Timer
-	ending   bool
-	started  time.Time
-	duration time.Duration // 0 for a task that runs until it is stopped
-	stalled  time.Duration // progress at which it stands still, 0 for never
+	number     int64
+	needs      platform.Resources
+	timer      *time.Timer
+	stopping   bool
+	started    time.Time
+	duration   time.Duration // 0 to run until stopped
+	stallAfter time.Duration // progress stays at this run time, 0 for never
 }
 
-func (w *Workers) begin(b *boot, o platform.StartOrder) error {
+func (w *Workers) startAttempt(b *boot, o platform.StartOrder) error {
 	if a := b.running[o.Task]; a != nil && a.number == o.Attempt {
 		return nil
 	}
-	if o.Attempt <= b.highest[o.Task] {
-		return platform.ErrOrderRefused{Reason: platform.RefusedOld, ClockMs: b.clock()}
+	if o.Attempt <= b.highestAttempt[o.Task] {
+		return platform.ErrOrderRefused{Reason: platform.RefusedStaleAttempt, ClockMs: b.clock()}
 	}
 	work := w.work(o.Task, o.Spec)
 	if !work.Needs.Fits(b.free) {
-		if !w.takesAll {
-			return platform.ErrOrderRefused{Reason: platform.RefusedRoom, ClockMs: b.clock()}
+		if !w.allowOvercommit {
+			return platform.ErrOrderRefused{Reason: platform.RefusedNoCapacity, ClockMs: b.clock()}
 		}
-		if !b.fitsOfLate(work.Needs) {
-			w.witness.Overfilled(b.info.Boot, o.Task)
+		if !b.fitsNowOrRecently(work.Needs) {
+			w.observer.Overcommitted(b.info.Boot, o.Task)
 		}
 	}
 	b.free = b.free.Sub(work.Needs)
@@ -45,26 +46,26 @@
 	}
 	a := &attempt{number: o.Attempt, needs: work.Needs, started: time.Now(), duration: work.Duration}
 	if w.stalls(b, o.Task) {
-		a.stalled = work.Duration / 4
+		a.stallAfter = work.Duration / 4
 	}
 	a.timer = time.AfterFunc(duration, func() { w.finish(b, o.Task, a, reason) })
 	b.running[o.Task] = a
-	w.witness.Started(b.info.Boot, o.Task, o.Attempt)
+	w.observer.Started(b.info.Boot, o.Task, o.Attempt)
 	switch {
 	case work.Crashes && work.CrashAfter == 0:
-		w.bringDown(b, o.Task)
+		w.crashBoot(b, o.Task)
 	case work.Crashes:
-		time.AfterFunc(work.CrashAfter, func() { w.crash(b, o.Task, a) })
+		time.AfterFunc(work.CrashAfter, func() { w.crashIfRunning(b, o.Task, a) })
 	}
 	return nil
 }
 
-// crash has an attempt that runs still bring its worker down.
-func (w *Workers) crash(b *boot, task string, a *attempt) {
+// crashIfRunning ends the boot if the attempt is still running.
+func (w *Workers) crashIfRunning(b *boot, task string, a *attempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if b.running[task] == a {
-		w.bringDown(b, task)
+		w.crashBoot(b, task)
 	}
 }
 
@@ -80,113 +81,113 @@
 	a.timer.Stop()
 	delete(b.running, task)
 	b.free = b.free.Add(a.needs)
-	b.highest[task] = max(b.highest[task], a.number)
-	b.last++
-	b.ended = append(b.ended, platform.AttemptEnd{Number: b.last, Task: task, Attempt: a.number, Reason: reason})
-	w.witness.Ended(b.info.Boot, task, a.number, reason)
+	b.highestAttempt[task] = max(b.highestAttempt[task], a.number)
+	b.lastSeq++
+	b.ended = append(b.ended, platform.AttemptEnd{Seq: b.lastSeq, Task: task, Attempt: a.number, Reason: reason})
+	w.observer.Ended(b.info.Boot, task, a.number, reason)
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-// percent is the progress that is reported.
+// percent returns the attempt's progress in percent.
 func (a *attempt) percent() int {
 	if a.duration == 0 {
 		return 100
 	}
 	ran := time.Since(a.started)
-	if a.stalled > 0 {
-		ran = min(ran, a.stalled)
+	if a.stallAfter > 0 {
+		ran = min(ran, a.stallAfter)
 	}
 	return int(100 * ran / a.duration)
 }
 
-// stalls tells whether tasks stand still at a boot.
+// stalls reports whether a task stalls on a boot.
 func (w *Workers) stalls(b *boot, task string) bool {
 	return w.stall != nil && w.stall(b.info.Boot, task)
 }
 
-// LongestLease is the longest lease that a worker grants; longer ones are cut.
-const LongestLease = 10 * time.Second
+// MaxLease is the longest lease that a worker grants; longer ones are shortened to it.
+const MaxLease = 10 * time.Second
 
-// extend moves the deadline of the leases; it is never shortened.
-func (w *Workers) extend(b *boot, until int64) {
-	until = min(until, b.clock()+LongestLease.Milliseconds())
-	if until <= b.lease {
+// extendLeases extends the leases of a boot's attempts to until, in ms of the boot's clock.
+func (w *Workers) extendLeases(b *boot, until int64) {
+	until = min(until, b.clock()+MaxLease.Milliseconds())
+	if until <= b.leaseUntil {
 		return
 	}
-	b.lease = until
-	if b.lapse != nil {
-		b.lapse.Stop()
+	b.leaseUntil = until
+	if b.leaseTimer != nil {
+		b.leaseTimer.Stop()
 	}
 	left := time.Duration(float64(until-b.clock())/(1-b.drift)) * time.Millisecond
-	b.lapse = time.AfterFunc(left, func() { w.lapse(b, until) })
+	b.leaseTimer = time.AfterFunc(left, func() { w.expireLeases(b, until) })
 }
 
-func (w *Workers) lapse(b *boot, until int64) {
+func (w *Workers) expireLeases(b *boot, until int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b.dead || b.lease != until {
+	if b.dead || b.leaseUntil != until {
 		return
 	}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
-		w.finishLocked(b, task, b.running[task], platform.EndLapsed)
+		w.finishLocked(b, task, b.running[task], platform.EndLeaseExpired)
 	}
 }
 
 func (w *Workers) acknowledge(b *boot, upTo int64) {
 	for _, e := range b.ended {
-		if e.Number <= upTo {
-			w.witness.Acked(b.info.Boot, e.Task, e.Reason)
+		if e.Seq <= upTo {
+			w.observer.Acked(b.info.Boot, e.Task, e.Reason)
 		}
 	}
-	b.acked = max(b.acked, upTo)
-	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Number <= b.acked })
+	b.ackedSeq = max(b.ackedSeq, upTo)
+	b.ended = slices.DeleteFunc(b.ended, func(e platform.AttemptEnd) bool { return e.Seq <= b.ackedSeq })
 }
 
-// report returns what a boot lists of itself.
+// report returns a boot's report with its running and ended attempts.
 func (w *Workers) report(b *boot) platform.WorkerReport {
-	r := platform.WorkerReport{ClockMs: b.clock(), Born: b.born, Ended: slices.Clone(b.ended)}
+	r := platform.WorkerReport{ClockMs: b.clock(), BootedAtMs: b.bootedAtMs, Ended: slices.Clone(b.ended)}
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
 		a := b.running[task]
 		r.Running = append(r.Running, platform.RunningAttempt{Task: task, Attempt: a.number, Percent: a.percent()})
 	}
-	w.leaveOut(b, &r)
+	w.omitEnds(b, &r)
 	return r
 }
 
-// leaveOut takes the ends out of a report that are to be left out yet.
-func (w *Workers) leaveOut(b *boot, r *platform.WorkerReport) {
-	left := w.leftOut[b.info.Boot]
+// omitEnds removes ends from a report as requested by [Workers.OmitEnd].
+func (w *Workers) omitEnds(b *boot, r *platform.WorkerReport) {
+	left := w.endOmissions[b.info.Boot]
 	if left == nil {
 		return
 	}
 	r.Ended = slices.DeleteFunc(r.Ended, func(e platform.AttemptEnd) bool {
-		left[e.Number]--
-		return left[e.Number] >= 0
+		left[e.Seq]--
+		return left[e.Seq] >= 0
 	})
 }
 
-// attemptKey tells attempts apart.
+// attemptKey identifies an attempt.
 type attemptKey struct {
 	task   string
 	number int64
 }
 
-// shorten takes an entry out of one answer of a boot in so many, that of an attempt no list of
-// it has lacked yet.
-func (w *Workers) shorten(b *boot, r *platform.WorkerReport) {
+// omitEntry removes one entry from every omitEvery-th report of a boot. An attempt is
+// omitted at most once.
+func (w *Workers) omitEntry(b *boot, r *platform.WorkerReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	b.lists++
-	if w.shortEvery == 0 || b.lists%w.shortEvery != 0 {
+	b.reportCount++
+	if w.omitEvery == 0 || b.reportCount%w.omitEvery != 0 {
 		return
 	}
 	once := func(task string, number int64) bool {
 		key := attemptKey{task: task, number: number}
-		if b.lacked[key] {
+		if b.omitted[key] {
 			return false
 		}
-		b.lacked[key] = true
+		b.omitted[key] = true
 		return true
 	}
 	for i, e := range r.Ended {
--- a/pkg/platform/fake/faults.go
+++ b/pkg/platform/fake/faults.go
@@ -11,40 +11,40 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// Fault is what goes wrong with a call.
+// Fault is a failure injected into a call.
 type Fault string
 
-// The faults.
+// The faults of any call; see also [FaultLate] and [FaultRefused].
 const (
 	FaultNone       Fault = ""
-	FaultDown       Fault = "down"        // the call is refused before it has any effect
-	FaultLostBefore Fault = "lost-before" // no answer, no effect
-	FaultLostAfter  Fault = "lost-after"  // the effect, but no answer
-	FaultSlow       Fault = "slow"        // the call takes longer by Rule.DelayMs
+	FaultDown       Fault = "down"        // the call is refused and has no effect
+	FaultLostBefore Fault = "lost-before" // no effect and no answer
+	FaultLostAfter  Fault = "lost-after"  // the call takes effect, but its answer is lost
+	FaultSlow       Fault = "slow"        // the call is delayed by Rule.DelayMs
 )
 
-// Faults returns every fault.
+// Faults returns the faults that a [Rule] can inject.
 func Faults() []Fault { return []Fault{FaultDown, FaultLostBefore, FaultLostAfter, FaultSlow} }
 
-// Rule brings a fault about for some calls.
+// Rule injects a fault into matching calls.
 type Rule struct {
-	Op      rest.Operation `json:"op"`       // empty for every operation
-	Zone    string         `json:"zone"`     // of the caller, empty for every zone
-	Fault   Fault          `json:"fault"`    // what goes wrong
+	Op      rest.Operation `json:"op"`   // empty matches every operation
+	Zone    string         `json:"zone"` // of the caller, empty matches every zone
+	Fault   Fault          `json:"fault"`
 	DelayMs int            `json:"delay_ms"` // for FaultSlow
-	Chance  float64        `json:"chance"`   // of each call, 0 means always
-	Skip    int            `json:"skip"`     // calls that pass before the first fault
-	Count   int            `json:"count"`    // faults until the rule is spent, 0 for no end
+	Chance  float64        `json:"chance"`   // probability per call, 0 for always
+	Skip    int            `json:"skip"`     // matching calls that pass before the first fault
+	Count   int            `json:"count"`    // number of faults to inject, 0 for no limit
 }
 
-// injector decides about each call.
+// injector selects the fault of each call.
 type injector struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	rules []Rule
-	spent []int // faults that each rule has brought about
-	seen  []int // calls that each rule has matched
-	calls map[rest.Operation]int
+	mu      sync.Mutex
+	rng     *rand.Rand
+	rules   []Rule
+	fired   []int // number of faults injected, by rule
+	matched []int // number of calls matched, by rule
+	calls   map[rest.Operation]int
 }
 
 func newInjector(seed uint64) *injector {
@@ -55,11 +55,11 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.rules = append([]Rule(nil), rules...)
-	in.spent = make([]int, len(rules))
-	in.seen = make([]int, len(rules))
+	in.fired = make([]int, len(rules))
+	in.matched = make([]int, len(rules))
 }
 
-// decide returns the fault of one call and its delay.
+// decide counts the call and returns its fault and its delay.
 func (in *injector) decide(op rest.Operation, zone string) (f Fault, delay time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -68,14 +68,14 @@
 		if r.Op != "" && r.Op != op || r.Zone != "" && r.Zone != zone {
 			continue
 		}
-		in.seen[i]++
-		if in.seen[i] <= r.Skip || r.Count > 0 && in.spent[i] >= r.Count {
+		in.matched[i]++
+		if in.matched[i] <= r.Skip || r.Count > 0 && in.fired[i] >= r.Count {
 			continue
 		}
 		if r.Chance > 0 && in.rng.Float64() >= r.Chance {
 			continue
 		}
-		in.spent[i]++
+		in.fired[i]++
 		if r.Fault == FaultSlow {
 			delay += time.Duration(r.DelayMs) * time.Millisecond
 			continue
@@ -85,8 +85,8 @@
 	return FaultNone, delay
 }
 
-// around carries out one call under the rules and limits.
-func (v *view) around(ctx context.Context, op rest.Operation, effect func() error) error {
+// call runs effect as one call under the rules and limits.
+func (v *view) call(ctx context.Context, op rest.Operation, effect func() error) error {
 	fault, delay := v.p.faults.decide(op, v.zone)
 	if err := pause.For(ctx, v.p.latency+delay); err != nil {
 		return platform.ErrNotDone{Op: string(op), Cause: err.Error()}
@@ -98,17 +98,17 @@
 	case FaultDown:
 		return platform.ErrNotDone{Op: string(op), Cause: "the platform is down"}
 	case FaultLostBefore:
-		return lostCall(op, "the connection broke")
+		return lostError(op, "the connection broke")
 	}
 	err := effect()
 	if fault == FaultLostAfter && err == nil {
-		return lostCall(op, "the answer was lost")
+		return lostError(op, "the answer was lost")
 	}
 	return err
 }
 
-// lostCall is what a client learns when no answer comes: a read never has an effect.
-func lostCall(op rest.Operation, cause string) error {
+// lostError is the error for a call without an answer; a read never has an effect.
+func lostError(op rest.Operation, cause string) error {
 	if op.Writes() {
 		return platform.ErrUnknown{Op: string(op), Cause: cause}
 	}
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -9,199 +9,203 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// forever is longer than any test.
+// forever exceeds the run time of any test.
 const forever = 100 * time.Hour
 
-// Work is what a task does at a worker.
+// Work describes the behavior of a task on a worker.
 type Work struct {
 	Needs    platform.Resources
-	Duration time.Duration // 0 to run until it is stopped
-	Fails    bool          // at its end
-	Crashes  bool          // it brings the worker down
-	// CrashAfter is how long after its start it does so; with 0 the start gets no answer.
+	Duration time.Duration // 0 to run until stopped
+	Fails    bool          // ends with EndFailed instead of EndDone
+	Crashes  bool          // crashes the worker
+	// CrashAfter is the time from the start to the crash; if 0, the start order gets no answer.
 	CrashAfter time.Duration
 }
 
-// EndCrashed is told to the witness of an attempt that went with its boot; no worker reports it.
+// EndCrashed is the reason given to the observer for attempts that ended with their boot. It is
+// never reported by a worker.
 const EndCrashed platform.EndReason = "crashed"
 
-// Witness is told what workers do; a test checks its promises by it.
-type Witness interface {
+// WorkersObserver is notified of what happens on the workers.
+type WorkersObserver interface {
+	// Started is called when an attempt starts.
 	Started(boot, task string, attempt int64)
+	// Ended is called when an attempt ends, before the end is reported.
 	Ended(boot, task string, attempt int64, reason platform.EndReason)
+	// Acked is called when a renewal acknowledges an end.
 	Acked(boot, task string, reason platform.EndReason)
-	// Overfilled tells of a start for which the boot, which does not reject it, has no room.
-	Overfilled(boot, task string)
-	// BroughtDown tells of a task that has brought the boot down.
-	BroughtDown(boot, task string)
+	// Overcommitted is called for a start that exceeds the capacity of a boot that accepts it anyway.
+	Overcommitted(boot, task string)
+	// Crashed is called for a task that has crashed its boot.
+	Crashed(boot, task string)
 }
 
-// Workers is a stand-in of the workers of a deployment.
+// Workers is an in-memory platform.Workers; entries reach it through [Workers.As].
 type Workers struct {
-	latency  time.Duration
-	lateBy   time.Duration
-	stopTime time.Duration
-	spread   *Spread
-	work     func(task, spec string) Work
-	witness  Witness
+	latency   time.Duration
+	lateDelay time.Duration
+	stopTime  time.Duration
+	jitter    *Jitter
+	work      func(task, spec string) Work
+	observer  WorkersObserver
 
 	mu    sync.Mutex
 	fault func(op OrderOp, boot, entry string) Fault
 	stall func(boot, task string) bool
-	// dark has calls to boots that have ended go unanswered; else they are refused.
-	dark bool
-	// crashed is told of boots that a task has brought down.
-	crashed func(info platform.Worker)
+	// blackhole makes calls to ended boots time out instead of being refused.
+	blackhole bool
+	// onCrash is called with each boot that a task has crashed.
+	onCrash func(info platform.Worker)
 	boots   map[string]*boot
-	// leftOut are the numbers of ends that reports of a boot leave out, and in how many yet.
-	leftOut map[string]map[int64]int
-	// shortEvery has one list of each boot in so many lack an entry, 0 for none.
-	shortEvery int
-	// takesAll has workers start what does not fit, as those do that do not guard their capacity.
-	takesAll bool
+	// endOmissions counts, by boot and end, the reports that must still omit the end.
+	endOmissions map[string]map[int64]int
+	// omitEvery makes every n-th report of a boot omit one entry, 0 for none.
+	omitEvery int
+	// allowOvercommit makes workers start attempts that exceed their capacity.
+	allowOvercommit bool
 }
 
 // boot is one boot of a worker.
 type boot struct {
-	info    platform.Worker
-	lists   int                 // that it has given
-	lacked  map[attemptKey]bool // attempts that a list has lacked
-	worker  string              // its ID, which a later boot may have as well
-	born    int64               // in Unix milliseconds, 0 if it does not say
-	start   time.Time
-	drift   float64 // how much slower its clock runs, 0.02 for 2%
-	dead    bool
-	token   int64
-	running map[string]*attempt
-	ended   []platform.AttemptEnd
-	last    int64 // number of the last end
-	acked   int64
-	highest map[string]int64 // attempt that ended or was stopped here, by task
-	lease   int64            // deadline by the worker's clock
-	lapse   *time.Timer
-	free    platform.Resources
-	rooms   []formerRoom // it had, in order
-	changed chan struct{}
+	info           platform.Worker
+	reportCount    int                 // number of reports sent
+	omitted        map[attemptKey]bool // attempts that a report has omitted
+	worker         string              // worker ID, which later boots may share
+	bootedAtMs     int64               // Unix milliseconds, 0 if unknown
+	start          time.Time
+	drift          float64 // fraction by which its clock runs slow, 0.02 for 2%
+	dead           bool
+	token          int64
+	running        map[string]*attempt
+	ended          []platform.AttemptEnd
+	lastSeq        int64 // sequence number of the last end
+	ackedSeq       int64
+	highestAttempt map[string]int64 // highest attempt that ended or was stopped here, by task
+	leaseUntil     int64            // in ms of the worker's clock
+	leaseTimer     *time.Timer
+	free           platform.Resources
+	pastCapacities []pastCapacity // ordered by time
+	changed        chan struct{}
 }
 
-// NewWorkers returns no workers yet; orders take latency, those carried out late
-// lateBy, and tasks stopTime to end once they are told to.
-func NewWorkers(latency, lateBy, stopTime time.Duration, work func(task, spec string) Work, w Witness) *Workers {
+// NewWorkers returns a Workers without boots. Orders take latency, lateDelay is added for
+// FaultLate, and a task ends stopTime after its stop order. work gives the behavior of a task.
+func NewWorkers(latency, lateDelay, stopTime time.Duration, work func(task, spec string) Work, w WorkersObserver) *Workers {
 	return &Workers{
-		latency: latency, lateBy: lateBy, stopTime: stopTime, work: work, witness: w,
+		latency: latency, lateDelay: lateDelay, stopTime: stopTime, work: work, observer: w,
 		fault: func(OrderOp, string, string) Fault { return FaultNone }, boots: map[string]*boot{},
-		crashed: func(platform.Worker) {}, leftOut: map[string]map[int64]int{},
+		onCrash: func(platform.Worker) {}, endOmissions: map[string]map[int64]int{},
 	}
 }
 
-// SetSpread has each order take a delay of its own longer; it is called before the first one.
-func (w *Workers) SetSpread(s *Spread) { w.spread = s }
+// SetJitter adds jitter to each order; it must be called before the first order.
+func (w *Workers) SetJitter(j *Jitter) { w.jitter = j }
 
-// SetFault decides about each order from now on.
+// SetFault sets the function that selects the fault of each order.
 func (w *Workers) SetFault(f func(op OrderOp, boot, entry string) Fault) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.fault = f
 }
 
-// SetTakesAll has workers start whatever they are told to, or reject what does not fit.
-func (w *Workers) SetTakesAll(on bool) {
+// SetAllowOvercommit sets whether workers start attempts that exceed their capacity.
+func (w *Workers) SetAllowOvercommit(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.takesAll = on
+	w.allowOvercommit = on
 }
 
-// SetDark has workers that end fall silent, as those do that lose their power.
-func (w *Workers) SetDark(on bool) {
+// SetBlackhole sets whether orders to ended boots time out, as after a power loss, instead of being refused.
+func (w *Workers) SetBlackhole(on bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.dark = on
+	w.blackhole = on
 }
 
-// SetShortLists has one list of each boot in every so many lack an entry, 0 for none: an end, or
-// an attempt that runs. Each attempt is lacked once at most.
-func (w *Workers) SetShortLists(every int) {
+// SetOmitEvery makes every n-th report of a boot omit one ended or running attempt, 0 for none.
+// Each attempt is omitted at most once.
+func (w *Workers) SetOmitEvery(every int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shortEvery = every
+	w.omitEvery = every
 }
 
-// LeaveOut has the next reports of a boot that would list an end leave it out, so many times.
-func (w *Workers) LeaveOut(name string, end int64, times int) {
+// OmitEnd makes the next reports of a boot omit an end, as often as given by times.
+func (w *Workers) OmitEnd(name string, end int64, times int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.leftOut[name] == nil {
-		w.leftOut[name] = map[int64]int{}
+	if w.endOmissions[name] == nil {
+		w.endOmissions[name] = map[int64]int{}
 	}
-	w.leftOut[name][end] = times
+	w.endOmissions[name][end] = times
 }
 
-// SetCrashed names what is told of each boot that a task has brought down.
-func (w *Workers) SetCrashed(f func(info platform.Worker)) {
+// SetOnCrash sets the function called with each boot that a task has crashed.
+func (w *Workers) SetOnCrash(f func(info platform.Worker)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.crashed = f
+	w.onCrash = f
 }
 
-// Boot starts a worker, in place of an earlier boot at the same address.
+// Boot starts a boot of a worker and ends an earlier one at the same address.
 func (w *Workers) Boot(info platform.Worker, drift float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, old := range w.boots {
 		if old.info.Address == info.Address {
-			w.end(old)
+			w.endBoot(old)
 		}
 	}
-	worker, born := platform.SplitBoot(info.Boot)
+	worker, bootedAtMs := platform.ParseBootID(info.Boot)
 	w.boots[info.Boot] = &boot{
-		info: info, worker: worker, born: born, start: time.Now(), drift: drift, lacked: map[attemptKey]bool{}, running: map[string]*attempt{}, highest: map[string]int64{},
+		info: info, worker: worker, bootedAtMs: bootedAtMs, start: time.Now(), drift: drift, omitted: map[attemptKey]bool{}, running: map[string]*attempt{}, highestAttempt: map[string]int64{},
 		free: info.Capacity, changed: make(chan struct{}),
 	}
 }
 
-// roomNoticed is how long after its room has shrunk a start may still count on the room
-// before: the directory tells of it with the next heartbeat, and owners may read it late.
-const roomNoticed = 4500 * time.Millisecond
+// capacityGrace is how long a start may still rely on a boot's capacity before a reduction:
+// owners learn of it from a later heartbeat.
+const capacityGrace = 4500 * time.Millisecond
 
-// SetRoom changes what a boot has room for; what runs there runs on.
-func (w *Workers) SetRoom(name string, room platform.Resources) {
+// SetCapacity changes the capacity of a boot; its running attempts continue.
+func (w *Workers) SetCapacity(name string, capacity platform.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	b := w.named(name)
+	b := w.lookup(name)
 	if b == nil || b.dead {
 		return
 	}
-	b.rooms = append(b.rooms, formerRoom{room: b.info.Capacity, until: time.Now()})
-	b.free = b.free.Add(room).Sub(b.info.Capacity)
-	b.info.Capacity = room
+	b.pastCapacities = append(b.pastCapacities, pastCapacity{capacity: b.info.Capacity, until: time.Now()})
+	b.free = b.free.Add(capacity).Sub(b.info.Capacity)
+	b.info.Capacity = capacity
 }
 
-// formerRoom is what a boot had room for until a time.
-type formerRoom struct {
-	room  platform.Resources
-	until time.Time
+// pastCapacity is a capacity that a boot had until a time.
+type pastCapacity struct {
+	capacity platform.Resources
+	until    time.Time
 }
 
-// fitsOfLate tells whether a start fits what the boot has room for, or had a moment ago.
-func (b *boot) fitsOfLate(needs platform.Resources) bool {
+// fitsNowOrRecently reports whether needs fit into the boot's current capacity or one within capacityGrace.
+func (b *boot) fitsNowOrRecently(needs platform.Resources) bool {
 	if needs.Fits(b.free) {
 		return true
 	}
-	for _, f := range b.rooms {
-		if time.Since(f.until) <= roomNoticed && needs.Fits(b.free.Add(f.room).Sub(b.info.Capacity)) {
+	for _, f := range b.pastCapacities {
+		if time.Since(f.until) <= capacityGrace && needs.Fits(b.free.Add(f.capacity).Sub(b.info.Capacity)) {
 			return true
 		}
 	}
 	return false
 }
 
-// reached returns the boot that a call for a boot reaches: what a call names is the ID of the
-// worker, under which another boot may have started. It is nil when that worker is not there.
-func (w *Workers) reached(ref platform.WorkerRef) *boot {
+// resolve returns the live boot that receives an order: the referenced one, or another boot of the
+// same worker ID at the same address. It returns nil if there is none.
+func (w *Workers) resolve(ref platform.WorkerRef) *boot {
 	if b := w.boots[ref.Boot]; b != nil && !b.dead {
 		return b
 	}
-	worker, _ := platform.SplitBoot(ref.Boot)
+	worker, _ := platform.ParseBootID(ref.Boot)
 	for _, b := range w.boots {
 		if !b.dead && b.worker == worker && b.info.Address == ref.Address {
 			return b
@@ -210,7 +214,7 @@
 	return nil
 }
 
-// Reset closes the connections to a boot, so that looks that wait for an end fail at once.
+// Reset closes the connections to a boot, so that renewals waiting for an end return at once.
 func (w *Workers) Reset(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -222,18 +226,18 @@
 	b.changed = make(chan struct{})
 }
 
-// Present returns the boot of a worker that is up, empty if there is none.
-func (w *Workers) Present(worker string) string {
+// CurrentBoot returns the ID of a worker's live boot, empty if there is none.
+func (w *Workers) CurrentBoot(worker string) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b := w.named(worker); b != nil && !b.dead {
+	if b := w.lookup(worker); b != nil && !b.dead {
 		return b.info.Boot
 	}
 	return ""
 }
 
-// named returns a boot, or the one that is up of a worker of that ID.
-func (w *Workers) named(name string) *boot {
+// lookup returns a boot by its ID, or the live boot of a worker by the worker's ID.
+func (w *Workers) lookup(name string) *boot {
 	for _, b := range w.boots {
 		if b.worker == name && !b.dead {
 			return b
@@ -242,27 +246,27 @@
 	return w.boots[name]
 }
 
-// Crash ends a boot; what ran there is gone.
+// Crash ends a boot and its attempts without reports.
 func (w *Workers) Crash(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b := w.named(name); b != nil {
-		w.end(b)
+	if b := w.lookup(name); b != nil {
+		w.endBoot(b)
 	}
 }
 
-// bringDown ends a boot that one of its tasks has brought down; calls under way there end at once.
-func (w *Workers) bringDown(b *boot, task string) {
+// crashBoot ends a boot because of one of its tasks; pending calls to it end at once.
+func (w *Workers) crashBoot(b *boot, task string) {
 	if b.dead {
 		return
 	}
-	w.witness.BroughtDown(b.info.Boot, task)
-	w.end(b)
+	w.observer.Crashed(b.info.Boot, task)
+	w.endBoot(b)
 	close(b.changed)
-	go w.crashed(b.info)
+	go w.onCrash(b.info)
 }
 
-func (w *Workers) end(b *boot) {
+func (w *Workers) endBoot(b *boot) {
 	if b.dead {
 		return
 	}
@@ -270,16 +274,16 @@
 	for _, task := range slices.Sorted(maps.Keys(b.running)) {
 		a := b.running[task]
 		a.timer.Stop()
-		w.witness.Ended(b.info.Boot, task, a.number, EndCrashed)
+		w.observer.Ended(b.info.Boot, task, a.number, EndCrashed)
 	}
 	b.running = map[string]*attempt{}
 }
 
-// Running returns the tasks that run at a boot, in order.
+// Running returns the sorted IDs of the tasks that run on a boot.
 func (w *Workers) Running(name string) (tasks []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if b := w.named(name); b != nil {
+	if b := w.lookup(name); b != nil {
 		for t := range b.running {
 			tasks = append(tasks, t)
 		}
@@ -292,7 +296,8 @@
 	return int64(float64(time.Since(b.start).Milliseconds()) * (1 - b.drift))
 }
 
-// SetStall decides for each task that starts from now on whether it stands still.
+// SetStall sets the function that selects, at its start, whether a task stalls after a quarter
+// of its duration.
 func (w *Workers) SetStall(f func(boot, task string) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pkg/platform/rest/client.go
+++ b/pkg/platform/rest/client.go
@@ -23,7 +23,7 @@
 	maxIdleConns   = 8
 )
 
-// Client calls a platform over HTTP.
+// Client implements platform.Platform over HTTP.
 type Client struct {
 	base    string
 	timeout time.Duration
@@ -33,16 +33,16 @@
 
 var _ platform.Platform = (*Client)(nil)
 
-// Option changes how a Client is made.
+// Option configures a Client.
 type Option func(*Client)
 
-// WithTimeout bounds each call; the caller's context may be shorter.
+// WithTimeout sets the timeout of each call, which is 2 s by default.
 func WithTimeout(d time.Duration) Option { return func(c *Client) { c.timeout = d } }
 
-// WithBytes reports the body bytes of each call, to account for them.
+// WithBytes sets a function that is called with the body sizes of each call in bytes.
 func WithBytes(f func(sent, received int)) Option { return func(c *Client) { c.onBytes = f } }
 
-// New returns a client of the platform at base, such as http://platform:7000/zones/hall-1.
+// New returns a client of the platform at the URL base, such as http://platform:7000/zones/hall-1.
 func New(base string, opts ...Option) *Client {
 	c := &Client{
 		base:    strings.TrimSuffix(base, "/"),
@@ -59,10 +59,10 @@
 	return c
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// call carries out one operation and sorts its errors.
+// call sends one operation and converts a failure to an error type of package platform.
 func (c *Client) call(ctx context.Context, op Operation, args *Call) (ans *Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -72,36 +72,36 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.base+"/v1/"+string(op), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
-		return nil, errors.Wrapf(err, "make request of %s", op)
+		return nil, errors.Wrapf(err, "create %s request", op)
 	}
-	// No GetBody: net/http must not send a transaction a second time by itself.
+	// Without GetBody net/http cannot resend a transaction on its own.
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, lost(op, err)
+		return nil, transportError(op, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	c.onBytes(len(body), len(raw))
 	if err != nil {
-		return nil, lost(op, err)
+		return nil, transportError(op, err)
 	}
-	return sortAnswer(op, resp, raw)
+	return decodeAnswer(op, resp, raw)
 }
 
-// lost turns a transport error into the right type: what was never sent, or only read, had no effect.
-func lost(op Operation, err error) error {
+// transportError converts a transport error: reads and calls that were never sent had no effect.
+func transportError(op Operation, err error) error {
 	var opErr *net.OpError
 	dialed := !errors.As(err, &opErr) || opErr.Op != "dial"
 	if op.Writes() && dialed {
-		return platform.ErrUnknown{Op: string(op), Cause: causeOf(err)}
+		return platform.ErrUnknown{Op: string(op), Cause: transportCause(err)}
 	}
-	return platform.ErrNotDone{Op: string(op), Cause: causeOf(err)}
+	return platform.ErrNotDone{Op: string(op), Cause: transportCause(err)}
 }
 
-// causeOf leaves out the URL that net/http puts before each error.
-func causeOf(err error) string {
+// transportCause removes the URL that net/http prepends to its errors.
+func transportCause(err error) string {
 	var ue *url.Error
 	if errors.As(err, &ue) {
 		return ue.Err.Error()
@@ -109,7 +109,7 @@
 	return err.Error()
 }
 
-func sortAnswer(op Operation, resp *http.Response, raw []byte) (ans *Answer, err error) {
+func decodeAnswer(op Operation, resp *http.Response, raw []byte) (ans *Answer, err error) {
 	ans = &Answer{}
 	parseErr := json.Unmarshal(raw, ans)
 	switch {
@@ -141,9 +141,9 @@
 	return err
 }
 
-// missing reports an answer without the field that the operation promises.
-func missing(op Operation) error {
-	return platform.ErrNotDone{Op: string(op), Cause: "the answer lacks its result"}
+// missingResult reports an answer that lacks the operation's result field.
+func missingResult(op Operation) error {
+	return platform.ErrNotDone{Op: string(op), Cause: "the answer has no result"}
 }
 
 // Get implements platform.Table.
@@ -153,7 +153,7 @@
 		return platform.Item{}, err
 	}
 	if ans.Item == nil {
-		return platform.Item{}, missing(OpGet)
+		return platform.Item{}, missingResult(OpGet)
 	}
 	return *ans.Item, nil
 }
@@ -202,7 +202,7 @@
 		return platform.VMList{}, err
 	}
 	if ans.VMs == nil {
-		return platform.VMList{}, missing(OpListVMs)
+		return platform.VMList{}, missingResult(OpListVMs)
 	}
 	return *ans.VMs, nil
 }
@@ -229,7 +229,7 @@
 		return platform.VMStatus{}, err
 	}
 	if ans.Status == nil {
-		return platform.VMStatus{}, missing(OpVMStatus)
+		return platform.VMStatus{}, missingResult(OpVMStatus)
 	}
 	return *ans.Status, nil
 }
--- a/pkg/platform/rest/handler.go
+++ b/pkg/platform/rest/handler.go
@@ -15,7 +15,7 @@
 
 const maxCallBytes = 16 << 20
 
-// Handler serves a platform over HTTP; stand-ins use it.
+// Handler serves p over HTTP.
 func Handler(p platform.Platform) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		op := Operation(strings.TrimPrefix(r.URL.Path, "/v1/"))
@@ -25,44 +25,44 @@
 			err = json.Unmarshal(body, &args)
 		}
 		if err != nil {
-			answer(w, http.StatusBadRequest, &Answer{Error: err.Error()})
+			writeAnswer(w, http.StatusBadRequest, &Answer{Error: err.Error()})
 			return
 		}
 		ans, err := dispatch(r.Context(), p, op, &args)
 		if err != nil {
-			fail(w, err)
+			writeError(w, err)
 			return
 		}
-		answer(w, http.StatusOK, ans)
+		writeAnswer(w, http.StatusOK, ans)
 	})
 }
 
-func answer(w http.ResponseWriter, status int, ans *Answer) {
+func writeAnswer(w http.ResponseWriter, status int, ans *Answer) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(ans) // the client sees a broken answer by itself
+	_ = json.NewEncoder(w).Encode(ans) // the client detects a truncated answer
 }
 
-// fail answers with the status that the client turns back into the same type of error.
-func fail(w http.ResponseWriter, err error) {
+// writeError answers with the status from which the client restores the error type.
+func writeError(w http.ResponseWriter, err error) {
 	var refused platform.ErrRefused
 	var notDone platform.ErrNotDone
 	switch {
 	case errors.As(err, &refused) && refused.Conflict:
-		answer(w, http.StatusConflict, &Answer{Error: refused.Reason})
+		writeAnswer(w, http.StatusConflict, &Answer{Error: refused.Reason})
 	case errors.As(err, &refused):
-		answer(w, http.StatusBadRequest, &Answer{Error: refused.Reason})
+		writeAnswer(w, http.StatusBadRequest, &Answer{Error: refused.Reason})
 	case errors.As(err, &notDone):
 		if s := int(notDone.RetryAfter.Seconds()); s > 0 {
 			w.Header().Set("Retry-After", strconv.Itoa(s))
 		}
-		answer(w, http.StatusServiceUnavailable, &Answer{Error: notDone.Cause})
+		writeAnswer(w, http.StatusServiceUnavailable, &Answer{Error: notDone.Cause})
 	default:
-		panic(http.ErrAbortHandler) // an unknown outcome is a connection that breaks
+		panic(http.ErrAbortHandler) // breaks the connection: the outcome is unknown
 	}
 }
 
-// dispatch calls the operation's method.
+// dispatch calls the method for an operation.
 func dispatch(ctx context.Context, p platform.Platform, op Operation, args *Call) (ans *Answer, err error) {
 	ans = &Answer{}
 	switch op {
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -19,8 +19,8 @@
 			return
 		}
 		if e.sameID {
-			id, _ := platform.SplitBoot(w.Boot)
-			w.Boot = platform.BootOf(id, time.Now().UnixMilli())
+			id, _ := platform.ParseBootID(w.Boot)
+			w.Boot = platform.BootID(id, time.Now().UnixMilli())
 			return
 		}
 		e.boots++
@@ -34,7 +34,7 @@
 	n, _ := strconv.Atoi(cpu)
 	slow, _ := strconv.ParseFloat(drift, 64)
 	if e.sameID {
-		boot = platform.BootOf(boot, time.Now().UnixMilli())
+		boot = platform.BootID(boot, time.Now().UnixMilli())
 	}
 	w := platform.Worker{Boot: boot, VM: vm, Pool: pool, Address: address, Capacity: platform.Resources{CPU: n, MemoryMB: 1 << 20}}
 	e.start(w, slow)
@@ -67,23 +67,23 @@
 	}
 	w := listed[at]
 	if !silent {
-		e.workers.Reset(e.workers.Present(id))
+		e.workers.Reset(e.workers.CurrentBoot(id))
 	}
-	w.Boot = platform.BootOf(id, time.Now().Add(-e.clockBack).UnixMilli())
+	w.Boot = platform.BootID(id, time.Now().Add(-e.clockBack).UnixMilli())
 	e.workers.Boot(w, 0)
 	time.AfterFunc(listAfter, func() { e.relistRestarted(w) })
 }
 
 // isWorker tells whether a row of the directory is of a worker, whichever boot.
 func isWorker(w platform.Worker, id string) bool {
-	worker, _ := platform.SplitBoot(w.Boot)
+	worker, _ := platform.ParseBootID(w.Boot)
 	return worker == id
 }
 
 // relistRestarted lists a boot that has started again, unless it has ended meanwhile.
 func (e *estate) relistRestarted(w platform.Worker) {
-	id, _ := platform.SplitBoot(w.Boot)
-	if e.workers.Present(id) == w.Boot {
+	id, _ := platform.ParseBootID(w.Boot)
+	if e.workers.CurrentBoot(id) == w.Boot {
 		e.list(w)
 	}
 }
@@ -112,7 +112,7 @@
 // resize changes what a worker has room for; the directory tells of it with the next heartbeat.
 func (e *estate) resize(boot string, cpu int) {
 	room := platform.Resources{CPU: cpu, MemoryMB: 1 << 20}
-	e.workers.SetRoom(boot, room)
+	e.workers.SetCapacity(boot, room)
 	time.AfterFunc(heartbeat, func() {
 		e.locked(func() {
 			e.listed = slices.Clone(e.listed)
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -104,7 +104,7 @@
 	e.rows.SetFault(func(op fake.RowOp, entry string) fake.Fault { return e.fault("rows", string(op), entry) })
 	e.workers = fake.NewWorkers(time.Millisecond, 3*time.Second, 50*time.Millisecond, e.work, e.witness)
 	e.workers.SetFault(func(op fake.OrderOp, boot, entry string) fake.Fault { return e.fault(string(op), boot, entry) })
-	e.workers.SetCrashed(func(w platform.Worker) { time.AfterFunc(e.backAfter, func() { e.boot(w) }) })
+	e.workers.SetOnCrash(func(w platform.Worker) { time.AfterFunc(e.backAfter, func() { e.boot(w) }) })
 	return e
 }
 
@@ -210,7 +210,7 @@
 		return e.machines, nil
 	}
 	for _, w := range e.listed {
-		id, _ := platform.SplitBoot(w.Boot)
+		id, _ := platform.ParseBootID(w.Boot)
 		list = append(list, platform.Machine{VM: w.VM, Worker: id, Pool: pool, State: platform.MachineUp})
 	}
 	return list, nil
@@ -282,7 +282,7 @@
 	e.starts++
 	cfg := shard.Config{
 		Pool: pool, Self: shard.Identity{Entry: entry, Start: e.starts, Address: entry},
-		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, LongestLease: fake.LongestLease,
+		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, LongestLease: fake.MaxLease,
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
 		StoreSteady: func() time.Duration { return time.Since(e.since) },
 		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.toldTo(entry),
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -113,13 +113,13 @@
 		o.lookFailed(s, &order, err)
 		return
 	}
-	if boot := s.respondingBoot(report.Born); boot != s.ref.Boot {
+	if boot := s.respondingBoot(report.BootedAtMs); boot != s.ref.Boot {
 		o.cfg.Metrics.Look(platform.ErrOtherBoot{Boot: boot})
 		o.handleRestart(s, platform.WorkerRef{Boot: boot, Address: s.ref.Address})
 		return
 	}
 	o.cfg.Metrics.Look(nil)
-	s.ends.tell(order.AckedEnd)
+	s.ends.tell(order.AckedSeq)
 	s.heardAt = sentAt
 	o.lookAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
@@ -160,13 +160,13 @@
 func (o *Owner) renewal(s *session, now time.Duration) platform.RenewOrder {
 	// A start that has no answer yet, or a look without one, may have reached a later boot.
 	safe := s.failures == 0 && !s.inDoubt && s.inFlight == 0
-	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.toTell(safe)}
+	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.toTell(safe)}
 	if s.failures == 0 && o.confirmed(now) {
 		// A look without an answer may still arrive; were each of them to renew,
 		// the leases of a worker that is gone would never run out.
 		order.LeaseUntil = s.lease(now)
 	}
-	if s.known && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
+	if s.known && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedSeq) && s.failures == 0 && order.LeaseUntil > 0 {
 		order.Wait = lookWait
 		if s.hasSuspect() {
 			order.Wait = suspectPollWait
@@ -196,11 +196,11 @@
 	case errors.As(err, &other):
 		o.bootEnded(s, "another boot answers at its address")
 		return
-	case errors.As(err, &refused) && refused.Reason == platform.RefusedToken:
+	case errors.As(err, &refused) && refused.Reason == platform.RefusedStaleToken:
 		o.outranked(s)
 		return
 	}
-	if order.AckedEnd > 0 && !platform.IsNotDone(err) {
+	if order.AckedSeq > 0 && !platform.IsNotDone(err) {
 		s.inDoubt = true // a higher token keeps its acknowledgement from a later boot
 	}
 	s.unanswered(o.now())
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -49,9 +49,9 @@
 // breaks something.
 func newMachine(t *rapid.T, plant func(*estate)) *machine {
 	e := newEstate(t)
-	spread := fake.NewSpread(*salt)
-	e.rows.SetSpread(spread)
-	e.workers.SetSpread(spread)
+	spread := fake.NewJitter(*salt)
+	e.rows.SetJitter(spread)
+	e.workers.SetJitter(spread)
 	if plant != nil {
 		plant(e)
 	}
@@ -72,7 +72,7 @@
 		m := newMachine(t, plant)
 		e := m.e
 		defer e.close()
-		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
+		e.workers.SetAllowOvercommit(rapid.Bool().Draw(t, "takes all"))
 		m.bootAll(3)
 		m.takeOver()
 		m.bind()
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -119,15 +119,15 @@
 
 func (o *Owner) startRefused(s *session, name string, r *running, refused platform.ErrOrderRefused, now time.Duration) {
 	switch refused.Reason {
-	case platform.RefusedToken:
+	case platform.RefusedStaleToken:
 		if s.inDoubt || r.Attempt.Phase == jobs.PhaseInDoubt {
 			break // our own look has raised the token meanwhile
 		}
 		o.outranked(s)
 		return
-	case platform.RefusedTicket:
+	case platform.RefusedInvalidTicket:
 		o.ticketRefused(r.Task.Step, s.ref.Boot)
-	case platform.RefusedRoom:
+	case platform.RefusedNoCapacity:
 		s.pausedTo = now + pauseFull
 	case platform.RefusedUnhealthy, platform.RefusedOther:
 		s.health.unanswered(now)
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -32,13 +32,13 @@
 
 func (h *eagerAcks) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	h.mu.Lock()
-	o.AckedEnd = max(o.AckedEnd, h.last[w.Boot])
+	o.AckedSeq = max(o.AckedSeq, h.last[w.Boot])
 	h.mu.Unlock()
 	r, err := h.Workers.RenewLeases(ctx, w, o)
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, e := range r.Ended {
-		h.last[w.Boot] = max(h.last[w.Boot], e.Number)
+		h.last[w.Boot] = max(h.last[w.Boot], e.Seq)
 	}
 	return r, err
 }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -14,17 +14,17 @@
 // respondingBoot returns the boot that sent a report with the given start time, 0 for none. Any
 // other start time than its own means a later boot, since the worker's clock may have been set back.
 func (s *session) respondingBoot(born int64) string {
-	worker, own := platform.SplitBoot(s.ref.Boot)
+	worker, own := platform.ParseBootID(s.ref.Boot)
 	if born == 0 || born == own {
 		return s.ref.Boot
 	}
-	return platform.BootOf(worker, born)
+	return platform.BootID(worker, born)
 }
 
 // startedAfter reports whether boot a of a worker started after boot b.
 func startedAfter(a, b string) bool {
-	_, bornA := platform.SplitBoot(a)
-	_, bornB := platform.SplitBoot(b)
+	_, bornA := platform.ParseBootID(a)
+	_, bornB := platform.ParseBootID(b)
 	return bornA > bornB
 }
 
@@ -133,7 +133,7 @@
 // observeClock checks the clock in the answer to an order, if there is one, against that of the boot.
 // 0 is a valid clock: that of a boot in its first millisecond.
 func (o *Owner) observeClock(s *session, ms int64, sentAt time.Duration) {
-	if ms == platform.NoClock {
+	if ms == platform.ClockUnknown {
 		return
 	}
 	if s.clockWentBack(ms, sentAt) {
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -25,7 +25,7 @@
 		e := m.e
 		defer e.close()
 		e.backAfter = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
-		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
+		e.workers.SetBlackhole(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
 		m.mayRuin = rapid.Bool().Draw(t, "crashing tasks")
 		kinds := []func(){m.short, m.short, m.submit, m.restart, m.restart, m.takeOver, m.handOver, m.usurp, m.orderFault, m.heal, m.ruinIf}
@@ -58,7 +58,7 @@
 // restart restarts a worker under its ID; the directory may show that late.
 func (m *machine) restart() {
 	listed := m.e.directory()
-	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
+	worker, _ := platform.ParseBootID(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
 	if m.hasActiveJobs() {
 		if m.atWork++; m.atWork > maxRestartsAtWork || m.mayRuin {
 			return
@@ -109,7 +109,7 @@
 
 func (b withoutStartTime) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	r, err := b.Workers.RenewLeases(ctx, w, o)
-	r.Born = 0
+	r.BootedAtMs = 0
 	return r, err
 }
 
@@ -122,9 +122,9 @@
 
 func (f *staleAcks) RenewLeases(ctx context.Context, w platform.WorkerRef, o platform.RenewOrder) (platform.WorkerReport, error) {
 	f.mu.Lock()
-	id, _ := platform.SplitBoot(w.Boot)
-	f.acked[id] = max(f.acked[id], o.AckedEnd)
-	o.AckedEnd = f.acked[id]
+	id, _ := platform.ParseBootID(w.Boot)
+	f.acked[id] = max(f.acked[id], o.AckedSeq)
+	o.AckedSeq = f.acked[id]
 	f.mu.Unlock()
 	return f.Workers.RenewLeases(ctx, w, o)
 }
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -55,7 +55,7 @@
 	case "leave-out":
 		end, _ := strconv.ParseInt(arg("end", "0"), 10, 64)
 		times, _ := strconv.Atoi(arg("times", "1"))
-		e.workers.LeaveOut(arg("boot", ""), end, times)
+		e.workers.OmitEnd(arg("boot", ""), end, times)
 		return ""
 	case "list":
 		cpu, _ := strconv.Atoi(arg("cpu", "0"))
@@ -63,7 +63,7 @@
 		e.list(platform.Worker{Boot: boot, VM: boot, Pool: pool, Address: boot, Capacity: platform.Resources{CPU: cpu, MemoryMB: 1 << 20}})
 		return ""
 	case "takes-all":
-		e.workers.SetTakesAll(true)
+		e.workers.SetAllowOvercommit(true)
 		return ""
 	case "unlist":
 		e.locked(func() {
@@ -137,7 +137,7 @@
 		e.backAfter = after
 		return ""
 	case "dark":
-		e.workers.SetDark(true)
+		e.workers.SetBlackhole(true)
 		return ""
 	case "crashes":
 		after, err := time.ParseDuration(arg("after", "10ms"))
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -154,14 +154,14 @@
 }
 
 // Overfilled implements fake.Witness.
-func (w *witness) Overfilled(boot, task string) {
+func (w *witness) Overcommitted(boot, task string) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
 	w.violated("%s started at %s, which has no room for it", task, boot)
 }
 
 // BroughtDown implements fake.Witness.
-func (w *witness) BroughtDown(_, task string) {
+func (w *witness) Crashed(_, task string) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
 	w.crashedBy[task]++
--- a/service/server/auth.go
+++ b/service/server/auth.go
@@ -13,51 +13,52 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-const accountKey = "account"
+const contextKeyOperator = "account"
 
-// HashToken returns what settings keep of a token.
+// HashToken returns the SHA-256 of a token in hexadecimal, which the settings hold instead of it.
 func HashToken(token string) string {
 	sum := sha256.Sum256([]byte(token))
 	return hex.EncodeToString(sum[:])
 }
 
-// authenticate finds the account of a request's token.
+// authenticate refuses requests without the token of an operator account.
 func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		token, ok := strings.CutPrefix(c.Request().Header.Get(echo.HeaderAuthorization), "Bearer ")
-		account := s.account(token)
-		if !ok || account == nil {
+		operator := s.operatorByToken(token)
+		if !ok || operator == nil {
 			c.Response().Header().Set(echo.HeaderWWWAuthenticate, "Bearer")
-			return fail(http.StatusUnauthorized, api.ErrorCodeUnauthorized, "a known bearer token is needed")
+			return newAPIError(http.StatusUnauthorized, api.ErrorCodeUnauthorized, "a known bearer token is needed")
 		}
-		c.Set(accountKey, account)
+		c.Set(contextKeyOperator, operator)
 		return next(c)
 	}
 }
 
-// account returns the account of a token; all are compared, so that time tells nothing.
-func (s *Server) account(token string) (found *schema.Account) {
+// operatorByToken returns the operator account of a token, nil for none. It compares the token
+// with all accounts in constant time, against timing attacks.
+func (s *Server) operatorByToken(token string) (found *schema.Account) {
 	hash := []byte(HashToken(token))
-	for i := range s.accounts {
-		if subtle.ConstantTimeCompare(hash, []byte(s.accounts[i].TokenSha256)) == 1 {
-			found = &s.accounts[i]
+	for i := range s.operators {
+		if subtle.ConstantTimeCompare(hash, []byte(s.operators[i].TokenSha256)) == 1 {
+			found = &s.operators[i]
 		}
 	}
 	return found
 }
 
-// mayEdit refuses accounts that only view.
-func mayEdit(next echo.HandlerFunc) echo.HandlerFunc {
+// requireEditRole refuses operators who may only view.
+func requireEditRole(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if actor(c).Role != schema.RoleEdit {
-			return fail(http.StatusForbidden, api.ErrorCodeForbidden, "the account may view but not edit")
+			return newAPIError(http.StatusForbidden, api.ErrorCodeForbidden, "the account may view but not edit")
 		}
 		return next(c)
 	}
 }
 
-// actor returns the account that authenticate found.
+// actor returns the operator account set by authenticate.
 func actor(c echo.Context) *schema.Account {
-	account, _ := c.Get(accountKey).(*schema.Account)
-	return account
+	operator, _ := c.Get(contextKeyOperator).(*schema.Account)
+	return operator
 }
