--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -15,11 +15,11 @@
 func (n *Node) answerPeer(ctx context.Context, q *schema.Call) *schema.CallReply {
 	switch q.Kind {
 	case schema.CallKindPing:
-		version, claiming := n.keeper.Seen()
+		version, claiming := n.keeper.OwnersVersion()
 		return &schema.CallReply{
 			Outcome: schema.CallOutcomeOk, CatalogVersion: int(n.catalogVersion()),
 			ReachesStore: n.rows.ok(), Start: int(n.self.Start),
-			OwnersVersion: int(version), Claiming: claiming, Stopping: n.stopping.Load(), Owners: n.keeper.News(int64(q.OwnersVersion)),
+			OwnersVersion: int(version), Claiming: claiming, Stopping: n.stopping.Load(), Owners: n.keeper.RowsSince(int64(q.OwnersVersion)),
 		}
 	case schema.CallKindStandDown:
 		row := platform.Row{Value: q.OwnerRow, Version: int64(q.OwnersVersion)}
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -255,7 +255,7 @@
 			return
 		case <-tick.C:
 		}
-		for _, pool := range n.keeper.Unread() {
+		for _, pool := range n.keeper.UnreadPools() {
 			readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 			row, err := shard.ReadOwner(readCtx, n.rows, pool)
 			cancel()
--- a/pkg/node/local.go
+++ b/pkg/node/local.go
@@ -15,7 +15,7 @@
 
 // OwnersVersion implements ownership.Local.
 func (l local) OwnersVersion() int64 {
-	version, _ := l.keeper.Seen()
+	version, _ := l.keeper.OwnersVersion()
 	return version
 }
 
@@ -26,7 +26,7 @@
 func (l local) StoreAnsweredFor() time.Duration { return l.rows.okFor() }
 
 // EntryChanged implements ownership.Local.
-func (l local) EntryChanged() { l.keeper.Kick() }
+func (l local) EntryChanged() { l.keeper.Wake() }
 
 // CatalogNewer implements ownership.Local.
 func (l local) CatalogNewer(c *peer.Caller, version int64) { l.fetchCatalog(c, version) }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -82,7 +82,7 @@
 	rows     *reach // the table service of platform
 
 	members *ownership.Members
-	keeper  *ownership.Keeper
+	keeper  *ownership.Manager
 
 	ending    context.Context // ends when a node that stops waits no longer for what it was asked
 	endAnswer func()          // ends it
@@ -123,8 +123,8 @@
 		Start: time.Now().UnixNano(), Share: s.CpuShare,
 	}
 	n.members = ownership.NewMembers(n.self, rows, log, clock, local{n})
-	rows.onLost = n.members.Hurry
-	n.keeper = ownership.NewKeeper(n.identity(), n.members, n.openShard, log, clock)
+	rows.onLost = n.members.PingAll
+	n.keeper = ownership.NewManager(n.identity(), n.members, n.openShard, log, clock)
 	return n
 }
 
@@ -160,7 +160,7 @@
 // have: it neither reaches the table service nor hears most other entries. Were
 // the service down for all, the others would be heard, and say the same as we do.
 func (n *Node) cutOff() bool {
-	return n.rows.silentFor() > cutOffAfter && !n.members.HearMost()
+	return n.rows.silentFor() > cutOffAfter && !n.members.HasMajority()
 }
 
 // Stop begins a planned stop.
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), LongestLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		RowBytes: n.settings.Store.RowBytes,
 		Rows:     n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreSteady: n.rows.okFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.has, Sending: events.Sending, OnOver: events.Over,
+		Metrics: n.metrics, Log: n.log, StoreSteady: n.rows.okFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.has, Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -74,7 +74,7 @@
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.has,
 		Pause: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, Takes: seconds(n.settings.Timing.MaintenanceS),
-		Sending: events.Sending, OnOver: events.Over,
+		Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat)
 	if err != nil {
 		return nil, err // no typed nil in the interface
--- a/pkg/ownership/claim.go
+++ b/pkg/ownership/claim.go
@@ -12,161 +12,161 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Pace of claims.
+// Timing of claims.
 const (
-	// settleTime is how long a process that has started waits for others to register
-	// before it claims a shard that nobody owns; entries that start together do so
-	// within 0.3 s. Shards wait for it after the loss of all entries: 0.6 s instead
-	// cost 0.008 of what callers get on such a day, 0.1 s gained nothing more.
-	settleTime = 250 * time.Millisecond
-	// rankDelay separates the claims of entries that would take over in turn.
-	rankDelay = 350 * time.Millisecond
-	// suspectTime is how long an owner is suspected before a claim when few others are heard.
-	suspectTime = 3 * time.Second
-	// storeSteady is for how long the table service must have answered before a
-	// suspected owner is replaced: an entry whose cut has just healed reaches the
-	// service before it hears the others again.
-	storeSteady = 1500 * time.Millisecond
-	// evaluateInterval is how often claims are gone through without an event.
-	evaluateInterval = 200 * time.Millisecond
-	// claimPause follows a claim that failed.
-	claimPause = 300 * time.Millisecond
+	// startupClaimDelay lets entries that start together register before any of them claims a shard
+	// that has no owner.
+	startupClaimDelay = 250 * time.Millisecond
+	// claimStagger is the delay between the claims of consecutive candidates for a shard.
+	claimStagger = 350 * time.Millisecond
+	// suspectTimeout is how long an owner is suspected before its shard is claimed.
+	suspectTimeout = 3 * time.Second
+	// storeStableTime is how long the table service must have answered before a suspected owner is
+	// replaced: after a network partition heals, the service may be reachable before the other
+	// entries are.
+	storeStableTime = 1500 * time.Millisecond
+	// reconcileInterval is the time between two passes over the shards without an event.
+	reconcileInterval = 200 * time.Millisecond
+	// claimRetryDelay is the time before a shard is claimed again after a failure.
+	claimRetryDelay = 300 * time.Millisecond
 )
 
-// evaluate claims the shards whose owner is gone and that fall to this entry.
-func (k *Keeper) evaluate(ctx context.Context) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.now()
-	if k.stopping || now < settleTime || k.catalog == nil {
+// reconcile claims the shards whose owner is gone and for which this entry is the next candidate.
+func (mgr *Manager) reconcile(ctx context.Context) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	now := mgr.now()
+	if mgr.stopping || now < startupClaimDelay || mgr.catalog == nil {
 		return
 	}
-	k.confirmOwned()
-	if !k.members.local.ReachesStore() {
-		return // a claim could not be written
+	mgr.confirmOwned()
+	if !mgr.members.local.ReachesStore() {
+		return // a claim could not be committed
 	}
-	heirs := k.members.Heirs()
-	load := k.load()
-	k.handOn(ctx, heirs, load, now)
-	for _, pool := range slices.Sorted(maps.Keys(k.shards)) {
-		s := k.shards[pool]
+	heirs := mgr.members.Candidates()
+	load := mgr.load()
+	mgr.rebalance(ctx, heirs, load, now)
+	for _, pool := range slices.Sorted(maps.Keys(mgr.shards)) {
+		s := mgr.shards[pool]
 		if !s.loaded || s.owner != nil || s.claiming || now < s.notBefore {
 			continue
 		}
-		why, gone := k.judge(s, now)
+		why, gone := mgr.ownerGone(s, now)
 		if !gone {
 			continue
 		}
-		rank := k.rank(pool, s.row, heirs, load)
-		if s.row.Entry == k.self.Entry && s.row.Start == k.self.Start {
-			rank = 0 // the row names this very process, which has ended its work: no other entry claims it
+		rank := mgr.rank(pool, s.row, heirs, load)
+		if s.row.Entry == mgr.self.Entry && s.row.Start == mgr.self.Start {
+			rank = 0 // the row names this process, so no other entry claims the shard
 		}
-		if now-s.gone < time.Duration(rank)*rankDelay {
+		if now-s.goneSince < time.Duration(rank)*claimStagger {
 			continue
 		}
 		s.claiming = true
-		k.log.Info().Str("event", "shard_claimed").Str("pool", pool).Str("former", s.row.Entry).Int64("version", s.version).
+		mgr.log.Info().Str("event", "shard_claimed").Str("pool", pool).Str("former", s.row.Entry).Int64("version", s.version).
 			Str("why", why).Int("rank", rank).Int("alive", len(heirs)).Send()
-		go k.claim(ctx, pool, s, shard.Seen{Version: s.version, Age: now - s.rowAt})
+		go mgr.claim(ctx, pool, s, shard.Seen{Version: s.version, Age: now - s.rowSeenAt})
 	}
 }
 
-// confirmOwned tells our owners until when the other entries saw no later owner; the lock is held.
-func (k *Keeper) confirmOwned() {
-	at, ok := k.members.ConfirmedAt(k.seenVersion())
+// confirmOwned tells the local owners until when no other entry had seen a newer owner row. The
+// caller holds mu.
+func (mgr *Manager) confirmOwned() {
+	at, ok := mgr.members.ConfirmedAt(mgr.latestVersion())
 	if !ok {
 		return
 	}
-	for _, s := range k.shards {
+	for _, s := range mgr.shards {
 		if s.owner != nil {
 			s.owner.Confirm(at)
 		}
 	}
 }
 
-// judge tells whether a shard is to be claimed; the lock is held.
-func (k *Keeper) judge(s *state, now time.Duration) (why string, gone bool) {
-	verdict, why := k.members.Judge(s.row, s.rowAt)
+// ownerGone reports whether a shard may be claimed because its owner is gone, and why. The caller
+// holds mu.
+func (mgr *Manager) ownerGone(s *shardState, now time.Duration) (why string, gone bool) {
+	verdict, why := mgr.members.OwnerStatus(s.row, s.rowSeenAt)
 	switch verdict {
-	case VerdictAlive:
-		s.gone, s.suspect = 0, 0
+	case OwnerAlive:
+		s.goneSince, s.suspectSince = 0, 0
 		return why, false
-	case VerdictSuspect:
-		if s.suspect == 0 {
-			s.suspect = now
+	case OwnerSuspect:
+		if s.suspectSince == 0 {
+			s.suspectSince = now
 		}
-		if now-s.suspect < suspectTime || k.members.local.StoreAnsweredFor() < storeSteady {
+		if now-s.suspectSince < suspectTimeout || mgr.members.local.StoreAnsweredFor() < storeStableTime {
 			return why, false
 		}
 	}
-	if s.gone == 0 {
-		s.gone = now
+	if s.goneSince == 0 {
+		s.goneSince = now
 	}
 	return why, true
 }
 
-// claim takes a shard over.
-func (k *Keeper) claim(ctx context.Context, pool string, s *state, seen shard.Seen) {
-	k.mu.Lock()
-	cat, ended := k.catalog, s.ended
-	k.mu.Unlock()
-	// Work of ours before this counts as ended for the one that follows; a ctx that ends fails the claim.
-	awaitEnd(ctx, ended)
-	over := false // the owner gave up before it was installed here
-	o, err := k.open(ctx, pool, seen, cat, Events{
-		Sending: func() {
-			k.mu.Lock()
-			defer k.mu.Unlock()
+// claim takes over a shard and installs its owner here.
+func (mgr *Manager) claim(ctx context.Context, pool string, s *shardState, seen shard.Seen) {
+	mgr.mu.Lock()
+	cat, closed := mgr.catalog, s.closed
+	mgr.mu.Unlock()
+	// A claim must not start before the previous local owner has stopped; if ctx ends first, the
+	// claim fails.
+	awaitClosed(ctx, closed)
+	relinquished := false // the owner gave up the shard before it was installed here
+	o, err := mgr.open(ctx, pool, seen, cat, Events{
+		Committing: func() {
+			mgr.mu.Lock()
+			defer mgr.mu.Unlock()
 			s.inDoubt = true
 		},
-		Over: func(error) {
-			k.mu.Lock()
-			over = true
-			k.mu.Unlock()
-			k.over(pool)
+		Relinquished: func(error) {
+			mgr.mu.Lock()
+			relinquished = true
+			mgr.mu.Unlock()
+			mgr.ownerRelinquished(pool)
 		},
 	})
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
 	s.claiming = false
 	if err != nil {
-		s.notBefore = k.now() + claimPause
-		k.log.Warn().Str("event", "shard_claim_failed").Str("pool", pool).Err(err).Send()
+		s.notBefore = mgr.now() + claimRetryDelay
+		mgr.log.Warn().Str("event", "shard_claim_failed").Str("pool", pool).Err(err).Send()
 		if errors.As(err, new(platform.ErrConflict)) || errors.As(err, new(shard.ErrNotOwner)) || platform.IsNotDone(err) {
 			s.inDoubt = false
 		}
-		// The claim may have happened, or the row is another one than we have seen. The
-		// feed need not bring it: a history that was forgotten had it, and all entries
-		// claimed a shard in vain for 30 s, each with the row of an owner before.
+		// The claim may have been committed, or the row may be a newer one. The feed may have lost
+		// that change, so the row is read again.
 		s.loaded = false
 		return
 	}
 	s.inDoubt = false
-	if over {
+	if relinquished {
 		s.loaded = false
-		s.notBefore = k.now() + claimPause
+		s.notBefore = mgr.now() + claimRetryDelay
 	}
-	if over || k.stopping || s.version > o.RowVersion() {
-		s.end(o)
+	if relinquished || mgr.stopping || s.version > o.RowVersion() {
+		s.closeOwner(o)
 		return
 	}
 	s.owner = o
-	o.SetCatalog(k.catalog)
-	o.SetWorkers(k.workers)
-	k.setRow(pool, s, shard.OwnerRow{Entry: k.self.Entry, Start: k.self.Start, Address: k.self.Address, Term: o.Term()}, o.RowVersion())
+	o.SetCatalog(mgr.catalog)
+	o.SetWorkers(mgr.workers)
+	mgr.setRow(pool, s, shard.OwnerRow{Entry: mgr.self.Entry, Start: mgr.self.Start, Address: mgr.self.Address, Term: o.Term()}, o.RowVersion())
 }
 
-// over notes that an owner of ours has given its shard up.
-func (k *Keeper) over(pool string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.shards[pool]
+// ownerRelinquished records that a local owner has given up its shard.
+func (mgr *Manager) ownerRelinquished(pool string) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	s := mgr.shards[pool]
 	if s == nil || s.owner == nil {
 		return
 	}
-	s.end(s.owner)
+	s.closeOwner(s.owner)
 	s.owner = nil
 	s.loaded = false
-	s.notBefore = k.now() + claimPause
-	k.Kick()
+	s.notBefore = mgr.now() + claimRetryDelay
+	mgr.Wake()
 }
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -15,27 +15,27 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// there is an entry whose table service comes and goes; it implements Local.
-type there struct {
-	here
-	back time.Time // since when the service answers, zero while it does not
+// unstableEntry is a [Local] whose table service comes and goes.
+type unstableEntry struct {
+	fixedEntry
+	storeSince time.Time // since when the table service answers, zero if it does not
 }
 
-func (l *there) ReachesStore() bool { return !l.back.IsZero() }
+func (l *unstableEntry) ReachesStore() bool { return !l.storeSince.IsZero() }
 
-func (l *there) StoreAnsweredFor() time.Duration {
-	if l.back.IsZero() {
+func (l *unstableEntry) StoreAnsweredFor() time.Duration {
+	if l.storeSince.IsZero() {
 		return 0
 	}
-	return time.Since(l.back)
+	return time.Since(l.storeSince)
 }
 
-// outage is five entries, and one more that owned the only shard and has ended,
-// while the table service is down for all.
+// outage is a cluster of five entries without the table service; a sixth entry, which owned the
+// only shard, has ended.
 type outage struct {
-	entries []*there
-	keepers []*Keeper
-	claims  chan string // names of the entries that try to take the shard over
+	entries  []*unstableEntry
+	managers []*Manager
+	claims   chan string // names of the entries that claim the shard
 }
 
 func newOutage() *outage {
@@ -44,42 +44,42 @@
 	since := time.Now()
 	time.Sleep(time.Minute)
 	for _, self := range names {
-		l := &there{}
+		l := &unstableEntry{}
 		m := NewMembers(Member{Name: self, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), l)
-		m.majorityAt = 1
+		m.majoritySince = 1
 		for _, other := range names {
 			if other != self {
-				m.peers[other] = peerHeard(other, time.Hour)
-				m.peers[other].storeLost = time.Second
+				m.peers[other] = memberHeard(other, time.Hour)
+				m.peers[other].storeLostSince = time.Second
 			}
 		}
-		m.peers["lost"] = peerHeard("lost", time.Second)
+		m.peers["lost"] = memberHeard("lost", time.Second)
 		u.entries = append(u.entries, l)
-		u.keepers = append(u.keepers, u.keeper(self, m, since))
+		u.managers = append(u.managers, u.manager(self, m, since))
 	}
 	return u
 }
 
-func peerHeard(name string, at time.Duration) *known {
-	return &known{Member: Member{Name: name, Share: 1, Start: 1}, wake: make(chan struct{}, 1), heardAt: at}
+func memberHeard(name string, at time.Duration) *memberState {
+	return &memberState{Member: Member{Name: name, Share: 1, Start: 1}, wake: make(chan struct{}, 1), heardAt: at}
 }
 
-// keeper returns the keeper of an entry that notes its claims; none of them succeeds.
-func (u *outage) keeper(self string, m *Members, since time.Time) *Keeper {
+// manager returns the manager of an entry whose claims are recorded and always fail.
+func (u *outage) manager(self string, m *Members, since time.Time) *Manager {
 	open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
 		u.claims <- self
 		return nil, errors.New("another entry was first")
 	}
-	k := NewKeeper(shard.Identity{Entry: self, Start: 1}, m, open, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
-	k.catalog = catalog.New(catalog.Catalog{})
-	k.shards["p"] = &state{row: shard.OwnerRow{Entry: "lost", Start: 1, Term: 1}, version: 1, loaded: true}
-	return k
+	mgr := NewManager(shard.Identity{Entry: self, Start: 1}, m, open, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
+	mgr.catalog = catalog.New(catalog.Catalog{})
+	mgr.shards["p"] = &shardState{row: shard.OwnerRow{Entry: "lost", Start: 1, Term: 1}, version: 1, loaded: true}
+	return mgr
 }
 
-// step has all entries look at the shard once and returns those that claim it.
-func (u *outage) step() (claimed []string) {
-	for _, k := range u.keepers {
-		k.evaluate(context.Background())
+// reconcileAll runs one pass on all entries and returns those that claimed the shard.
+func (u *outage) reconcileAll() (claimed []string) {
+	for _, mgr := range u.managers {
+		mgr.reconcile(context.Background())
 	}
 	synctest.Wait()
 	for len(u.claims) > 0 {
@@ -88,59 +88,55 @@
 	return claimed
 }
 
-// TestClaimsAfterOutage has an owner end while the table service is down for all.
-// No entry claims its shard before the service is back, and then not all at once:
-// what they last heard of each other is that the service does not answer.
+// TestClaimsAfterOutage guards against claims during an outage of the table service, and against
+// all entries claiming at once when it recovers.
 func TestClaimsAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		u := newOutage()
-		c.Check(u.step(), qt.HasLen, 0)
+		c.Check(u.reconcileAll(), qt.HasLen, 0)
 		for _, l := range u.entries {
-			l.back = time.Now()
+			l.storeSince = time.Now()
 		}
-		c.Check(u.step(), qt.HasLen, 1)
+		c.Check(u.reconcileAll(), qt.HasLen, 1)
 	})
 }
 
-// TestRowReadAfterClaim has a claim fail since the owner row is another one than was
-// seen: the row is read again, as the feed may have lost it.
+// TestRowReadAfterClaim checks that the owner row is read again after a claim failed because the
+// row has changed, since the feed may have lost that change.
 func TestRowReadAfterClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		u := newOutage()
-		k := u.keepers[0]
-		k.open = func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+		mgr := u.managers[0]
+		mgr.open = func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
 			return nil, errors.Wrap(shard.ErrNotOwner{}, "take over")
 		}
-		u.entries[0].back = time.Now()
-		c.Check(k.Unread(), qt.HasLen, 0)
+		u.entries[0].storeSince = time.Now()
+		c.Check(mgr.UnreadPools(), qt.HasLen, 0)
 		for range 6 {
-			k.evaluate(context.Background())
+			mgr.reconcile(context.Background())
 			synctest.Wait()
-			time.Sleep(rankDelay)
+			time.Sleep(claimStagger)
 		}
-		c.Check(k.Unread(), qt.DeepEquals, []string{"p"})
+		c.Check(mgr.UnreadPools(), qt.DeepEquals, []string{"p"})
 	})
 }
 
-// TestClaimAfterRestart has all entries start at the same time and find shards of
-// which former owners were lost with them: one is claimed 300 ms after the start,
-// 600 ms when each waited longer for the others to register. After the loss of all
-// entries of the users' days with trouble that was worth 0.008 +- 0.003 of what
-// callers get, in 80 pairs.
+// TestClaimAfterRestart guards against a late claim when all entries restart at the same time and
+// the shards' former owners are gone.
 func TestClaimAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		since := time.Now()
-		l := &there{back: since}
+		l := &unstableEntry{storeSince: since}
 		m := NewMembers(Member{Name: "e1", Share: 1, Start: 2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), l)
-		m.peers["e2"] = peerHeard("e2", 0)
+		m.peers["e2"] = memberHeard("e2", 0)
 		m.peers["e2"].Start = 2
 		u := &outage{claims: make(chan string, 10)}
-		k := u.keeper("e1", m, since)
-		k.shards["p"].row = shard.OwnerRow{Entry: "e1", Start: 1, Term: 1}
+		mgr := u.manager("e1", m, since)
+		mgr.shards["p"].row = shard.OwnerRow{Entry: "e1", Start: 1, Term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
-		go func() { _ = k.Run(ctx) }()
+		go func() { _ = mgr.Run(ctx) }()
 		<-u.claims
 		qt.Check(t, time.Since(since) <= 450*time.Millisecond, qt.IsTrue, qt.Commentf("claimed after %v", time.Since(since)))
 		cancel()
--- a/pkg/ownership/ended_test.go
+++ b/pkg/ownership/ended_test.go
@@ -13,30 +13,30 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// TestHasEnded holds what counts as the certain end of an owner's process. One try at which nothing
-// listens is no proof: an address may refuse for a moment.
+// TestHasEnded checks what counts as proof that an owner's process has ended; a single refused
+// connection does not.
 func TestHasEnded(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Member{Name: "me", Start: 7, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(time.Now())), &there{})
-	other := peerHeard("other", time.Second)
+	m := NewMembers(Member{Name: "me", Start: 7, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(time.Now())), &unstableEntry{})
+	other := memberHeard("other", time.Second)
 	other.Start = 3
 	m.peers["other"] = other
 	row := shard.OwnerRow{Entry: "other", Start: 3, Term: 5}
 	c.Check(m.HasEnded(row), qt.IsFalse)
-	c.Check(m.HasEnded(shard.OwnerRow{Term: 5}), qt.IsTrue, qt.Commentf("let go"))
-	c.Check(m.HasEnded(shard.OwnerRow{Entry: "me", Start: 6}), qt.IsTrue, qt.Commentf("an earlier start of this entry"))
-	c.Check(m.HasEnded(shard.OwnerRow{Entry: "other", Start: 2}), qt.IsTrue, qt.Commentf("started anew"))
+	c.Check(m.HasEnded(shard.OwnerRow{Term: 5}), qt.IsTrue, qt.Commentf("released"))
+	c.Check(m.HasEnded(shard.OwnerRow{Entry: "me", Start: 6}), qt.IsTrue, qt.Commentf("an earlier process of this entry"))
+	c.Check(m.HasEnded(shard.OwnerRow{Entry: "other", Start: 2}), qt.IsTrue, qt.Commentf("restarted"))
 	c.Check(m.HasEnded(shard.OwnerRow{Entry: "unknown", Start: 1}), qt.IsFalse)
 
 	refused := peer.ErrNotSent{Refused: true}
-	other.noteMiss(refused, time.Hour, time.Hour, false)
+	other.recordFailure(refused, time.Hour, time.Hour, false)
 	c.Check(m.HasEnded(row), qt.IsFalse, qt.Commentf("refused once"))
-	other.noteMiss(refused, time.Hour+1, time.Hour+1, false)
+	other.recordFailure(refused, time.Hour+1, time.Hour+1, false)
 	c.Check(m.HasEnded(row), qt.IsTrue, qt.Commentf("refused twice"))
-	other.noteReply(&schema.CallReply{}, time.Hour+2, time.Hour+2)
+	other.recordReply(&schema.CallReply{}, time.Hour+2, time.Hour+2)
 	c.Check(m.HasEnded(row), qt.IsFalse, qt.Commentf("heard again"))
-	other.noteMiss(refused, time.Hour+3, time.Hour+3, false)
-	other.noteMiss(peer.ErrNotSent{}, time.Hour+4, time.Hour+4, true)
-	other.noteMiss(refused, time.Hour+5, time.Hour+5, false)
+	other.recordFailure(refused, time.Hour+3, time.Hour+3, false)
+	other.recordFailure(peer.ErrNotSent{}, time.Hour+4, time.Hour+4, true)
+	other.recordFailure(refused, time.Hour+5, time.Hour+5, false)
 	c.Check(m.HasEnded(row), qt.IsFalse, qt.Commentf("not refused in between"))
 }
--- a/pkg/ownership/judge.go
+++ b/pkg/ownership/judge.go
@@ -6,166 +6,159 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// storeSilence is how long an owner may be without the table service, which
-// others reach, before one of them takes over.
-const storeSilence = time.Second
+// storeLossTimeout is how long an owner may be without the table service, while others reach it,
+// before its shard is taken over.
+const storeLossTimeout = time.Second
 
-// newOwnerSilence is how long an owner that has just written its row may go unheard:
-// what it reads and asks in a takeover may fill its link for seconds. After 1.1 s ten
-// entries in turn claimed a shard whose owner was still taking it over, on links of 2
-// Mbit/s, and its tasks did not run for 10 s. One that has ended refuses connections,
-// and counts as gone at once.
-const newOwnerSilence = 2500 * time.Millisecond
+// newOwnerGracePeriod is how long an owner that has just written its row counts as alive without
+// answering: the reads of a takeover may saturate its link. An owner that has exited refuses
+// connections and is detected at once.
+const newOwnerGracePeriod = 2500 * time.Millisecond
 
-// heirsSettle is how long after the table service has come back to this entry
-// the others may not have told so; those without a shard are asked each 2.6 s
-// where there are 43.
-const heirsSettle = 3 * time.Second
+// storeRecoveryTime is how long after the table service has recovered other entries may still be
+// recorded as not reaching it, since idle entries are pinged rarely.
+const storeRecoveryTime = 3 * time.Second
 
-// Verdict is what this entry holds of an owner.
-type Verdict string
+// OwnerStatus is this entry's view of whether an owner is alive.
+type OwnerStatus string
 
-// The verdicts on an owner.
+// The states of an owner.
 const (
-	VerdictAlive   Verdict = "alive"
-	VerdictGone    Verdict = "gone"    // for certain, or most others are heard and it is not
-	VerdictSuspect Verdict = "suspect" // not heard, but few others are either
+	OwnerAlive   OwnerStatus = "alive"
+	OwnerGone    OwnerStatus = "gone"    // known to have ended, or silent while most others answer
+	OwnerSuspect OwnerStatus = "suspect" // silent, and so are many others
 )
 
-// Judge tells whether the owner in a row, which was seen first at since, still
-// lives. An owner that has just written its row does, whatever was heard before.
-func (m *Members) Judge(o shard.OwnerRow, since time.Duration) (v Verdict, why string) {
+// OwnerStatus returns the state of the owner named in a row first seen at since, and the reason.
+func (m *Members) OwnerStatus(o shard.OwnerRow, since time.Duration) (v OwnerStatus, why string) {
 	if o.Entry == "" {
-		return VerdictGone, "released"
+		return OwnerGone, "released"
 	}
 	if o.Entry == m.self.Name {
-		return VerdictGone, "an earlier start of this entry"
+		return OwnerGone, "an earlier process of this entry"
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := m.peers[o.Entry]
+	p := m.peers[o.Entry]
 	switch {
-	case k == nil:
-		return VerdictSuspect, "not listed"
-	case k.Start != o.Start:
-		return VerdictGone, "started anew"
-	case m.now()-since < newOwnerSilence && !k.refused:
-		return VerdictAlive, "its row is new"
-	case m.alive(k) && k.storeLost > 0 && m.now()-k.storeLost > storeSilence && m.storeAnswersMost(k):
-		return VerdictGone, "the table service does not answer it, but us"
-	case m.alive(k):
-		return VerdictAlive, ""
-	case k.heardAt == 0 && m.now()-k.addedAt < silence && !k.refused:
-		return VerdictAlive, "not asked yet"
+	case p == nil:
+		return OwnerSuspect, "not listed"
+	case p.Start != o.Start:
+		return OwnerGone, "restarted"
+	case m.now()-since < newOwnerGracePeriod && !p.refused:
+		return OwnerAlive, "its owner row is new"
+	case m.alive(p) && p.storeLostSince > 0 && m.now()-p.storeLostSince > storeLossTimeout && m.mostOthersReachStore(p):
+		return OwnerGone, "the table service answers this entry but not the owner"
+	case m.alive(p):
+		return OwnerAlive, ""
+	case p.heardAt == 0 && m.now()-p.addedAt < ownerTimeout && !p.refused:
+		return OwnerAlive, "not pinged yet"
 	}
-	m.noteMajority()
-	if m.majorityAt > 0 && m.now()-m.majorityAt >= silence && m.othersAnswered(k) {
-		return VerdictGone, "not heard while most others are"
+	m.updateMajority()
+	if m.majoritySince > 0 && m.now()-m.majoritySince >= ownerTimeout && m.mostOthersAnswered(p) {
+		return OwnerGone, "silent while most others answer"
 	}
-	return VerdictSuspect, "few others are heard either"
+	return OwnerSuspect, "silent, as are many others"
 }
 
-// HasEnded tells whether the process of the owner in a row is known to have ended: it has let go,
-// its entry was started anew, or nothing has listened at its address at two tries in a row. An
-// address that refuses once may be full, or its machine on the way to be cut off.
+// HasEnded reports whether the process of the owner in a row is known to have ended: the row names
+// no owner, its entry has restarted, or connections to it were refused refusalsUntilEnded times in
+// a row.
 func (m *Members) HasEnded(o shard.OwnerRow) bool {
 	if o.Entry == "" || o.Entry == m.self.Name {
 		return true
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := m.peers[o.Entry]
-	return k != nil && (k.Start != o.Start || k.refusals >= certainlyRefused)
+	p := m.peers[o.Entry]
+	return p != nil && (p.Start != o.Start || p.consecutiveRefusals >= refusalsUntilEnded)
 }
 
-// noteMajority notes since when most entries are heard; the lock is held. This
-// entry counts for itself; of two halves that do not hear each other neither has
-// a majority. After a cut the others are heard again one by one: until that is
-// over, one that is not heard yet is not the one that is missing.
-func (m *Members) noteMajority() {
+// updateMajority updates since when most entries, this one included, are alive. The caller holds
+// mu. After a partition heals the others are heard again one by one, so a majority has to last
+// before silence counts against a single entry.
+func (m *Members) updateMajority() {
 	heard := 1
-	for _, k := range m.peers {
-		if m.alive(k) {
+	for _, p := range m.peers {
+		if m.alive(p) {
 			heard++
 		}
 	}
 	switch {
 	case 2*heard <= len(m.peers)+1:
-		m.majorityAt = 0
-	case m.majorityAt == 0:
-		m.majorityAt = m.now()
+		m.majoritySince = 0
+	case m.majoritySince == 0:
+		m.majoritySince = m.now()
 	}
 }
 
-// othersAnswered tells whether, of the others that were asked since an entry was
-// last heard, most have answered; the lock is held. Most entries are asked rarely: what one of them
-// said ten seconds ago does not show that this entry is not the one that is cut off.
-func (m *Members) othersAnswered(than *known) bool {
+// mostOthersAnswered reports whether most entries pinged since silent was last heard have answered.
+// Older answers don't count: they don't show that this entry is still connected. The caller holds
+// mu.
+func (m *Members) mostOthersAnswered(silent *memberState) bool {
 	answered, missed := 0, 0
 	for _, p := range m.peers {
 		switch {
-		case p == than:
-		case p.heardAt > than.heardAt:
+		case p == silent:
+		case p.heardAt > silent.heardAt:
 			answered++
-		case p.missedAt > than.heardAt:
+		case p.failedAt > silent.heardAt:
 			missed++
 		}
 	}
-	return answered > missed && 2*answered >= min(checkedPeers, len(m.peers)-1)
+	return answered > missed && 2*answered >= min(peerSampleSize, len(m.peers)-1)
 }
 
-// HearMost tells whether most entries, this one among them, are heard.
-func (m *Members) HearMost() bool { return m.heardMostFor(0) }
+// HasMajority reports whether most entries, this one included, are alive.
+func (m *Members) HasMajority() bool { return m.hasMajorityFor(0) }
 
-// storeAnswersMost tells whether the table service answers this entry and most
-// others but k, so that it is k's path to it that is broken; the lock is held. When
-// the service comes back for all, entries notice at different times: it must have
-// answered this one for a while.
-func (m *Members) storeAnswersMost(k *known) bool {
-	if m.local.StoreAnsweredFor() < storeSteady {
+// mostOthersReachStore reports whether the table service answers this entry and most others except
+// one, whose own path to it must then be broken. The service must have answered here for a while,
+// since entries notice its recovery at different times. The caller holds mu.
+func (m *Members) mostOthersReachStore(except *memberState) bool {
+	if m.local.StoreAnsweredFor() < storeStableTime {
 		return false
 	}
 	reached, heard := 0, 0
 	for _, p := range m.peers {
-		if p == k || !m.alive(p) {
+		if p == except || !m.alive(p) {
 			continue
 		}
 		heard++
-		if p.storeLost == 0 {
+		if p.storeLostSince == 0 {
 			reached++
 		}
 	}
 	return m.local.ReachesStore() && 2*reached > heard
 }
 
-// Heirs returns the entries that may take a shard over, this one among them:
-// they were heard of late, reach the table service and are not stopping. When the
-// service has just come back, the others have not said yet that it answers them:
-// left out, each entry would be its own first heir, and all would claim at once.
-func (m *Members) Heirs() []Member {
-	justBack := m.local.StoreAnsweredFor() < heirsSettle
+// Candidates returns the entries that may take over a shard, this one included: alive, not
+// stopping, and reaching the table service. Shortly after the service has recovered its reported
+// state is ignored; otherwise each entry would consider itself the only candidate.
+func (m *Members) Candidates() []Member {
+	storeRecovering := m.local.StoreAnsweredFor() < storeRecoveryTime
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := []Member{m.self}
-	for _, k := range m.peers {
-		if m.alive(k) && !k.stopping && (k.storeLost == 0 || justBack) {
-			all = append(all, k.Member)
+	for _, p := range m.peers {
+		if m.alive(p) && !p.stopping && (p.storeLostSince == 0 || storeRecovering) {
+			all = append(all, p.Member)
 		}
 	}
 	return all
 }
 
-// ConfirmedAt is a time at which certainly no entry had an owner row newer than
-// the version, since each has said so in answer to a later ping; false if any has not.
+// ConfirmedAt returns the latest time at which no entry had seen an owner row newer than version,
+// as their answers to pings show; ok is false if one of them has, or has not answered.
 func (m *Members) ConfirmedAt(version int64) (at time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at = m.now()
-	for _, k := range m.peers {
-		if k.seen < 0 || k.seen > version || k.heardAt == 0 {
+	for _, p := range m.peers {
+		if p.ownersVersion < 0 || p.ownersVersion > version || p.heardAt == 0 {
 			return 0, false
 		}
-		at = min(at, k.sentAt)
+		at = min(at, p.answeredPingAt)
 	}
 	return at, true
 }
--- a/pkg/ownership/judge_test.go
+++ b/pkg/ownership/judge_test.go
@@ -16,31 +16,32 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// here is the entry that judges; it implements Local.
-type here struct {
-	reaches  bool
-	answered time.Duration
+// fixedEntry is a [Local] with a fixed state.
+type fixedEntry struct {
+	reachesStore bool
+	storeFor     time.Duration
 }
 
-func (here) CatalogVersion() int64                 { return 0 }
-func (here) OwnersVersion() int64                  { return 0 }
-func (h here) ReachesStore() bool                  { return h.reaches }
-func (h here) StoreAnsweredFor() time.Duration     { return h.answered }
-func (here) EntryChanged()                         {}
-func (here) CatalogNewer(*peer.Caller, int64)      {}
-func (here) OwnerNews(pool string, r platform.Row) {}
+func (fixedEntry) CatalogVersion() int64                 { return 0 }
+func (fixedEntry) OwnersVersion() int64                  { return 0 }
+func (h fixedEntry) ReachesStore() bool                  { return h.reachesStore }
+func (h fixedEntry) StoreAnsweredFor() time.Duration     { return h.storeFor }
+func (fixedEntry) EntryChanged()                         {}
+func (fixedEntry) CatalogNewer(*peer.Caller, int64)      {}
+func (fixedEntry) OwnerNews(pool string, r platform.Row) {}
 
-// TestJudge plays testdata/judge: what an entry has heard of the others, and what it holds of an owner.
-func TestJudge(t *testing.T) {
+// TestOwnerStatus runs testdata/judge: given what was heard of the other entries, the status of an
+// owner and whether its shard is claimed.
+func TestOwnerStatus(t *testing.T) {
 	datadriven.RunTest(t, "testdata/judge", func(t *testing.T, d *datadriven.TestData) string {
-		h := here{reaches: true, answered: time.Hour}
+		h := fixedEntry{reachesStore: true, storeFor: time.Hour}
 		args := map[string]string{}
 		for _, a := range d.CmdArgs {
 			args[a.Key] = strings.Join(a.Vals, ",")
 		}
 		if v, ok := args["store"]; ok {
-			h.answered, _ = time.ParseDuration(v)
-			h.reaches = h.answered > 0
+			h.storeFor, _ = time.ParseDuration(v)
+			h.reachesStore = h.storeFor > 0
 		}
 		since := time.Now().Add(-time.Minute)
 		m := NewMembers(Member{Name: "me", Start: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), h)
@@ -48,30 +49,30 @@
 			addPeer(m, strings.Fields(line))
 		}
 		row := shard.OwnerRow{Entry: args["owner"], Start: 1, Address: args["owner"]}
-		m.majorityAt = m.now() - 10*time.Second
+		m.majoritySince = m.now() - 10*time.Second
 		if v, ok := args["majority"]; ok {
 			age, _ := time.ParseDuration(v)
-			m.majorityAt = m.now() - age
+			m.majoritySince = m.now() - age
 		}
 		rowAge, _ := time.ParseDuration(args["row"])
 		if d.Cmd == "caller" {
 			return fmt.Sprintf("%v\n", m.Caller(row.Entry, row.Address) != nil)
 		}
 		suspected, _ := time.ParseDuration(args["suspected"])
-		k := NewKeeper(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
-		s := &state{row: row, loaded: true, rowAt: m.now() - rowAge}
+		k := NewManager(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
+		s := &shardState{row: row, loaded: true, rowSeenAt: m.now() - rowAge}
 		if suspected > 0 {
-			s.suspect = m.now() - suspected
+			s.suspectSince = m.now() - suspected
 		}
-		verdict, why := m.Judge(row, s.rowAt)
-		_, gone := k.judge(s, m.now())
+		verdict, why := m.OwnerStatus(row, s.rowSeenAt)
+		_, gone := k.ownerGone(s, m.now())
 		return fmt.Sprintf("%s: %s; take over %v\n", verdict, why, gone)
 	})
 }
 
-// addPeer reads "NAME heard=AGE [refused] [nostore=AGE] [start=N]".
+// addPeer adds a member from "NAME heard=AGE [refused] [nostore=AGE] [start=N]".
 func addPeer(m *Members, words []string) {
-	k := &known{Member: Member{Name: words[0], Address: words[0], Start: 1}, caller: peer.NewCaller(words[0]), cancel: func() {}}
+	k := &memberState{Member: Member{Name: words[0], Address: words[0], Start: 1}, caller: peer.NewCaller(words[0]), cancel: func() {}}
 	for _, w := range words[1:] {
 		key, value, _ := strings.Cut(w, "=")
 		age, _ := time.ParseDuration(value)
@@ -81,7 +82,7 @@
 		case "refused":
 			k.refused = true
 		case "nostore":
-			k.storeLost = m.now() - age
+			k.storeLostSince = m.now() - age
 		case "start":
 			n, _ := strconv.Atoi(value)
 			k.Start = int64(n)
--- a/pkg/ownership/keeper.go
+++ b/pkg/ownership/keeper.go
@@ -15,7 +15,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Work is what an entry that owns a shard does.
+// Work is the owner of a shard that runs in this process.
 type Work interface {
 	Term() int64
 	RowVersion() int64
@@ -26,47 +26,47 @@
 	Close()
 }
 
-// Opener takes a shard over, if its owner row still has the version seen, and
-// begins its work. It calls events.Sending before the takeover's transaction is
-// sent, and events.Over once if the work is given up.
+// Opener takes over a shard if its owner row still has the version seen, and starts its owner. It
+// calls events.Committing before it commits the takeover, and events.Relinquished once if the owner
+// gives up the shard.
 type Opener func(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events Events) (Work, error)
 
-// Events are what an Opener tells of.
+// Events are the callbacks of an Opener.
 type Events struct {
-	Sending func()
-	Over    func(error)
+	Committing   func()
+	Relinquished func(error)
 }
 
-// state is what this entry knows of one shard.
-type state struct {
-	row     shard.OwnerRow
-	version int64         // of the owner row, 0 when there is none
-	loaded  bool          // the row was read and need not be read again
-	rowAt   time.Duration // when the row was seen first
+// shardState is what this entry knows of one shard.
+type shardState struct {
+	row       shard.OwnerRow
+	version   int64         // of the owner row, 0 if there is none
+	loaded    bool          // row is current and need not be read again
+	rowSeenAt time.Duration // when row was first seen
 
-	gone    time.Duration // since when the owner is held for gone, 0 when it is not
-	suspect time.Duration // since when it is suspected, 0 when it is not
+	goneSince    time.Duration // when the owner was found gone, 0 if it is not
+	suspectSince time.Duration // when the owner was first suspected, 0 if it is not
 
-	owner     Work          // nil while this entry does not own the shard
-	claiming  bool          // a takeover is under way here
-	inDoubt   bool          // its transaction was sent and the outcome is not known
-	notBefore time.Duration // no claim before
+	owner     Work          // nil unless this entry owns the shard
+	claiming  bool          // a claim is in progress
+	inDoubt   bool          // a takeover was sent to the table service and its outcome is unknown
+	notBefore time.Duration // earliest time of the next claim
 
-	ended chan struct{} // closed when the last work of this entry for the shard has ended, nil if there was none
+	closed chan struct{} // closed when the last local owner has stopped, nil if there was none
 }
 
-// end ends the work of this entry for the shard, which it is told to give up.
-func (s *state) end(o Work) {
+// closeOwner closes a local owner in the background; s.closed tells when it has stopped.
+func (s *shardState) closeOwner(o Work) {
 	ended := make(chan struct{})
-	s.ended = ended
+	s.closed = ended
 	go func() {
 		defer close(ended)
 		o.Close()
 	}()
 }
 
-// Keeper owns the shards that fall to this entry.
-type Keeper struct {
+// Manager claims, runs and hands over the shards of this entry.
+type Manager struct {
 	self    shard.Identity
 	members *Members
 	open    Opener
@@ -74,106 +74,106 @@
 	clock   *elapsed.Clock
 
 	mu       sync.Mutex
-	shards   map[string]*state
+	shards   map[string]*shardState
 	catalog  *catalog.Catalog
 	workers  []platform.Worker // current boots of all pools
 	stopping bool
-	// handedOnAt is when this entry last let go of a shard that another should own.
-	handedOnAt time.Duration
-	changed    chan struct{} // closed and replaced whenever an owner changes
-	wake       chan struct{}
+	// rebalancedAt is when this entry last handed over a shard to balance the load.
+	rebalancedAt time.Duration
+	changed      chan struct{} // closed and replaced whenever an owner changes
+	wake         chan struct{}
 }
 
-// NewKeeper returns a keeper that owns nothing yet.
-func NewKeeper(self shard.Identity, m *Members, open Opener, log zerolog.Logger, clock *elapsed.Clock) *Keeper {
-	return &Keeper{
+// NewManager returns a manager that owns no shard yet; open starts the owners.
+func NewManager(self shard.Identity, m *Members, open Opener, log zerolog.Logger, clock *elapsed.Clock) *Manager {
+	return &Manager{
 		self: self, members: m, open: open, log: log, clock: clock,
-		shards:  map[string]*state{},
+		shards:  map[string]*shardState{},
 		changed: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 }
 
-func (k *Keeper) now() time.Duration { return k.clock.Now() }
+func (mgr *Manager) now() time.Duration { return mgr.clock.Now() }
 
-// Kick has the claims gone through soon.
-func (k *Keeper) Kick() { pause.Wake(k.wake) }
+// Wake triggers a pass over the shards.
+func (mgr *Manager) Wake() { pause.Wake(mgr.wake) }
 
-// Run claims shards until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
-	tick := time.NewTicker(evaluateInterval)
+// Run claims and rebalances shards until ctx ends.
+func (mgr *Manager) Run(ctx context.Context) error {
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-tick.C:
-		case <-k.wake:
+		case <-mgr.wake:
 		}
-		k.evaluate(ctx)
+		mgr.reconcile(ctx)
 	}
 }
 
-// SetCatalog takes a configuration; the shards of new pools are claimed from then on.
-func (k *Keeper) SetCatalog(c *catalog.Catalog) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.catalog = c
-	k.want(fleetops.Partition)
+// SetCatalog sets the configuration, which names the pools whose shards need an owner.
+func (mgr *Manager) SetCatalog(c *catalog.Catalog) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	mgr.catalog = c
+	mgr.addShard(fleetops.Partition)
 	for _, p := range c.Pools {
 		if !p.Spare {
-			k.want(p.Name)
+			mgr.addShard(p.Name)
 		}
 	}
-	for _, s := range k.shards {
+	for _, s := range mgr.shards {
 		if s.owner != nil {
 			s.owner.SetCatalog(c)
 		}
 	}
-	k.Kick()
+	mgr.Wake()
 }
 
-// want has a shard owned by someone; the lock is held.
-func (k *Keeper) want(pool string) {
-	if k.shards[pool] == nil {
-		k.shards[pool] = &state{}
+// addShard starts tracking a shard. The caller holds mu.
+func (mgr *Manager) addShard(pool string) {
+	if mgr.shards[pool] == nil {
+		mgr.shards[pool] = &shardState{}
 	}
 }
 
-// SetWorkers takes the directory's current boots of all pools.
-func (k *Keeper) SetWorkers(workers []platform.Worker) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.workers = workers
-	for _, s := range k.shards {
+// SetWorkers sets the current boots of all pools from the directory of workers.
+func (mgr *Manager) SetWorkers(workers []platform.Worker) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	mgr.workers = workers
+	for _, s := range mgr.shards {
 		if s.owner != nil {
 			s.owner.SetWorkers(workers)
 		}
 	}
 }
 
-// Owns tells whether this entry owns a shard of workers, and
-// returns a channel that is closed when an owner changes.
-func (k *Keeper) Owns() (owns bool, changed <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for pool, s := range k.shards {
+// Owns reports whether this entry owns the shard of a pool, and returns a channel that is closed
+// when any owner changes.
+func (mgr *Manager) Owns() (owns bool, changed <-chan struct{}) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	for pool, s := range mgr.shards {
 		owns = owns || pool != fleetops.Partition && s.owner != nil
 	}
-	return owns, k.changed
+	return owns, mgr.changed
 }
 
-// Release hands all shards over, so that others can take them at once.
-func (k *Keeper) Release(ctx context.Context) {
-	k.mu.Lock()
-	k.stopping = true
+// Release hands over all local shards in a planned stop; no shard is claimed from then on.
+func (mgr *Manager) Release(ctx context.Context) {
+	mgr.mu.Lock()
+	mgr.stopping = true
 	var owners []Work
-	for _, s := range k.shards {
+	for _, s := range mgr.shards {
 		if s.owner != nil {
 			owners = append(owners, s.owner)
 		}
 	}
-	k.mu.Unlock()
-	next := k.next()
+	mgr.mu.Unlock()
+	next := mgr.successors()
 	var wg sync.WaitGroup
 	for i, o := range owners {
 		wg.Go(func() { o.Release(ctx, next[i%len(next)]) })
@@ -181,11 +181,11 @@
 	wg.Wait()
 }
 
-// Shards returns the names of all shards that are known here.
-func (k *Keeper) Shards() (pools []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for pool := range k.shards {
+// Shards returns the names of all known shards.
+func (mgr *Manager) Shards() (pools []string) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	for pool := range mgr.shards {
 		pools = append(pools, pool)
 	}
 	return pools
--- a/pkg/ownership/members.go
+++ b/pkg/ownership/members.go
@@ -16,43 +16,42 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TableMember holds one row for each entry, under its name.
+// TableMember is the table with one row per registered entry, keyed by its name.
 const TableMember = "member"
 
-// Member is an entry as it registers itself.
+// Member is an entry's own registration, as stored in [TableMember].
 type Member struct {
 	Name    string  `msgpack:"n"`
-	Address string  `msgpack:"a"` // of its peer listener
+	Address string  `msgpack:"a"` // of its peer listener, host:port
 	Zone    string  `msgpack:"z"`
-	Start   int64   `msgpack:"s"` // tells incarnations apart
-	Share   float64 `msgpack:"c"` // of a processor
+	Start   int64   `msgpack:"s"` // start time in Unix ns; tells restarts apart
+	Share   float64 `msgpack:"c"` // of a processor, 1 for a whole one
 }
 
-// known is what is known of another entry.
-type known struct {
+// memberState is what this entry knows of another one.
+type memberState struct {
 	Member
 	caller *peer.Caller
-	cancel context.CancelFunc // ends the pings
-	owns   bool               // it owns a shard
-	wake   chan struct{}      // ends the pause before the next ping
-
-	addedAt time.Duration // when its row was seen
-	heardAt time.Duration // last answer, 0 for never
-	refused bool          // nothing listened at its address at the last try
-	// refusals counts the tries in a row of which that is true.
-	refusals int
-	lost     bool // it left the last ping unanswered
-
-	missedAt time.Duration // when a ping last failed, 0 for never
-
-	// As it said in its last answer.
-	sentAt    time.Duration // when the ping was sent that it answered
-	seen      int64         // highest version of an owner row that it had seen, -1 while it claims a shard
-	stopping  bool          // it is in a planned stop and takes nothing over
-	storeLost time.Duration // since when the table service does not answer it, 0 while it does
+	cancel context.CancelFunc // stops the pings
+	owns   bool               // it owns at least one shard
+	wake   chan struct{}      // triggers the next ping
+
+	addedAt             time.Duration // when its row was seen
+	heardAt             time.Duration // last answer, 0 for never
+	refused             bool          // the last connection attempt was refused
+	consecutiveRefusals int           // connection attempts
+	pingTimedOut        bool          // the last ping timed out
+
+	failedAt time.Duration // last failed ping, 0 for never
+
+	// Reported in its last answer.
+	answeredPingAt time.Duration // when that ping was sent
+	ownersVersion  int64         // highest version of an owner row it has seen, -1 while it takes over a shard
+	stopping       bool          // in a planned stop, so not a candidate
+	storeLostSince time.Duration // when it was first seen without the table service, 0 if it reaches it
 }
 
-// Members are the other entries.
+// Members tracks the other registered entries and whether they are alive.
 type Members struct {
 	self  Member
 	rows  platform.Rows
@@ -61,36 +60,36 @@
 	local Local
 
 	mu    sync.Mutex
-	peers map[string]*known // by name
-	owns  bool              // this entry owns a shard
-	// majorityAt is since when most entries are heard, 0 while they are not.
-	majorityAt time.Duration
+	peers map[string]*memberState // by name
+	owns  bool                    // this entry owns a shard
+	// majoritySince is since when most entries are alive, 0 if they are not.
+	majoritySince time.Duration
 }
 
-// Local is what the pings need of this entry.
+// Local is what [Members] needs of its own entry.
 type Local interface {
-	// CatalogVersion is the version of the configuration in force here, 0 for none.
+	// CatalogVersion returns the version of the configuration in force, 0 for none.
 	CatalogVersion() int64
-	// OwnersVersion is the highest version of an owner row seen here.
+	// OwnersVersion returns the highest version of an owner row seen.
 	OwnersVersion() int64
-	// ReachesStore tells whether the table service answers this entry.
+	// ReachesStore reports whether the table service answers.
 	ReachesStore() bool
-	// StoreAnsweredFor is for how long it has done so, 0 while it does not.
+	// StoreAnsweredFor returns for how long the table service has answered, 0 if it does not.
 	StoreAnsweredFor() time.Duration
-	// EntryChanged is told that an entry was lost or regained.
+	// EntryChanged is called when an entry may have become reachable or unreachable.
 	EntryChanged()
-	// CatalogNewer is told that a peer has a newer configuration.
+	// CatalogNewer is called when a peer reports a newer configuration.
 	CatalogNewer(c *peer.Caller, version int64)
-	// OwnerNews is told of an owner row that a peer has seen.
+	// OwnerNews is called with an owner row that a peer reports.
 	OwnerNews(pool string, r platform.Row)
 }
 
-// NewMembers returns the other entries, none at first.
+// NewMembers returns the tracker of the entry self; it knows no other entries yet.
 func NewMembers(self Member, rows platform.Rows, log zerolog.Logger, clock *elapsed.Clock, local Local) *Members {
-	return &Members{self: self, rows: rows, log: log, clock: clock, local: local, peers: map[string]*known{}}
+	return &Members{self: self, rows: rows, log: log, clock: clock, local: local, peers: map[string]*memberState{}}
 }
 
-// Register writes this entry's row.
+// Register writes this entry's own row.
 func (m *Members) Register(ctx context.Context) (err error) {
 	defer func() { err = errors.Wrap(err, "register entry") }()
 	raw, err := msgpack.Marshal(m.self)
@@ -103,20 +102,21 @@
 	return err
 }
 
-// Zones returns the availability zones that have entries, each once.
+// Zones returns the availability zones that have an entry.
 func (m *Members) Zones() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	zones := []string{m.self.Zone}
-	for _, k := range m.peers {
-		if !slices.Contains(zones, k.Zone) {
-			zones = append(zones, k.Zone)
+	for _, p := range m.peers {
+		if !slices.Contains(zones, p.Zone) {
+			zones = append(zones, p.Zone)
 		}
 	}
 	return zones
 }
 
-// Apply takes a row of the member table.
+// Apply processes a row of [TableMember] and starts to ping a new or restarted entry until ctx
+// ends.
 func (m *Members) Apply(ctx context.Context, r platform.Row) {
 	if r.Key == m.self.Name {
 		return
@@ -138,49 +138,49 @@
 	}
 	m.forget(old)
 	pingCtx, cancel := context.WithCancel(ctx)
-	k := &known{Member: row, caller: peer.NewCaller(row.Address), cancel: cancel, wake: make(chan struct{}, 1), addedAt: m.now()}
-	m.peers[r.Key] = k
+	p := &memberState{Member: row, caller: peer.NewCaller(row.Address), cancel: cancel, wake: make(chan struct{}, 1), addedAt: m.now()}
+	m.peers[r.Key] = p
 	m.log.Info().Str("event", "entry_listed").Str("entry", row.Name).Str("zone", row.Zone).Int64("start", row.Start).Send()
-	go m.pingLoop(pingCtx, k)
+	go m.pingLoop(pingCtx, p)
 	go m.local.EntryChanged()
 }
 
-// forget drops an entry, if there is one; the lock is held.
-func (m *Members) forget(k *known) {
-	if k == nil {
+// forget stops tracking an entry; nil is ignored. The caller holds mu.
+func (m *Members) forget(p *memberState) {
+	if p == nil {
 		return
 	}
-	k.cancel()
-	k.caller.Close()
-	delete(m.peers, k.Name)
+	p.cancel()
+	p.caller.Close()
+	delete(m.peers, p.Name)
 }
 
 func (m *Members) now() time.Duration { return m.clock.Now() }
 
-// SetOwners tells which entries, this one among them, own a shard; those are pinged often.
+// SetOwners sets the names of all entries that own a shard; those are pinged more often.
 func (m *Members) SetOwners(names map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.owns = names[m.self.Name]
-	for name, k := range m.peers {
-		if names[name] && !k.owns {
-			k.hurry() // its last answer may be older than an owner's may be
+	for name, p := range m.peers {
+		if names[name] && !p.owns {
+			p.pingNow() // its last answer may be older than ownerTimeout
 		}
-		k.owns = names[name]
+		p.owns = names[name]
 	}
 }
 
-// hurry has the entry pinged at once.
-func (k *known) hurry() { pause.Wake(k.wake) }
+// pingNow triggers a ping at once.
+func (p *memberState) pingNow() { pause.Wake(p.wake) }
 
-// Caller returns the link to an entry at an address, nil if it is not known or
-// silent: a caller's request is not held while a dead link is dialled.
+// Caller returns the connection to an entry, nil if the entry is unknown, at another address, or
+// silent, so that requests don't wait for a dead connection.
 func (m *Members) Caller(name, address string) *peer.Caller {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	k := m.peers[name]
-	if k == nil || k.Address != address || k.heardAt > 0 && !m.alive(k) {
+	p := m.peers[name]
+	if p == nil || p.Address != address || p.heardAt > 0 && !m.alive(p) {
 		return nil
 	}
-	return k.caller
+	return p.caller
 }
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -11,48 +11,43 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Pings.
+// Timing of pings.
 const (
-	// pingInterval is the time between two pings of an entry that owns a shard.
+	// pingInterval is the time between pings of an entry that owns a shard.
 	pingInterval = 400 * time.Millisecond
-	// pingSpacing times the square of the number of entries is the interval for
-	// those that own none: 3.7 s among 43, 19 s among 97. Their answers matter only
-	// when something is wrong, and then they are asked at once. At 60 ms times the
-	// number an entry among 97 sent and answered 34 pings a second.
-	pingSpacing = 2 * time.Millisecond
-	// longestPingInterval bounds that interval.
-	longestPingInterval = 20 * time.Second
-	// doubtSpacing times the number of entries is the interval while the table
-	// service does not answer this entry, or the other one was silent at the last
-	// ping: 2 s among 97.
-	doubtSpacing = 20 * time.Millisecond
-	// quietOwner is how long an owner may leave a ping unanswered before it is
-	// checked with checkedPeers others whether these answer.
-	quietOwner   = 500 * time.Millisecond
-	checkedPeers = 12
+	// idlePingFactor times the square of the number of entries is the interval between pings of an
+	// entry that owns no shard. The square makes the total rate of pings fall as the cluster grows.
+	idlePingFactor = 2 * time.Millisecond
+	// maxIdlePingInterval bounds that interval.
+	maxIdlePingInterval = 20 * time.Second
+	// degradedPingFactor times the number of entries is the interval between pings of an idle entry
+	// that did not answer, or of any idle entry while the table service does not answer.
+	degradedPingFactor = 20 * time.Millisecond
+	// latePingDelay is how long a ping of an owner may stay unanswered before peerSampleSize other
+	// entries are pinged to check this entry's own connection.
+	latePingDelay  = 500 * time.Millisecond
+	peerSampleSize = 12
 	// pingTimeout bounds one ping.
 	pingTimeout = 900 * time.Millisecond
-	// certainlyRefused is how many tries in a row nothing has listened at an address when its
-	// process has certainly ended.
-	certainlyRefused = 2
-	// refusedAgain is the time between two such tries.
-	refusedAgain = 100 * time.Millisecond
-	// silence is how long an owner may go unheard before it is held for gone.
-	silence = 1100 * time.Millisecond
+	// refusalsUntilEnded is the number of consecutive refused connections after which a process
+	// counts as ended: a single one may come from a full accept queue.
+	refusalsUntilEnded = 2
+	// refusedRetryInterval is the time between a refused connection and the next attempt.
+	refusedRetryInterval = 100 * time.Millisecond
+	// ownerTimeout is how long an owner may be silent before it counts as gone.
+	ownerTimeout = 1100 * time.Millisecond
 )
 
-// pingLoop pings an entry until ctx ends. The next ping does not wait for an answer
-// that is late: an owner whose link or processor is full answers all of them late, and
-// is heard as often as before.
-func (m *Members) pingLoop(ctx context.Context, k *known) {
+// pingLoop pings an entry until ctx ends. It does not wait for a late answer before the next ping,
+// so an owner on a saturated link or processor still shows regular activity.
+func (m *Members) pingLoop(ctx context.Context, p *memberState) {
 	for ctx.Err() == nil {
 		answered := make(chan struct{})
 		go func() {
 			defer close(answered)
-			// A ping whose link broke says nothing of the entry: it is pinged once
-			// more at once, by another link.
-			if linkBroke := m.ping(ctx, k); linkBroke {
-				m.ping(ctx, k)
+			// A broken connection does not show that the entry is down: ping again on a new one.
+			if linkBroke := m.ping(ctx, p); linkBroke {
+				m.ping(ctx, p)
 			}
 		}()
 		late := time.NewTimer(pingInterval)
@@ -61,88 +56,88 @@
 		case <-late.C:
 		}
 		late.Stop()
-		m.pause(ctx, k)
+		m.awaitNextPing(ctx, p)
 	}
 }
 
-// pause waits until the next ping of an entry is due.
-func (m *Members) pause(ctx context.Context, k *known) {
-	t := time.NewTimer(m.interval(k))
+// awaitNextPing waits until the next ping of an entry is due.
+func (m *Members) awaitNextPing(ctx context.Context, p *memberState) {
+	t := time.NewTimer(m.nextPingDelay(p))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-k.wake:
+	case <-p.wake:
 	case <-t.C:
 	}
 }
 
-// interval is the time until the next ping of an entry.
-func (m *Members) interval(k *known) time.Duration {
+// nextPingDelay returns the time until the next ping of an entry.
+func (m *Members) nextPingDelay(p *memberState) time.Duration {
 	reached := m.local.ReachesStore()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case k.refused && k.refusals < certainlyRefused:
-		return refusedAgain
-	case k.owns:
+	case p.refused && p.consecutiveRefusals < refusalsUntilEnded:
+		return refusedRetryInterval
+	case p.owns:
 		return pingInterval
 	case !reached && m.owns:
-		// Without the service the shards here are confirmed by what all others say.
+		// Without the table service, local owners are confirmed by the answers of all others.
 		return pingInterval
-	case !reached || k.lost:
-		return max(pingInterval, time.Duration(len(m.peers))*doubtSpacing)
+	case !reached || p.pingTimedOut:
+		return max(pingInterval, time.Duration(len(m.peers))*degradedPingFactor)
 	default:
-		return m.calmInterval()
+		return m.idlePingInterval()
 	}
 }
 
-// calmInterval is the time between two pings of an entry that owns nothing while
-// nothing is wrong; the lock is held.
-func (m *Members) calmInterval() time.Duration {
+// idlePingInterval returns the interval between pings of an entry that owns no shard, in normal
+// operation. The caller holds mu.
+func (m *Members) idlePingInterval() time.Duration {
 	n := time.Duration(len(m.peers))
-	return min(longestPingInterval, max(pingInterval, n*n*pingSpacing))
+	return min(maxIdlePingInterval, max(pingInterval, n*n*idlePingFactor))
 }
 
-// Hurry has all entries pinged at once: what is known of them may be older than
-// what is to be decided on it.
-func (m *Members) Hurry() {
+// PingAll pings all entries at once, to refresh what is known of them.
+func (m *Members) PingAll() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, k := range m.peers {
-		k.hurry()
+	for _, p := range m.peers {
+		p.pingNow()
 	}
 }
 
-// checkSome asks some others than an owner that is quiet; which ones is left to chance.
-func (m *Members) checkSome(quiet *known) {
+// pingSample pings a random sample of other entries if the one that is late owns a shard.
+func (m *Members) pingSample(late *memberState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !quiet.owns {
+	if !late.owns {
 		return
 	}
 	asked := 0
-	for _, k := range m.peers { // in an order that differs each time
-		if k != quiet && asked < checkedPeers {
-			k.hurry()
+	for _, p := range m.peers { // map order is random
+		if p != late && asked < peerSampleSize {
+			p.pingNow()
 			asked++
 		}
 	}
 }
 
-// ping asks an entry once and takes what it says; it reports whether the link broke under it.
-func (m *Members) ping(ctx context.Context, k *known) (linkBroke bool) {
+// ping pings an entry once and processes its answer; linkBroke reports that the connection failed
+// before the timeout.
+func (m *Members) ping(ctx context.Context, p *memberState) (linkBroke bool) {
 	version := m.local.CatalogVersion()
 	sentAt := m.now()
 	pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
-	check := time.AfterFunc(quietOwner, func() { m.checkSome(k) })
-	reply, err := k.caller.Call(pingCtx, &schema.Call{Kind: schema.CallKindPing, CatalogVersion: int(version), OwnersVersion: int(m.local.OwnersVersion())})
+	check := time.AfterFunc(latePingDelay, func() { m.pingSample(p) })
+	reply, err := p.caller.Call(pingCtx, &schema.Call{Kind: schema.CallKindPing, CatalogVersion: int(version), OwnersVersion: int(m.local.OwnersVersion())})
 	timedOut := pingCtx.Err() != nil
 	check.Stop()
 	cancel()
 	if ctx.Err() != nil {
 		return false
 	}
-	m.note(k, reply, err, sentAt, timedOut)
+	m.recordPing(p, reply, err, sentAt, timedOut)
 	if err != nil {
 		return !timedOut && errors.As(err, new(peer.ErrLinkLost))
 	}
@@ -150,97 +145,95 @@
 		m.local.OwnerNews(o.Pool, shard.OwnerRowOf(o))
 	}
 	if int64(reply.CatalogVersion) > version {
-		m.local.CatalogNewer(k.caller, int64(reply.CatalogVersion))
+		m.local.CatalogNewer(p.caller, int64(reply.CatalogVersion))
 	}
 	return false
 }
 
-// note takes the outcome of a ping, and tells when an entry was lost or regained.
-func (m *Members) note(k *known, reply *schema.CallReply, err error, sentAt time.Duration, timedOut bool) {
+// recordPing records the outcome of a ping and reports a change of the entry's liveness.
+func (m *Members) recordPing(p *memberState, reply *schema.CallReply, err error, sentAt time.Duration, timedOut bool) {
 	m.mu.Lock()
-	before := m.alive(k)
+	before := m.alive(p)
 	if err == nil {
-		k.noteReply(reply, sentAt, m.now())
+		p.recordReply(reply, sentAt, m.now())
 	} else {
-		k.noteMiss(err, sentAt, m.now(), timedOut)
+		p.recordFailure(err, sentAt, m.now(), timedOut)
 	}
-	after, refused := m.alive(k), k.refused
-	m.noteMajority()
+	after, refused := m.alive(p), p.refused
+	m.updateMajority()
 	m.mu.Unlock()
 	if before != after {
-		m.log.Info().Str("event", "entry_seen").Str("entry", k.Name).Bool("alive", after).Err(err).Send()
+		m.log.Info().Str("event", "entry_seen").Str("entry", p.Name).Bool("alive", after).Err(err).Send()
 	}
 	if before != after || refused {
 		m.local.EntryChanged()
 	}
 }
 
-// noteReply takes the answer to a ping that was sent at sentAt; one that comes after
-// the answer to a later ping is a sign of life and no more.
-func (k *known) noteReply(reply *schema.CallReply, sentAt, now time.Duration) {
-	k.heardAt = now
-	if sentAt < k.sentAt {
+// recordReply records the answer to a ping sent at sentAt. An answer that arrives after that of a
+// later ping only shows that the entry is alive.
+func (p *memberState) recordReply(reply *schema.CallReply, sentAt, now time.Duration) {
+	p.heardAt = now
+	if sentAt < p.answeredPingAt {
 		return
 	}
-	k.refused, k.refusals, k.lost = false, 0, false
-	k.noteStore(reply.ReachesStore, now)
-	k.stopping = reply.Stopping
-	k.sentAt, k.seen = sentAt, int64(reply.OwnersVersion)
+	p.refused, p.consecutiveRefusals, p.pingTimedOut = false, 0, false
+	p.recordStoreState(reply.ReachesStore, now)
+	p.stopping = reply.Stopping
+	p.answeredPingAt, p.ownersVersion = sentAt, int64(reply.OwnersVersion)
 	if reply.Claiming {
-		k.seen = -1
+		p.ownersVersion = -1
 	}
 }
 
-// noteMiss takes the lack of an answer to a ping that was sent at sentAt, unless a
-// later one was answered.
-func (k *known) noteMiss(err error, sentAt, now time.Duration, timedOut bool) {
-	if sentAt < k.sentAt {
+// recordFailure records that a ping sent at sentAt failed, unless a later one was answered.
+func (p *memberState) recordFailure(err error, sentAt, now time.Duration, timedOut bool) {
+	if sentAt < p.answeredPingAt {
 		return
 	}
 	var notSent peer.ErrNotSent
-	k.refused = errors.As(err, &notSent) && notSent.Refused
-	if k.refused {
-		k.refusals++
+	p.refused = errors.As(err, &notSent) && notSent.Refused
+	if p.refused {
+		p.consecutiveRefusals++
 	} else {
-		k.refusals = 0
+		p.consecutiveRefusals = 0
 	}
-	k.lost = timedOut
-	k.missedAt = now
+	p.pingTimedOut = timedOut
+	p.failedAt = now
 }
 
-// noteStore notes whether the table service answers the entry.
-func (k *known) noteStore(reaches bool, now time.Duration) {
+// recordStoreState records whether the table service answers the entry.
+func (p *memberState) recordStoreState(reaches bool, now time.Duration) {
 	switch {
 	case reaches:
-		k.storeLost = 0
-	case k.storeLost == 0:
-		k.storeLost = now
+		p.storeLostSince = 0
+	case p.storeLostSince == 0:
+		p.storeLostSince = now
 	}
 }
 
-// alive tells whether an entry was heard of late; the lock is held. One that owns
-// nothing is asked rarely: it counts as heard until it leaves a ping unanswered.
-func (m *Members) alive(k *known) bool {
-	if k.refused || k.heardAt == 0 {
+// alive reports whether an entry was heard recently enough. An entry that owns no shard is pinged
+// rarely and counts as alive until a ping times out. The caller holds mu.
+func (m *Members) alive(p *memberState) bool {
+	if p.refused || p.heardAt == 0 {
 		return false
 	}
-	if k.owns {
-		return m.now()-m.lastSign(k) < silence
+	if p.owns {
+		return m.now()-m.lastActivity(p) < ownerTimeout
 	}
-	return !k.lost && m.now()-k.heardAt < silence+m.calmInterval()
+	return !p.pingTimedOut && m.now()-p.heardAt < ownerTimeout+m.idlePingInterval()
 }
 
-// lastSign is when an entry last gave a sign of life: an answer to a ping, or
-// anything on its link, an answer that comes too late included. An owner that is
-// slow is not gone, and its heir would be as slow; the lock is held.
-func (m *Members) lastSign(k *known) time.Duration {
-	if k.caller == nil {
-		return k.heardAt
+// lastActivity returns when an entry was last heard, by an answered ping or by any data on its
+// connection, such as a late answer: a slow owner is not gone. The caller holds mu.
+func (m *Members) lastActivity(p *memberState) time.Duration {
+	if p.caller == nil {
+		return p.heardAt
 	}
-	if at := k.caller.Heard(); !at.IsZero() {
-		// By the steady clock: after a suspension this looks younger than it is, which only
-		// puts a takeover off.
-		return max(k.heardAt, m.now()-time.Since(at))
+	if at := p.caller.Heard(); !at.IsZero() {
+		// The monotonic clock omits suspensions, so this may look too recent, which only
+		// delays a takeover.
+		return max(p.heardAt, m.now()-time.Since(at))
 	}
-	return k.heardAt
+	return p.heardAt
 }
--- a/pkg/ownership/ping_test.go
+++ b/pkg/ownership/ping_test.go
@@ -14,21 +14,21 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// TestNewOwnerIsPinged has an entry among many, which is pinged rarely, become an
-// owner: it is asked at once, before its last answer is too old for an owner's.
+// TestNewOwnerIsPinged checks that an idle entry that becomes an owner is pinged at once: its last
+// answer may be older than ownerTimeout.
 func TestNewOwnerIsPinged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(), here{reaches: true})
+		m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(), fixedEntry{reachesStore: true})
 		for i := range 42 {
 			name := fmt.Sprintf("e%d", i)
-			m.peers[name] = &known{Member: Member{Name: name}, wake: make(chan struct{}, 1)}
+			m.peers[name] = &memberState{Member: Member{Name: name}, wake: make(chan struct{}, 1)}
 		}
-		k := m.peers["e7"]
-		c.Assert(m.interval(k) > silence, qt.IsTrue)
+		p := m.peers["e7"]
+		c.Assert(m.nextPingDelay(p) > ownerTimeout, qt.IsTrue)
 		asked := make(chan time.Time, 1)
 		go func() {
-			m.pause(context.Background(), k)
+			m.awaitNextPing(context.Background(), p)
 			asked <- time.Now()
 		}()
 		time.Sleep(time.Millisecond)
@@ -38,36 +38,35 @@
 	})
 }
 
-// TestQuietOwnerIsChecked has an owner among many leave a ping unanswered: some
-// others are asked at once, so that it is known whether they answer.
-func TestQuietOwnerIsChecked(t *testing.T) {
+// TestLateOwnerTriggersSample checks that other entries are pinged when an owner is late, to tell a
+// failed owner from a failed connection of this entry.
+func TestLateOwnerTriggersSample(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(), here{reaches: true})
+		m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(), fixedEntry{reachesStore: true})
 		for i := range 96 {
 			name := fmt.Sprintf("e%d", i)
-			m.peers[name] = &known{Member: Member{Name: name}, wake: make(chan struct{}, 1)}
+			m.peers[name] = &memberState{Member: Member{Name: name}, wake: make(chan struct{}, 1)}
 		}
 		m.peers["e7"].owns = true
-		m.checkSome(m.peers["e7"])
+		m.pingSample(m.peers["e7"])
 		asked := 0
-		for _, k := range m.peers {
-			asked += len(k.wake)
+		for _, p := range m.peers {
+			asked += len(p.wake)
 		}
-		qt.Check(t, asked, qt.Equals, checkedPeers)
+		qt.Check(t, asked, qt.Equals, peerSampleSize)
 	})
 }
 
-// TestConfirmationAmongMany has the table service away among 97 entries: an entry
-// that owns a shard hears from all others that no later owner is known to them,
-// often enough to go on giving leases. Before, it asked each of them every 5.8 s.
+// TestConfirmationAmongMany checks that without the table service an owner among many entries still
+// hears from all of them often enough to keep granting leases.
 func TestConfirmationAmongMany(t *testing.T) {
-	m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(), here{})
+	m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(), fixedEntry{})
 	for i := range 96 {
 		name := fmt.Sprintf("e%d", i)
-		m.peers[name] = &known{Member: Member{Name: name}, wake: make(chan struct{}, 1)}
+		m.peers[name] = &memberState{Member: Member{Name: name}, wake: make(chan struct{}, 1)}
 	}
 	m.SetOwners(map[string]bool{"me": true})
-	for _, k := range m.peers {
-		qt.Check(t, m.interval(k)+pingTimeout < shard.ConfirmedFor, qt.IsTrue)
+	for _, p := range m.peers {
+		qt.Check(t, m.nextPingDelay(p)+pingTimeout < shard.ConfirmedFor, qt.IsTrue)
 	}
 }
--- a/pkg/ownership/rows.go
+++ b/pkg/ownership/rows.go
@@ -8,49 +8,50 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// ApplyOwner takes an owner row.
-func (k *Keeper) ApplyOwner(pool string, r platform.Row) {
+// ApplyOwner processes the owner row of a shard; a local owner with an older term is closed.
+func (mgr *Manager) ApplyOwner(pool string, r platform.Row) {
 	var row shard.OwnerRow
 	if r.Version > 0 && !r.Removed {
 		var err error
 		if row, err = shard.DecodeOwner(r.Value); err != nil {
-			row = shard.OwnerRow{} // it names no owner; a claim has to expect its version
-			k.log.Error().Str("event", "owner_row_malformed").Str("pool", pool).Int64("version", r.Version).Err(err).Send()
+			row = shard.OwnerRow{} // treated as without owner; a claim still expects its version
+			mgr.log.Error().Str("event", "owner_row_malformed").Str("pool", pool).Int64("version", r.Version).Err(err).Send()
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.shards[pool]
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	s := mgr.shards[pool]
 	if s == nil {
-		s = &state{}
-		k.shards[pool] = s
+		s = &shardState{}
+		mgr.shards[pool] = s
 	}
 	if s.loaded && r.Version <= s.version {
 		return
 	}
-	k.setRow(pool, s, row, r.Version)
+	mgr.setRow(pool, s, row, r.Version)
 	if s.owner != nil && row.Term > s.owner.Term() {
 		o := s.owner
 		s.owner = nil
-		s.end(o)
-		k.log.Warn().Str("event", "shard_lost").Str("pool", pool).Str("owner", row.Entry).Int64("term", row.Term).Send()
+		s.closeOwner(o)
+		mgr.log.Warn().Str("event", "shard_lost").Str("pool", pool).Str("owner", row.Entry).Int64("term", row.Term).Send()
 	}
-	k.Kick()
+	mgr.Wake()
 }
 
-// StandDown takes the row of a later owner, and reports whether this entry does no more work for the
-// shard: what it did has ended, and it is not about to begin.
-func (k *Keeper) StandDown(ctx context.Context, pool string, r platform.Row) (stands bool) {
-	k.ApplyOwner(pool, r)
-	k.mu.Lock()
-	s := k.shards[pool]
-	busy, ended := s.owner != nil || s.claiming || s.version < r.Version, s.ended
-	k.mu.Unlock()
-	return !busy && awaitEnd(ctx, ended)
+// StandDown applies a newer owner row and reports whether this entry has stopped all work for the
+// shard: its owner is closed and no claim is in progress.
+func (mgr *Manager) StandDown(ctx context.Context, pool string, r platform.Row) (closed bool) {
+	mgr.ApplyOwner(pool, r)
+	mgr.mu.Lock()
+	s := mgr.shards[pool]
+	busy, ended := s.owner != nil || s.claiming || s.version < r.Version, s.closed
+	mgr.mu.Unlock()
+	return !busy && awaitClosed(ctx, ended)
 }
 
-// awaitEnd waits until work of this entry has ended, if there was any; it reports whether it has.
-func awaitEnd(ctx context.Context, ended <-chan struct{}) bool {
+// awaitClosed waits until the channel is closed, nil counting as closed; it reports false if ctx
+// ends first.
+func awaitClosed(ctx context.Context, ended <-chan struct{}) bool {
 	if ended == nil {
 		return true
 	}
@@ -62,44 +63,44 @@
 	}
 }
 
-// setRow notes an owner row; the lock is held.
-func (k *Keeper) setRow(pool string, s *state, row shard.OwnerRow, version int64) {
+// setRow stores an owner row and updates which entries own shards. The caller holds mu.
+func (mgr *Manager) setRow(pool string, s *shardState, row shard.OwnerRow, version int64) {
 	s.row, s.version, s.loaded = row, version, true
 	s.inDoubt = false
-	s.rowAt = k.now()
-	s.gone, s.suspect = 0, 0
-	k.log.Info().Str("event", "shard_owner").Str("pool", pool).Str("owner", row.Entry).Int64("term", row.Term).Int64("version", version).Send()
+	s.rowSeenAt = mgr.now()
+	s.goneSince, s.suspectSince = 0, 0
+	mgr.log.Info().Str("event", "shard_owner").Str("pool", pool).Str("owner", row.Entry).Int64("term", row.Term).Int64("version", version).Send()
 	owners := map[string]bool{}
-	for _, s := range k.shards {
+	for _, s := range mgr.shards {
 		owners[s.row.Entry] = true
 	}
-	k.members.SetOwners(owners)
-	k.ownerChanged()
+	mgr.members.SetOwners(owners)
+	mgr.notifyOwnerChange()
 }
 
-// ownerChanged wakes those who wait for another owner of a shard; the lock is held.
-func (k *Keeper) ownerChanged() {
-	close(k.changed)
-	k.changed = make(chan struct{})
+// notifyOwnerChange wakes everyone who waits for a change of owner. The caller holds mu.
+func (mgr *Manager) notifyOwnerChange() {
+	close(mgr.changed)
+	mgr.changed = make(chan struct{})
 }
 
-// Owner returns who owns a shard, and the shard itself if it is this entry;
-// changed is closed when that changes.
-func (k *Keeper) Owner(pool string) (row shard.OwnerRow, local Work, changed <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	s := k.shards[pool]
+// Owner returns the owner row of a shard and its owner if it runs in this process; changed is
+// closed when any owner changes.
+func (mgr *Manager) Owner(pool string) (row shard.OwnerRow, local Work, changed <-chan struct{}) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	s := mgr.shards[pool]
 	if s == nil {
-		return shard.OwnerRow{}, nil, k.changed
+		return shard.OwnerRow{}, nil, mgr.changed
 	}
-	return s.row, s.owner, k.changed
+	return s.row, s.owner, mgr.changed
 }
 
-// Unread returns the pools whose owner row has not been read yet.
-func (k *Keeper) Unread() (pools []string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for pool, s := range k.shards {
+// UnreadPools returns the pools whose owner row has to be read.
+func (mgr *Manager) UnreadPools() (pools []string) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	for pool, s := range mgr.shards {
 		if !s.loaded {
 			pools = append(pools, pool)
 		}
@@ -107,25 +108,25 @@
 	return pools
 }
 
-// seenVersion is the highest version of an owner row that was seen; the lock is held.
-func (k *Keeper) seenVersion() (version int64) {
-	for _, s := range k.shards {
+// latestVersion returns the highest version of an owner row seen. The caller holds mu.
+func (mgr *Manager) latestVersion() (version int64) {
+	for _, s := range mgr.shards {
 		version = max(version, s.version)
 	}
 	return version
 }
 
-// News returns the owner rows that are newer than a version.
-func (k *Keeper) News(after int64) (news []schema.OwnerNews) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for pool, s := range k.shards {
+// RowsSince returns the owner rows newer than a version.
+func (mgr *Manager) RowsSince(after int64) (news []schema.OwnerNews) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	for pool, s := range mgr.shards {
 		if s.version <= after {
 			continue
 		}
 		raw, err := shard.EncodeOwner(s.row)
 		if err != nil {
-			k.log.Error().Str("event", "owner_row_not_encoded").Str("pool", pool).Err(err).Send()
+			mgr.log.Error().Str("event", "owner_row_not_encoded").Str("pool", pool).Err(err).Send()
 			continue
 		}
 		news = append(news, schema.OwnerNews{Pool: pool, Version: int(s.version), Row: raw})
@@ -133,13 +134,13 @@
 	return news
 }
 
-// Seen returns the highest version of an owner row that this entry has seen,
-// and whether it is taking a shard over.
-func (k *Keeper) Seen() (version int64, claiming bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for _, s := range k.shards {
+// OwnersVersion returns the highest version of an owner row seen, and whether a takeover is in
+// doubt here.
+func (mgr *Manager) OwnersVersion() (version int64, claiming bool) {
+	mgr.mu.Lock()
+	defer mgr.mu.Unlock()
+	for _, s := range mgr.shards {
 		claiming = claiming || s.inDoubt
 	}
-	return k.seenVersion(), claiming
+	return mgr.latestVersion(), claiming
 }
--- a/pkg/ownership/slow_test.go
+++ b/pkg/ownership/slow_test.go
@@ -14,8 +14,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// TestSlowOwnerIsAlive has an owner answer each ping after 1.3 s, when the ping has
-// been given up: it is heard all the same. It was held for gone after 1.1 s.
+// TestSlowOwnerIsAlive guards against taking over from an owner that answers each ping after its
+// timeout.
 func TestSlowOwnerIsAlive(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,18 +28,18 @@
 	}, zerolog.Nop())
 	go func() { _ = slow.Serve(ctx) }()
 
-	m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(time.Now().Add(-time.Minute))), here{reaches: true})
-	k := &known{
+	m := NewMembers(Member{Name: "me"}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(time.Now().Add(-time.Minute))), fixedEntry{reachesStore: true})
+	p := &memberState{
 		Member: Member{Name: "o", Address: ln.Addr().String()}, caller: peer.NewCaller(ln.Addr().String()),
 		wake: make(chan struct{}, 1), owns: true, heardAt: m.now(),
 	}
-	m.peers["o"] = k
-	go m.pingLoop(ctx, k)
-	time.Sleep(2 * time.Second) // until the answers come in their turn
+	m.peers["o"] = p
+	go m.pingLoop(ctx, p)
+	time.Sleep(2 * time.Second) // until late answers arrive regularly
 	alive := func() bool {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		return m.alive(k)
+		return m.alive(p)
 	}
 	for range 30 {
 		c.Assert(alive(), qt.IsTrue)
--- a/pkg/ownership/standdown_test.go
+++ b/pkg/ownership/standdown_test.go
@@ -15,7 +15,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// slowWork is the work of term 1 for a shard, which takes a while to end.
+// slowWork is an owner of term 1 that takes a while to close.
 type slowWork struct {
 	Work
 	ended atomic.Bool
@@ -28,32 +28,32 @@
 	w.ended.Store(true)
 }
 
-// TestStandDown has an entry told that it was replaced: it says that it stands down once its work
-// has ended, and not before, nor for a row that is older than its own, nor while it claims the shard.
+// TestStandDown checks that an entry reports that it has stood down only after its owner has
+// closed, and not for an older row or while it claims the shard.
 func TestStandDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		clock := elapsed.New(elapsed.WithOrigin(time.Now()))
-		m := NewMembers(Member{Name: "me", Start: 1, Share: 1}, nil, zerolog.Nop(), clock, &there{})
-		k := NewKeeper(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), clock)
+		m := NewMembers(Member{Name: "me", Start: 1, Share: 1}, nil, zerolog.Nop(), clock, &unstableEntry{})
+		mgr := NewManager(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), clock)
 		rowOf := func(entry string, term, version int64) platform.Row {
 			raw, err := shard.EncodeOwner(shard.OwnerRow{Entry: entry, Start: 1, Term: term})
 			c.Assert(err, qt.IsNil)
 			return platform.Row{Value: raw, Version: version}
 		}
-		k.ApplyOwner("p", rowOf("me", 1, 10))
+		mgr.ApplyOwner("p", rowOf("me", 1, 10))
 		w := &slowWork{}
-		k.shards["p"].owner = w
-		c.Check(k.StandDown(context.Background(), "p", rowOf("before", 0, 9)), qt.IsFalse, qt.Commentf("an older row"))
+		mgr.shards["p"].owner = w
+		c.Check(mgr.StandDown(context.Background(), "p", rowOf("before", 0, 9)), qt.IsFalse, qt.Commentf("an older row"))
 		c.Check(w.ended.Load(), qt.IsFalse)
 
 		short, cancel := context.WithTimeout(context.Background(), 10*time.Millisecond)
 		defer cancel()
-		c.Check(k.StandDown(short, "p", rowOf("next", 2, 11)), qt.IsFalse, qt.Commentf("its work has not ended"))
-		c.Check(k.StandDown(context.Background(), "p", rowOf("next", 2, 11)), qt.IsTrue)
+		c.Check(mgr.StandDown(short, "p", rowOf("next", 2, 11)), qt.IsFalse, qt.Commentf("its work has not ended"))
+		c.Check(mgr.StandDown(context.Background(), "p", rowOf("next", 2, 11)), qt.IsTrue)
 		c.Check(w.ended.Load(), qt.IsTrue)
 
-		k.shards["p"].claiming = true
-		c.Check(k.StandDown(context.Background(), "p", rowOf("next", 3, 12)), qt.IsFalse, qt.Commentf("it claims the shard"))
+		mgr.shards["p"].claiming = true
+		c.Check(mgr.StandDown(context.Background(), "p", rowOf("next", 3, 12)), qt.IsFalse, qt.Commentf("it claims the shard"))
 	})
 }
