--- a/pkg/entry/parts.go
+++ b/pkg/entry/parts.go
@@ -50,7 +50,7 @@
 func (e *Entry) isReader() bool {
 	const recent = 10 * time.Second
 	before := 0
-	for _, k := range e.peers.Known() {
+	for _, k := range e.peers.Statuses() {
 		s := k.State
 		if s.Zone == e.settings.Zone && !s.Stopping && s.Name < e.settings.Name && time.Since(k.Heard) < recent {
 			before++
@@ -131,7 +131,7 @@
 	if list := e.servers.List(); list.AsOfMs > 0 {
 		out.VMListAgeMs = int(time.Now().UnixMilli() - list.AsOfMs)
 	}
-	for _, k := range e.peers.Known() {
+	for _, k := range e.peers.Statuses() {
 		heard := -1
 		if !k.Heard.IsZero() {
 			heard = int(time.Since(k.Heard).Milliseconds())
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -115,7 +115,7 @@
 		}})
 	}
 	state := func() (incarnation, revision int) {
-		for _, k := range a.Known() {
+		for _, k := range a.Statuses() {
 			if k.Address == address {
 				return k.State.Incarnation, k.State.Revision
 			}
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -174,8 +174,8 @@
 	p.log.Info().Str("event", "peer_removed").Str("peer", addr).Send()
 }
 
-// Known returns what is known of each peer, by address.
-func (p *Peers) Known() []Known {
+// Statuses returns what is known of each peer, by address.
+func (p *Peers) Statuses() []Known {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := make([]Known, 0, len(p.links))
