--- a/pkg/ownership/claim.go
+++ b/pkg/ownership/claim.go
@@ -43,9 +43,9 @@
 	if !mgr.members.local.ReachesStore() {
 		return // a claim could not be committed
 	}
-	heirs := mgr.members.Candidates()
+	candidates := mgr.members.Candidates()
 	load := mgr.load()
-	mgr.rebalance(ctx, heirs, load, now)
+	mgr.rebalance(ctx, candidates, load, now)
 	for _, pool := range slices.Sorted(maps.Keys(mgr.shards)) {
 		s := mgr.shards[pool]
 		if !s.loaded || s.owner != nil || s.claiming || now < s.notBefore {
@@ -55,7 +55,7 @@
 		if !gone {
 			continue
 		}
-		rank := mgr.rank(pool, s.row, heirs, load)
+		rank := mgr.rank(pool, s.row, candidates, load)
 		if s.row.Entry == mgr.self.Entry && s.row.Start == mgr.self.Start {
 			rank = 0 // the row names this process, so no other entry claims the shard
 		}
@@ -64,7 +64,7 @@
 		}
 		s.claiming = true
 		mgr.log.Info().Str("event", "shard_claimed").Str("pool", pool).Str("former", s.row.Entry).Int64("version", s.version).
-			Str("why", why).Int("rank", rank).Int("alive", len(heirs)).Send()
+			Str("why", why).Int("rank", rank).Int("alive", len(candidates)).Send()
 		go mgr.claim(ctx, pool, s, shard.Seen{Version: s.version, Age: now - s.rowSeenAt})
 	}
 }
@@ -86,8 +86,8 @@
 // ownerGone reports whether a shard may be claimed because its owner is gone, and why. The caller
 // holds mu.
 func (mgr *Manager) ownerGone(s *shardState, now time.Duration) (why string, gone bool) {
-	verdict, why := mgr.members.OwnerStatus(s.row, s.rowSeenAt)
-	switch verdict {
+	status, why := mgr.members.OwnerStatus(s.row, s.rowSeenAt)
+	switch status {
 	case OwnerAlive:
 		s.goneSince, s.suspectSince = 0, 0
 		return why, false
--- a/pkg/ownership/handon.go
+++ b/pkg/ownership/handon.go
@@ -26,8 +26,8 @@
 )
 
 // betterOwner returns the entry that should own a shard instead of this one, if there is one.
-func betterOwner(self Member, pool string, heirs []Member, load map[string]int) (to string, ok bool) {
-	others := slices.DeleteFunc(slices.Clone(heirs), func(m Member) bool { return m.Name == self.Name })
+func betterOwner(self Member, pool string, candidates []Member, load map[string]int) (to string, ok bool) {
+	others := slices.DeleteFunc(slices.Clone(candidates), func(m Member) bool { return m.Name == self.Name })
 	if len(others) == 0 {
 		return "", false
 	}
@@ -47,7 +47,7 @@
 
 // rebalance hands over one shard that another entry should own, if the cluster has been stable. The
 // caller holds mu.
-func (mgr *Manager) rebalance(ctx context.Context, heirs []Member, load map[string]int, now time.Duration) {
+func (mgr *Manager) rebalance(ctx context.Context, candidates []Member, load map[string]int, now time.Duration) {
 	if now-mgr.rebalancedAt < rebalanceInterval || mgr.members.local.StoreAnsweredFor() < minTenure || !mgr.members.hasMajorityFor(minTenure) {
 		return
 	}
@@ -55,7 +55,7 @@
 		if s.owner == nil || now-s.rowSeenAt < minTenure {
 			continue
 		}
-		to, ok := betterOwner(mgr.members.self, pool, heirs, load)
+		to, ok := betterOwner(mgr.members.self, pool, candidates, load)
 		if !ok {
 			continue
 		}
--- a/pkg/ownership/handon_test.go
+++ b/pkg/ownership/handon_test.go
@@ -19,7 +19,7 @@
 
 // TestBetterOwner checks which entry a shard is moved to for a given load.
 func TestBetterOwner(t *testing.T) {
-	heirs := []Member{{Name: "me", Share: 0.2}, {Name: "small", Share: 0.2}, {Name: "big", Share: 0.8}, {Name: "large", Share: 0.8}}
+	candidates := []Member{{Name: "me", Share: 0.2}, {Name: "small", Share: 0.2}, {Name: "big", Share: 0.8}, {Name: "large", Share: 0.8}}
 	for _, tc := range []struct {
 		share float64
 		load  map[string]int
@@ -27,18 +27,18 @@
 	}{
 		{0.2, map[string]int{"me": 1, "large": 1}, "big"},
 		{0.2, map[string]int{"me": 1, "big": 1}, "large"},
-		{0.2, map[string]int{"me": 1, "large": 2, "big": 2}, ""}, // both would be loaded as much
-		{0.8, map[string]int{"me": 1}, ""},                       // equally large, but the shard stays
-		{0.8, map[string]int{"me": 2, "large": 1}, ""},           // below rebalanceFactor
+		{0.2, map[string]int{"me": 1, "large": 2, "big": 2}, ""}, // the larger entries have shards of their own
+		{0.8, map[string]int{"me": 1}, ""},                       // an equal entry without shards is not better by rebalanceFactor
+		{0.8, map[string]int{"me": 2, "large": 1}, ""},           // nor is one with a shard less
 		{0.8, map[string]int{"me": 3, "large": 1}, "big"},
 	} {
-		to, ok := betterOwner(Member{Name: "me", Share: tc.share}, "p", heirs, tc.load)
+		to, ok := betterOwner(Member{Name: "me", Share: tc.share}, "p", candidates, tc.load)
 		if !ok {
 			to = ""
 		}
 		qt.Check(t, to, qt.Equals, tc.to, qt.Commentf("%v of %v", tc.load, tc.share))
 	}
-	_, ok := betterOwner(heirs[0], "p", heirs[:1], map[string]int{"me": 1})
+	_, ok := betterOwner(candidates[0], "p", candidates[:1], map[string]int{"me": 1})
 	qt.Check(t, ok, qt.IsFalse)
 }
 
--- a/pkg/ownership/judge_test.go
+++ b/pkg/ownership/judge_test.go
@@ -59,35 +59,35 @@
 			return fmt.Sprintf("%v\n", m.Caller(row.Entry, row.Address) != nil)
 		}
 		suspected, _ := time.ParseDuration(args["suspected"])
-		k := NewManager(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
+		mgr := NewManager(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
 		s := &shardState{row: row, loaded: true, rowSeenAt: m.now() - rowAge}
 		if suspected > 0 {
 			s.suspectSince = m.now() - suspected
 		}
-		verdict, why := m.OwnerStatus(row, s.rowSeenAt)
-		_, gone := k.ownerGone(s, m.now())
-		return fmt.Sprintf("%s: %s; take over %v\n", verdict, why, gone)
+		status, why := m.OwnerStatus(row, s.rowSeenAt)
+		_, gone := mgr.ownerGone(s, m.now())
+		return fmt.Sprintf("%s: %s; take over %v\n", status, why, gone)
 	})
 }
 
 // addPeer adds a member from "NAME heard=AGE [refused] [nostore=AGE] [start=N]".
 func addPeer(m *Members, words []string) {
-	k := &memberState{Member: Member{Name: words[0], Address: words[0], Start: 1}, caller: peer.NewCaller(words[0]), cancel: func() {}}
+	p := &memberState{Member: Member{Name: words[0], Address: words[0], Start: 1}, caller: peer.NewCaller(words[0]), cancel: func() {}}
 	for _, w := range words[1:] {
 		key, value, _ := strings.Cut(w, "=")
 		age, _ := time.ParseDuration(value)
 		switch key {
 		case "heard":
-			k.heardAt = m.now() - age
+			p.heardAt = m.now() - age
 		case "refused":
-			k.refused = true
+			p.refused = true
 		case "nostore":
-			k.storeLostSince = m.now() - age
+			p.storeLostSince = m.now() - age
 		case "start":
 			n, _ := strconv.Atoi(value)
-			k.Start = int64(n)
+			p.Start = int64(n)
 		}
 	}
-	k.owns = true
-	m.peers[k.Name] = k
+	p.owns = true
+	m.peers[p.Name] = p
 }
--- a/pkg/ownership/keeper.go
+++ b/pkg/ownership/keeper.go
@@ -57,10 +57,10 @@
 
 // closeOwner closes a local owner in the background; s.closed tells when it has stopped.
 func (s *shardState) closeOwner(o Work) {
-	ended := make(chan struct{})
-	s.closed = ended
+	closed := make(chan struct{})
+	s.closed = closed
 	go func() {
-		defer close(ended)
+		defer close(closed)
 		o.Close()
 	}()
 }
@@ -151,8 +151,8 @@
 	}
 }
 
-// Owns reports whether this entry owns the shard of a pool, and returns a channel that is closed
-// when any owner changes.
+// Owns reports whether this entry owns the shard of any pool, and returns a channel that is closed
+// when any owner changes. The shard of the fleet's operations does not count.
 func (mgr *Manager) Owns() (owns bool, changed <-chan struct{}) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
--- a/pkg/ownership/members.go
+++ b/pkg/ownership/members.go
@@ -39,7 +39,7 @@
 	addedAt             time.Duration // when its row was seen
 	heardAt             time.Duration // last answer, 0 for never
 	refused             bool          // the last connection attempt was refused
-	consecutiveRefusals int           // connection attempts
+	consecutiveRefusals int           // refused connection attempts in a row
 	pingTimedOut        bool          // the last ping timed out
 
 	failedAt time.Duration // last failed ping, 0 for never
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -16,7 +16,8 @@
 	// pingInterval is the time between pings of an entry that owns a shard.
 	pingInterval = 400 * time.Millisecond
 	// idlePingFactor times the square of the number of entries is the interval between pings of an
-	// entry that owns no shard. The square makes the total rate of pings fall as the cluster grows.
+	// entry that owns no shard, so that the total rate of pings stays constant as the cluster
+	// grows.
 	idlePingFactor = 2 * time.Millisecond
 	// maxIdlePingInterval bounds that interval.
 	maxIdlePingInterval = 20 * time.Second
@@ -30,7 +31,7 @@
 	// pingTimeout bounds one ping.
 	pingTimeout = 900 * time.Millisecond
 	// refusalsUntilEnded is the number of consecutive refused connections after which a process
-	// counts as ended: a single one may come from a full accept queue.
+	// counts as ended; a single refusal may be transient.
 	refusalsUntilEnded = 2
 	// refusedRetryInterval is the time between a refused connection and the next attempt.
 	refusedRetryInterval = 100 * time.Millisecond
--- a/pkg/ownership/rank.go
+++ b/pkg/ownership/rank.go
@@ -20,8 +20,8 @@
 
 // rank returns this entry's position among the candidates for a shard, 0 for the first, and counts
 // the shard towards the first one's load.
-func (mgr *Manager) rank(pool string, row shard.OwnerRow, heirs []Member, load map[string]int) int {
-	order := slices.Clone(heirs)
+func (mgr *Manager) rank(pool string, row shard.OwnerRow, candidates []Member, load map[string]int) int {
+	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(successorOrder(a, row), successorOrder(b, row)), compareLoad(pool, load, a, b))
 	})
@@ -47,12 +47,12 @@
 func (mgr *Manager) successors() (names []string) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
-	heirs := slices.DeleteFunc(mgr.members.Candidates(), func(m Member) bool { return m.Name == mgr.self.Entry })
+	candidates := slices.DeleteFunc(mgr.members.Candidates(), func(m Member) bool { return m.Name == mgr.self.Entry })
 	load := mgr.load()
-	slices.SortFunc(heirs, func(a, b Member) int {
+	slices.SortFunc(candidates, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(loadWithOneMore(a, load), loadWithOneMore(b, load)), cmp.Compare(a.Name, b.Name))
 	})
-	for _, m := range heirs {
+	for _, m := range candidates {
 		names = append(names, m.Name)
 	}
 	return append(names, "")
--- a/pkg/ownership/rows.go
+++ b/pkg/ownership/rows.go
@@ -51,12 +51,12 @@
 
 // awaitClosed waits until the channel is closed, nil counting as closed; it reports false if ctx
 // ends first.
-func awaitClosed(ctx context.Context, ended <-chan struct{}) bool {
-	if ended == nil {
+func awaitClosed(ctx context.Context, closed <-chan struct{}) bool {
+	if closed == nil {
 		return true
 	}
 	select {
-	case <-ended:
+	case <-closed:
 		return true
 	case <-ctx.Done():
 		return false
