--- a/pkg/membership/doc.go
+++ b/pkg/membership/doc.go
@@ -1,14 +1,14 @@
-// Package membership knows who is there: the other entries, and the backend
-// servers, each with how sure it is.
+// Package membership tracks the other entries and the health of the backend servers.
 //
-// [Peers] keeps a link to each other entry that the settings or the platform's
-// VM list name, exchanges state with one of them in turn at a fixed rate, so
-// that the cost does not grow with their number, and pushes each new table
-// entry at once. What a peer says of itself only moves forward: a state from
-// an earlier process of the same name, or with a lower revision, is passed over.
+// An entry is one server process of the gateway. [Peers] keeps a link to each other entry that the
+// settings or the platform's VM list name. It exchanges state with one peer per interval, in
+// round-robin order, so that the cost does not grow with the number of entries, and pushes new
+// table entries at once to a random few (gossip). A peer's state only moves forward: one from an
+// earlier incarnation, or with a lower revision, is ignored.
 //
-// [Servers] brings together what the platform's list and the entry's own
-// probes say of backend servers, and marks them at the request path. Each
-// source can close a server alone; the list is not believed about a VM whose
-// row in the table is newer than the list.
+// [Servers] combines the platform's VM list with the entry's own health probes and marks backend
+// servers closed or open in the request path. Each source alone can close a server; the list is
+// ignored for a VM whose row in the table is newer than the list.
+//
+// Package entry runs both; package control asks them for health and for requests in flight.
 package membership
--- a/pkg/membership/drains.go
+++ b/pkg/membership/drains.go
@@ -7,29 +7,29 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// EntryInFlight is one entry's word on the requests that it has in flight.
+// EntryInFlight holds the requests that one entry has in flight to some VMs.
 type EntryInFlight struct {
-	Entry    string         // name, or address while the name is not known
+	Entry    string         // name, or address while the name is unknown
 	Address  string         // of its peer listener
-	Reached  bool           // false when it did not answer
-	Heard    time.Time      // when it was last heard before, zero for never
-	Revision int            // in force at the entry when it counted
+	Reached  bool           // it answered
+	Heard    time.Time      // last answer before this one, zero for never
+	Revision int            // of the entry's table when it counted
 	Counts   map[string]int // by VM
 }
 
-// InFlight asks every entry, this one included, about some VMs.
+// InFlight asks every entry, this one included, for its requests in flight to some VMs.
 func (p *Peers) InFlight(ctx context.Context, vms []string) []EntryInFlight {
 	own := EntryInFlight{Entry: p.self.Name, Address: p.self.Address, Reached: true, Revision: p.replica.Revision(), Counts: map[string]int{}}
 	for _, vm := range vms {
 		own.Counts[vm] = p.inFlight(vm)
 	}
-	links := p.all()
+	links := p.allLinks()
 	answers := make([]EntryInFlight, len(links))
 	var g errgroup.Group
-	g.SetLimit(pushWorkers)
+	g.SetLimit(maxConcurrentExchanges)
 	for i, l := range links {
 		g.Go(func() error {
-			answers[i] = p.askInFlight(ctx, l, vms)
+			answers[i] = p.queryInFlight(ctx, l, vms)
 			return nil
 		})
 	}
@@ -37,10 +37,10 @@
 	return append([]EntryInFlight{own}, answers...)
 }
 
-// askInFlight asks one peer; its answer says whether it was reached.
-func (p *Peers) askInFlight(ctx context.Context, l *link, vms []string) EntryInFlight {
+// queryInFlight asks one peer; without an answer Reached stays false.
+func (p *Peers) queryInFlight(ctx context.Context, l *link, vms []string) EntryInFlight {
 	p.mu.Lock()
-	k := l.known
+	k := l.status
 	p.mu.Unlock()
 	answer := EntryInFlight{Entry: k.State.Name, Address: k.Address, Heard: k.Heard, Counts: map[string]int{}}
 	if answer.Entry == "" {
--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -10,49 +10,50 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// exchange tells a peer what is new here and takes over what it sends.
+// exchange sends a peer the table entries that it lacks and applies those in its reply.
 func (p *Peers) exchange(ctx context.Context, l *link, drains []string) (reply *schema.PeerReply, err error) {
 	p.mu.Lock()
-	theirs, heard := l.known.State.Revision, !l.known.Heard.IsZero()
+	theirs, heard := l.status.State.Revision, !l.status.Heard.IsZero()
 	p.mu.Unlock()
 	q := &schema.PeerRequest{From: p.Self(), Drains: drains}
 	if heard {
 		q.Entries, _ = p.replica.Since(theirs, entriesPerMessage)
 	}
 	reply, err = l.client.Ask(ctx, q)
-	p.note(l, reply, err)
+	p.recordExchange(l, reply, err)
 	if err != nil {
 		return nil, err
 	}
-	p.take(reply)
+	p.applyReply(reply)
 	return reply, nil
 }
 
-// note keeps the result of an exchange; the process that answers at an address is the current one.
-func (p *Peers) note(l *link, reply *schema.PeerReply, err error) {
+// recordExchange records the result of an exchange. The state in a reply is always the current one,
+// as only the process at the address can answer.
+func (p *Peers) recordExchange(l *link, reply *schema.PeerReply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if (err == nil) != (l.known.Err == nil) || l.known.Heard.IsZero() && err == nil {
-		p.log.Info().Str("event", "peer_reached").Bool("reached", err == nil).Str("peer", l.known.Address).Err(err).Send()
+	if (err == nil) != (l.status.Err == nil) || l.status.Heard.IsZero() && err == nil {
+		p.log.Info().Str("event", "peer_reached").Bool("reached", err == nil).Str("peer", l.status.Address).Err(err).Send()
 	}
-	l.known.Err = err
+	l.status.Err = err
 	if err == nil {
-		l.known.State = reply.From
-		l.known.Heard = time.Now()
+		l.status.State = reply.From
+		l.status.Heard = time.Now()
 	}
 }
 
-// take applies the entries or the snapshot of a reply.
-func (p *Peers) take(reply *schema.PeerReply) {
+// applyReply applies the table entries or the snapshot of a reply.
+func (p *Peers) applyReply(reply *schema.PeerReply) {
 	if reply.Snapshot != nil {
-		p.adopt(reply.Snapshot)
+		p.adoptSnapshot(reply.Snapshot)
 	}
 	if err := p.replica.Offer(reply.Entries); err != nil {
 		p.log.Warn().Str("event", "entries_refused").Str("peer", reply.From.Name).Err(err).Send()
 	}
 }
 
-func (p *Peers) adopt(s *schema.PeerSnapshot) {
+func (p *Peers) adoptSnapshot(s *schema.PeerSnapshot) {
 	rows := make([]table.StoredRow, 0, len(s.Rows))
 	for _, r := range s.Rows {
 		rows = append(rows, table.StoredRow{Key: table.Key{Kind: r.Kind, Name: r.Name}, Version: r.Version, Value: r.Value})
@@ -65,13 +66,13 @@
 	p.replica.Adopt(snap)
 }
 
-// Handle answers a peer; it is a peer.Handler.
+// Handle answers a request of a peer; it is a [peer.Handler].
 func (p *Peers) Handle(_ context.Context, q *schema.PeerRequest) *schema.PeerReply {
-	p.heard(q.From)
+	p.recordState(q.From)
 	if err := p.replica.Offer(q.Entries); err != nil && !errors.As(err, new(table.ErrGap)) {
 		p.log.Warn().Str("event", "entries_refused").Str("peer", q.From.Name).Err(err).Send()
 	}
-	// The state is taken before the counts: a count of zero then holds for its revision.
+	// The state is read before the counts, so that a count of zero holds for its revision.
 	reply := &schema.PeerReply{From: p.Self(), Entries: []schema.Entry{}, InFlight: []schema.VMInFlight{}}
 	for _, vm := range q.Drains {
 		reply.InFlight = append(reply.InFlight, schema.VMInFlight{VM: vm, Count: p.inFlight(vm)})
@@ -84,20 +85,20 @@
 	return reply
 }
 
-// heard keeps a peer's own word, unless it is older than what is known.
-func (p *Peers) heard(s schema.PeerState) {
+// recordState records the state that a peer reports of itself, unless a newer one is known.
+func (p *Peers) recordState(s schema.PeerState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l, ok := p.links[s.Address]
 	if !ok && !s.Ended {
-		delete(p.gone, s.Address) // it speaks, so it is there
-		p.add(s.Address)          // a new entry that the list does not show yet
+		delete(p.departed, s.Address) // it has sent a request, so it is running
+		p.add(s.Address)              // may be missing from the VM list still
 		l, ok = p.links[s.Address]
 	}
 	if !ok {
 		return
 	}
-	old := l.known.State
+	old := l.status.State
 	stale := s.Incarnation < old.Incarnation ||
 		s.Incarnation == old.Incarnation && s.Revision < old.Revision
 	if stale {
@@ -105,11 +106,11 @@
 	}
 	if s.Ended {
 		p.remove(s.Address, l)
-		p.gone[s.Address] = time.Now() // the list may still show it
+		p.departed[s.Address] = time.Now() // the VM list may still name it
 		return
 	}
-	l.known.State = s
-	l.known.Heard = time.Now()
+	l.status.State = s
+	l.status.Heard = time.Now()
 }
 
 func snapshotOf(s *table.Snapshot) *schema.PeerSnapshot {
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -25,12 +25,12 @@
 
 const secret = "0123456789abcdef"
 
-// node is one entry's membership over loopback.
+// node is the membership of one entry on loopback addresses.
 type node struct {
 	*membership.Peers
 	replica *replica.Replica
 	address string
-	cut     atomic.Bool // it can dial nobody
+	cut     atomic.Bool // all its dials fail
 }
 
 func start(t *testing.T, store platform.Table, name, address string) *node {
@@ -68,9 +68,8 @@
 	return e.Revision
 }
 
-// TestOneWay cuts an entry's dialling: it hears nobody, yet edits reach it by the
-// links of the others, and its own edits reach them when they ask.
-func TestOneWay(t *testing.T) {
+// TestOneWayPartition checks that edits travel both ways when one entry can't dial the others.
+func TestOneWayPartition(t *testing.T) {
 	c := qt.New(t)
 	store := fake.New()
 	a, b := start(t, store.View("z"), "a", "127.0.0.1:0"), start(t, store.View("z"), "b", "127.0.0.1:0")
@@ -86,11 +85,12 @@
 	c.Check(answers[1].Reached, qt.IsTrue)
 	c.Check(answers[1].Counts["w"], qt.Equals, 7)
 	c.Check(answers[1].Revision, qt.Equals, second)
-	c.Check(b.InFlight(context.Background(), []string{"w"})[1].Reached, qt.IsFalse, qt.Commentf("b knows of a, which called it, but cannot ask it"))
+	c.Check(b.InFlight(context.Background(), []string{"w"})[1].Reached, qt.IsFalse, qt.Commentf("b knows a, which has sent requests, but can't reach it"))
 }
 
-// TestFarBehind starts an entry that lacks more than the log keeps: it takes a snapshot.
-func TestFarBehind(t *testing.T) {
+// TestSnapshotCatchUp checks that an entry that lacks more than the log holds catches up by a
+// snapshot.
+func TestSnapshotCatchUp(t *testing.T) {
 	store := fake.New(fake.WithLimits(100_000, 100_000))
 	a := start(t, store.View("z"), "a", "127.0.0.1:0")
 	last := 0
@@ -103,13 +103,13 @@
 	qt.Check(t, fmt.Sprint(b.replica.Snapshot().Stored()), qt.Equals, fmt.Sprint(a.replica.Snapshot().Stored()))
 }
 
-// TestWordsOnlyMoveForward hands an entry states that are late: from an earlier
-// process of the name, of an earlier revision, and after its last word.
-func TestWordsOnlyMoveForward(t *testing.T) {
+// TestStaleStatesIgnored checks that a late state is ignored: of an earlier incarnation, of an
+// earlier revision, or after the peer has left.
+func TestStaleStatesIgnored(t *testing.T) {
 	c := qt.New(t)
 	a := start(t, fake.New().View("z"), "a", "127.0.0.1:0")
 	const address = "127.0.0.1:1" // nobody listens there
-	say := func(incarnation, revision int, ended bool) {
+	report := func(incarnation, revision int, ended bool) {
 		a.Handle(context.Background(), &schema.PeerRequest{From: schema.PeerState{
 			Name: "b", Incarnation: incarnation, Revision: revision, Address: address, Ended: ended,
 		}})
@@ -126,32 +126,32 @@
 		incarnation, revision := state()
 		c.Check([]int{incarnation, revision}, qt.DeepEquals, []int{wantIncarnation, wantRevision}, qt.Commentf("%s", step))
 	}
-	say(5, 10, false)
-	check("a new entry calls", 5, 10)
-	say(5, 9, false)
+	report(5, 10, false)
+	check("a new entry sends its state", 5, 10)
+	report(5, 9, false)
 	check("an earlier revision", 5, 10)
-	say(4, 99, false)
-	check("an earlier process, such as one that wakes from a long pause", 5, 10)
-	say(6, 3, false)
+	report(4, 99, false)
+	check("an earlier incarnation, for example resumed after a suspension", 5, 10)
+	report(6, 3, false)
 	check("a replacement at the same address", 6, 3)
-	say(6, 3, true)
-	check("its last word", 0, 0)
+	report(6, 3, true)
+	check("it leaves", 0, 0)
 	a.SetAddresses([]string{address})
-	check("the list still shows it", 0, 0)
-	say(7, 1, false)
+	check("the VM list still names it", 0, 0)
+	report(7, 1, false)
 	check("another process at the address", 7, 1)
 }
 
-// marks keeps the last word of each source.
-type marks struct{ list, leaving, health map[string]bool }
+// fakeMarker records the last mark of each source.
+type fakeMarker struct{ list, leaving, health map[string]bool }
 
-func (m marks) MarkList(vm string, closed bool)    { m.list[vm] = closed }
-func (m marks) MarkLeaving(vm string, closed bool) { m.leaving[vm] = closed }
-func (m marks) MarkHealth(vm string, closed bool)  { m.health[vm] = closed }
+func (m fakeMarker) MarkList(vm string, closed bool)    { m.list[vm] = closed }
+func (m fakeMarker) MarkLeaving(vm string, closed bool) { m.leaving[vm] = closed }
+func (m fakeMarker) MarkHealth(vm string, closed bool)  { m.health[vm] = closed }
 
-// TestList marks servers by the platform's list, unless their row is newer, and
-// never by an older list than one before.
-func TestList(t *testing.T) {
+// TestServersMarkedByList checks that servers are marked by the VM list unless their row is newer
+// than the list, and that a failed read changes nothing.
+func TestServersMarkedByList(t *testing.T) {
 	c := qt.New(t)
 	backend := httptest.NewServer(http.NotFoundHandler())
 	defer backend.Close()
@@ -171,7 +171,7 @@
 		vm("w1", 0), vm("w2", future/10*10+1),
 	}})
 	c.Assert(err, qt.IsNil)
-	m := marks{map[string]bool{}, map[string]bool{}, map[string]bool{}}
+	m := fakeMarker{map[string]bool{}, map[string]bool{}, map[string]bool{}}
 	s := membership.NewServers("z", r, store.View("z"), m)
 	status, err := store.View("z").VMStatus(context.Background(), "w1")
 	c.Assert(err, qt.IsNil)
@@ -183,7 +183,7 @@
 	c.Check(told, qt.IsFalse, qt.Commentf("the row of w2 is newer than the list"))
 	store.SetRules(fake.Rule{Op: rest.OpListVMs, Fault: fake.FaultDown})
 	s.ReadList(context.Background())
-	c.Check(m.list["w1"], qt.IsTrue, qt.Commentf("no list is no word"))
+	c.Check(m.list["w1"], qt.IsTrue, qt.Commentf("a failed read changes nothing"))
 	store.SetRules()
 	c.Assert(store.View("z").Undrain(context.Background(), "w1"), qt.IsNil)
 	time.Sleep(2 * time.Millisecond)
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -20,30 +20,29 @@
 )
 
 const (
-	// entriesPerMessage bounds the log entries in one message.
+	// entriesPerMessage bounds the table entries in one message.
 	entriesPerMessage = 64
-	// keepHeard is how long a link outlives the platform's list after the peer was heard.
-	keepHeard = 30 * time.Second
-	// pushFanOut is how many peers an entry tells of a change at once. Each that
-	// learns of it does the same, so with 8 all but about one in 3,000 hear it
-	// that way (e^-8), at a cost that does not grow with their number; the turn
-	// by turn exchange reaches the rest.
+	// linkRetention is how long after a peer was last heard its link is kept although the VM list
+	// no longer names it, and how long the address of a peer that has left is ignored.
+	linkRetention = 30 * time.Second
+	// pushFanOut is how many random peers a change is pushed to. Each of them pushes it on, so
+	// nearly all peers get it at a constant cost per entry; periodic exchanges reach the rest.
 	pushFanOut = 8
-	// pushWorkers bounds the peers that are told of a change at one time.
-	pushWorkers = 16
+	// maxConcurrentExchanges bounds the peers that are asked at the same time.
+	maxConcurrentExchanges = 16
 )
 
-// Known is what an entry knows of a peer.
-type Known struct {
+// PeerStatus is what an entry knows of a peer.
+type PeerStatus struct {
 	Address string
-	State   schema.PeerState // zero until the peer was heard
-	Heard   time.Time        // when it was last heard, zero for never
-	Err     error            // of the last exchange, nil when it succeeded
+	State   schema.PeerState // zero until the peer is first heard
+	Heard   time.Time        // last answer or request, zero for never
+	Err     error            // of the last exchange, nil if it succeeded
 }
 
-// Peers are the other entries.
+// Peers tracks the other entries and exchanges state with them.
 type Peers struct {
-	self     schema.PeerState // revision and stopping are filled in at each use
+	self     schema.PeerState // revision and stopping are filled in on each use
 	replica  *replica.Replica
 	inFlight func(vm string) int
 	stopping func() bool
@@ -53,53 +52,54 @@
 	log      zerolog.Logger
 	onBytes  func(sent, received int)
 
-	clients []peer.ClientOption
-	ended   atomic.Bool
+	clientOpts []peer.ClientOption
+	left       atomic.Bool
 
-	mu    sync.Mutex
-	links map[string]*link     // by address
-	gone  map[string]time.Time // when a peer said its last word, by address
-	turn  int
+	mu        sync.Mutex
+	links     map[string]*link     // by address
+	departed  map[string]time.Time // when a peer left, by address
+	nextIndex int                  // of the round-robin exchanges
 }
 
-// link is one peer. Each has goroutines of its own, so that a peer that does
-// not answer holds up no other.
+// link is the connection to one peer. Its exchanges run in their own goroutines, so that an
+// unresponsive peer delays no other.
 type link struct {
-	client  *peer.Client
-	known   Known
-	waiting atomic.Bool // an exchange is about to begin, which will carry everything new
-	turn    sync.Mutex  // one exchange at a time
+	client     *peer.Client
+	status     PeerStatus
+	pending    atomic.Bool // an exchange is queued, which will carry all changes up to its start
+	exchangeMu sync.Mutex  // serializes exchanges
 }
 
-// WithPeerDial opens links by f.
+// WithPeerDial sets the function that opens connections.
 func WithPeerDial(f func(ctx context.Context, network, addr string) (net.Conn, error)) PeersOption {
-	return func(p *Peers) { p.clients = append(p.clients, peer.WithDial(f)) }
+	return func(p *Peers) { p.clientOpts = append(p.clientOpts, peer.WithDial(f)) }
 }
 
-// PeersOption changes how Peers are made.
+// PeersOption configures [Peers].
 type PeersOption func(*Peers)
 
-// WithInFlight answers peers that ask how many requests are in flight to a VM.
+// WithInFlight sets the function that counts the requests in flight to a VM.
 func WithInFlight(f func(vm string) int) PeersOption { return func(p *Peers) { p.inFlight = f } }
 
-// WithStopping tells peers whether this entry is in a planned stop.
+// WithStopping sets the function that reports whether this entry is in a planned stop.
 func WithStopping(f func() bool) PeersOption { return func(p *Peers) { p.stopping = f } }
 
-// WithInterval sets the time between two exchanges.
+// WithInterval sets the time between two periodic exchanges.
 func WithInterval(d time.Duration) PeersOption { return func(p *Peers) { p.interval = d } }
 
-// WithPeerTLS dials peers by TLS.
+// WithPeerTLS sets the TLS configuration of outgoing connections; f may return nil for none.
 func WithPeerTLS(f func() *tls.Config) PeersOption { return func(p *Peers) { p.tls = f } }
 
-// WithPeerLogger logs peers that come and go.
+// WithPeerLogger sets the logger.
 func WithPeerLogger(l zerolog.Logger) PeersOption { return func(p *Peers) { p.log = l } }
 
-// WithPeerBytes reports the bytes of each exchange.
+// WithPeerBytes sets a callback for the bytes of each exchange.
 func WithPeerBytes(f func(sent, received int)) PeersOption { return func(p *Peers) { p.onBytes = f } }
 
 const defaultInterval = 250 * time.Millisecond
 
-// NewPeers returns the peers of an entry that describes itself by self.
+// NewPeers returns the peers of the entry that self describes, none at first; secret authenticates
+// links.
 func NewPeers(self schema.PeerState, secret string, r *replica.Replica, opts ...PeersOption) *Peers {
 	p := &Peers{
 		self: self, replica: r, secret: secret, interval: defaultInterval,
@@ -109,7 +109,7 @@
 		log:      zerolog.Nop(),
 		onBytes:  func(int, int) {},
 		links:    map[string]*link{},
-		gone:     map[string]time.Time{},
+		departed: map[string]time.Time{},
 	}
 	for _, o := range opts {
 		o(p)
@@ -117,28 +117,28 @@
 	return p
 }
 
-// Self returns the entry's own state.
+// Self returns this entry's current state.
 func (p *Peers) Self() schema.PeerState {
 	s := p.self
 	s.Revision = p.replica.Revision()
 	s.Stopping = p.stopping()
-	s.Ended = p.ended.Load()
+	s.Ended = p.left.Load()
 	return s
 }
 
-// Leave tells every peer that this entry has nothing in flight and takes nothing
-// more, so that none waits for it. Its table goes on; its links close with Run.
+// Leave tells every peer that this entry has nothing in flight and accepts no more work, so that no
+// peer waits for it. Its links stay open until Run ends.
 func (p *Peers) Leave(ctx context.Context) {
-	p.ended.Store(true)
+	p.left.Store(true)
 	p.SyncAll(ctx)
 }
 
-// SetAddresses brings the links to a set of addresses; the entry's own is passed over.
+// SetAddresses sets the addresses of all entries; this entry's own is ignored.
 func (p *Peers) SetAddresses(addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, l := range p.links {
-		if !slices.Contains(addresses, addr) && time.Since(l.known.Heard) > keepHeard {
+		if !slices.Contains(addresses, addr) && time.Since(l.status.Heard) > linkRetention {
 			p.remove(addr, l)
 		}
 	}
@@ -156,36 +156,36 @@
 	}
 }
 
-// add makes a link; the caller holds the lock.
+// add creates a link. The caller holds mu.
 func (p *Peers) add(addr string) {
 	_, known := p.links[addr]
-	if known || addr == p.self.Address || addr == "" || time.Since(p.gone[addr]) < keepHeard {
+	if known || addr == p.self.Address || addr == "" || time.Since(p.departed[addr]) < linkRetention {
 		return
 	}
-	client := peer.NewClient(addr, p.secret, append(p.clients, peer.WithTLS(p.tls), peer.WithBytes(p.onBytes))...)
-	p.links[addr] = &link{client: client, known: Known{Address: addr}}
+	client := peer.NewClient(addr, p.secret, append(p.clientOpts, peer.WithTLS(p.tls), peer.WithBytes(p.onBytes))...)
+	p.links[addr] = &link{client: client, status: PeerStatus{Address: addr}}
 	p.log.Info().Str("event", "peer_added").Str("peer", addr).Send()
 }
 
-// remove drops a link; the caller holds the lock.
+// remove drops a link. The caller holds mu.
 func (p *Peers) remove(addr string, l *link) {
-	go l.client.Close() // may wait for an exchange
+	go l.client.Close() // waits for an exchange in progress
 	delete(p.links, addr)
 	p.log.Info().Str("event", "peer_removed").Str("peer", addr).Send()
 }
 
-// Statuses returns what is known of each peer, by address.
-func (p *Peers) Statuses() []Known {
+// Statuses returns the status of each peer, sorted by address.
+func (p *Peers) Statuses() []PeerStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := make([]Known, 0, len(p.links))
+	known := make([]PeerStatus, 0, len(p.links))
 	for _, addr := range slices.Sorted(maps.Keys(p.links)) {
-		known = append(known, p.links[addr].known)
+		known = append(known, p.links[addr].status)
 	}
 	return known
 }
 
-// Run exchanges state with the peers until ctx ends.
+// Run exchanges state with the peers until ctx ends, then closes all links.
 func (p *Peers) Run(ctx context.Context) error {
 	tick := time.NewTicker(p.interval)
 	defer tick.Stop()
@@ -199,18 +199,18 @@
 			return nil
 		case <-changed:
 			changed = p.replica.Changed()
-			for _, l := range sample(p.all(), pushFanOut) {
-				p.kick(ctx, &exchanges, l)
+			for _, l := range sample(p.allLinks(), pushFanOut) {
+				p.startExchange(ctx, &exchanges, l)
 			}
 		case <-tick.C:
-			if l, ok := p.next(); ok {
-				p.kick(ctx, &exchanges, l)
+			if l, ok := p.nextLink(); ok {
+				p.startExchange(ctx, &exchanges, l)
 			}
 		}
 	}
 }
 
-// sample returns up to n of the links, any of them with the same chance.
+// sample returns up to n random links.
 func sample(links []*link, n int) []*link {
 	if len(links) > n {
 		rand.Shuffle(len(links), func(i, j int) { links[i], links[j] = links[j], links[i] })
@@ -219,21 +219,21 @@
 	return links
 }
 
-// kick begins an exchange with a peer, unless one is about to begin.
-func (p *Peers) kick(ctx context.Context, exchanges *sync.WaitGroup, l *link) {
-	if l.waiting.Swap(true) {
+// startExchange starts an exchange with a peer unless one is queued already.
+func (p *Peers) startExchange(ctx context.Context, exchanges *sync.WaitGroup, l *link) {
+	if l.pending.Swap(true) {
 		return
 	}
 	exchanges.Go(func() {
-		l.turn.Lock()
-		defer l.turn.Unlock()
-		l.waiting.Store(false)
-		_, _ = p.exchange(ctx, l, nil) // noted at the link
+		l.exchangeMu.Lock()
+		defer l.exchangeMu.Unlock()
+		l.pending.Store(false)
+		_, _ = p.exchange(ctx, l, nil) // recorded in the link's status
 	})
 }
 
-// all returns the links in the order of addresses.
-func (p *Peers) all() []*link {
+// allLinks returns the links sorted by address.
+func (p *Peers) allLinks() []*link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	links := make([]*link, 0, len(p.links))
@@ -243,27 +243,27 @@
 	return links
 }
 
-// next returns the link whose turn it is; only Run calls it.
-func (p *Peers) next() (l *link, ok bool) {
-	links := p.all()
+// nextLink returns the next link in round-robin order; only Run calls it.
+func (p *Peers) nextLink() (l *link, ok bool) {
+	links := p.allLinks()
 	if len(links) == 0 {
 		return nil, false
 	}
-	p.turn++
-	return links[p.turn%len(links)], true
+	p.nextIndex++
+	return links[p.nextIndex%len(links)], true
 }
 
-// SyncAll exchanges state with every peer and waits for the answers; it returns
-// the highest revision heard and how many answered.
+// SyncAll exchanges state with every peer and waits for the results; it returns the highest
+// revision reported and the number of peers that answered.
 func (p *Peers) SyncAll(ctx context.Context) (highest, reached int) {
 	var g errgroup.Group
-	g.SetLimit(pushWorkers)
+	g.SetLimit(maxConcurrentExchanges)
 	var mu sync.Mutex
-	for _, l := range p.all() {
+	for _, l := range p.allLinks() {
 		g.Go(func() error {
 			reply, err := p.exchange(ctx, l, nil)
 			if err != nil {
-				return nil // noted at the link; the others go on
+				return nil // recorded in the link's status
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/pkg/membership/servers.go
+++ b/pkg/membership/servers.go
@@ -16,18 +16,19 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Health is what a probe says of a backend server.
+// Health is the result of a health probe.
 type Health string
 
-// The results of a probe.
+// The states of a backend server.
 const (
-	HealthUnknown Health = ""
+	HealthUnknown Health = "" // not probed yet
 	HealthGood    Health = "good"
-	HealthLeaving Health = "leaving" // the server itself says that it takes no new work
+	HealthLeaving Health = "leaving" // the server reports that it accepts no new requests
 	HealthBad     Health = "bad"
 )
 
-// Marker closes and opens servers at the request path.
+// Marker closes and opens backend servers in the request path, separately for each source: the VM
+// list, the server's own report and failed probes.
 type Marker interface {
 	MarkList(vm string, closed bool)
 	MarkLeaving(vm string, closed bool)
@@ -35,17 +36,18 @@
 }
 
 const (
-	probeTimeout   = 500 * time.Millisecond
-	maxProbeAnswer = 4 << 10
-	// badProbes in a row close a server: one lost probe is no sign.
-	badProbes = 2
-	// allZones is how much more seldom the list of all zones is read than that of the own one.
-	allZones = 10
-	// probeWorkers bounds the probes at one time.
-	probeWorkers = 32
+	probeTimeout = 500 * time.Millisecond
+	maxProbeBody = 4 << 10
+	// unhealthyThreshold is the number of consecutive failed probes that close a server.
+	unhealthyThreshold = 2
+	// fullListFactor is how many times less often the list of all zones is read than that of the
+	// entry's own zone.
+	fullListFactor = 10
+	// maxConcurrentProbes bounds the probes that run at the same time.
+	maxConcurrentProbes = 32
 )
 
-// Servers follows the backend servers.
+// Servers tracks the health of the backend servers.
 type Servers struct {
 	replica  *replica.Replica
 	lister   platform.Lister
@@ -57,43 +59,44 @@
 	onList   func(platform.VMList)
 
 	mu     sync.Mutex
-	probes map[string]*probed // by VM
+	probes map[string]*probeState // by VM
 	list   platform.VMList
 }
 
-// probed is the last results of one server's probes.
-type probed struct {
-	health Health
-	bad    int // failures in a row
-	at     time.Time
+// probeState holds the result of a server's last probes.
+type probeState struct {
+	health   Health
+	failures int // consecutive
+	at       time.Time
 }
 
-// ServersOption changes how Servers are made.
+// ServersOption configures [Servers].
 type ServersOption func(*Servers)
 
-// WithProbeInterval sets the time between two probes of a server.
+// WithProbeInterval sets the time between two probes of a server and between two reads of the
+// entry's own zone.
 func WithProbeInterval(d time.Duration) ServersOption { return func(s *Servers) { s.interval = d } }
 
-// WithServersLogger logs servers whose health changes.
+// WithServersLogger sets the logger.
 func WithServersLogger(l zerolog.Logger) ServersOption { return func(s *Servers) { s.log = l } }
 
-// WithProbeDial opens the probes' connections by f.
+// WithProbeDial sets the function that opens the probes' connections.
 func WithProbeDial(f func(ctx context.Context, network, addr string) (net.Conn, error)) ServersOption {
 	return func(s *Servers) {
 		s.client.Transport = &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute, DialContext: f}
 	}
 }
 
-// WithOnList is told of each VM list that is read.
+// WithOnList sets a callback for each list of all zones.
 func WithOnList(f func(platform.VMList)) ServersOption { return func(s *Servers) { s.onList = f } }
 
-// NewServers returns the follower of an entry in a zone.
+// NewServers returns the servers as seen by an entry in a zone; m is told of each change.
 func NewServers(zone string, r *replica.Replica, lister platform.Lister, m Marker, opts ...ServersOption) *Servers {
 	s := &Servers{
 		replica: r, lister: lister, marker: m, zone: zone,
 		interval: time.Second, log: zerolog.Nop(),
 		onList: func(platform.VMList) {},
-		probes: map[string]*probed{},
+		probes: map[string]*probeState{},
 		client: &http.Client{
 			Timeout:   probeTimeout,
 			Transport: &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute},
@@ -108,19 +111,19 @@
 	return s
 }
 
-// Run probes and reads the list until ctx ends.
+// Run probes the servers and reads the VM lists until ctx ends.
 func (s *Servers) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer s.client.CloseIdleConnections()
-	wg.Go(func() { every(ctx, s.interval, s.ReadZone) })
-	wg.Go(func() { every(ctx, allZones*s.interval, s.ReadList) })
-	every(ctx, s.interval, s.probeAll)
+	wg.Go(func() { runEvery(ctx, s.interval, s.ReadZone) })
+	wg.Go(func() { runEvery(ctx, fullListFactor*s.interval, s.ReadList) })
+	runEvery(ctx, s.interval, s.probeAll)
 	return nil
 }
 
-// every calls f at once and then at an interval until ctx ends.
-func every(ctx context.Context, d time.Duration, f func(context.Context)) {
+// runEvery calls f at once and then at an interval until ctx ends.
+func runEvery(ctx context.Context, d time.Duration, f func(context.Context)) {
 	t := time.NewTicker(d)
 	defer t.Stop()
 	for ctx.Err() == nil {
@@ -132,18 +135,18 @@
 	}
 }
 
-// ReadList reads the platform's VM list of all zones, which also names the peers.
+// ReadList reads the VM list of all zones, which also names the peers.
 func (s *Servers) ReadList(ctx context.Context) {
-	if list, ok := s.read(ctx, ""); ok {
+	if list, ok := s.fetchList(ctx, ""); ok {
 		s.onList(list)
 	}
 }
 
-// ReadZone reads the list of the own zone, where most of the work goes.
-func (s *Servers) ReadZone(ctx context.Context) { s.read(ctx, s.zone) }
+// ReadZone reads the VM list of the entry's own zone, which serves most of its requests.
+func (s *Servers) ReadZone(ctx context.Context) { s.fetchList(ctx, s.zone) }
 
-// read reads a list, keeps it if it is newer than what is kept, and marks the servers by it.
-func (s *Servers) read(ctx context.Context, zone string) (list platform.VMList, ok bool) {
+// fetchList reads the VM list of a zone, empty for all, and applies it unless a newer one is known.
+func (s *Servers) fetchList(ctx context.Context, zone string) (list platform.VMList, ok bool) {
 	list, err := s.lister.ListVMs(ctx, zone)
 	if err != nil {
 		s.log.Debug().Str("event", "vm_list_failed").Str("zone", zone).Err(err).Send()
@@ -158,12 +161,12 @@
 	}
 	s.mu.Unlock()
 	if ok {
-		s.markListed(list)
+		s.applyList(list)
 	}
 	return list, ok
 }
 
-// replaceZone returns a list with the VMs of one zone replaced.
+// replaceZone returns a copy of a list with the VMs of one zone replaced.
 func replaceZone(all []platform.ListedVM, zone string, of []platform.ListedVM) []platform.ListedVM {
 	out := make([]platform.ListedVM, 0, len(all)+len(of))
 	for _, vm := range all {
@@ -174,8 +177,8 @@
 	return append(out, of...)
 }
 
-// markListed marks the servers by a list; it is not believed about a VM whose row is newer.
-func (s *Servers) markListed(list platform.VMList) {
+// applyList marks the workers by a VM list, except those whose row in the table is newer.
+func (s *Servers) applyList(list platform.VMList) {
 	snap := s.replica.Snapshot()
 	for _, vm := range list.VMs {
 		row, ok := snap.VMs[vm.Name]
@@ -186,17 +189,16 @@
 	}
 }
 
-// List returns the last list of all zones, with newer entries for the own one.
+// List returns the latest list of all zones, updated by newer lists of the entry's own zone.
 func (s *Servers) List() platform.VMList {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list
 }
 
-// probeAll probes every server once.
 func (s *Servers) probeAll(ctx context.Context) {
 	snap := s.replica.Snapshot()
-	sem := make(chan struct{}, probeWorkers)
+	sem := make(chan struct{}, maxConcurrentProbes)
 	var wg sync.WaitGroup
 	for _, name := range snap.VMs.Names() {
 		url, ok := probeURL(snap, name)
@@ -206,14 +208,14 @@
 		sem <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-sem }()
-			s.note(name, s.probe(ctx, url))
+			s.recordProbe(name, s.probe(ctx, url))
 		})
 	}
 	wg.Wait()
-	s.forget(snap)
+	s.pruneProbes(snap)
 }
 
-// probeURL returns where a VM's server reports its health.
+// probeURL returns the health URL of a VM's backend server; ok is false while the VM reboots.
 func probeURL(snap *table.Snapshot, vm string) (url string, ok bool) {
 	row := snap.VMs[vm].Value
 	if row.Phase == schema.PhaseRebooting {
@@ -226,7 +228,7 @@
 	return "http://" + row.Address + path, true
 }
 
-// probe asks one server: 2xx is good, 503 leaving, all else bad.
+// probe probes one server: 2xx is good, 503 leaving, everything else bad.
 func (s *Servers) probe(ctx context.Context, url string) Health {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -236,7 +238,7 @@
 	if err != nil {
 		return HealthBad
 	}
-	_, _ = io.CopyN(io.Discard, resp.Body, maxProbeAnswer)
+	_, _ = io.CopyN(io.Discard, resp.Body, maxProbeBody)
 	_ = resp.Body.Close()
 	switch {
 	case resp.StatusCode/100 == 2:
@@ -247,22 +249,22 @@
 	return HealthBad
 }
 
-// note keeps a result and marks the server by it.
-func (s *Servers) note(vm string, h Health) {
+// recordProbe stores the result of a probe and marks the server by it.
+func (s *Servers) recordProbe(vm string, h Health) {
 	s.mu.Lock()
 	p, ok := s.probes[vm]
 	if !ok {
-		p = &probed{}
+		p = &probeState{}
 		s.probes[vm] = p
 	}
 	if h == HealthBad {
-		p.bad++
+		p.failures++
 	} else {
-		p.bad = 0
+		p.failures = 0
 	}
 	before := p.health
 	p.at = time.Now()
-	if h != HealthBad || p.bad >= badProbes {
+	if h != HealthBad || p.failures >= unhealthyThreshold {
 		p.health = h
 	}
 	after := p.health
@@ -274,8 +276,8 @@
 	s.marker.MarkHealth(vm, after == HealthBad)
 }
 
-// forget drops what is known of VMs that are no longer in the table.
-func (s *Servers) forget(snap *table.Snapshot) {
+// pruneProbes drops the probe results of VMs that are no longer in the table.
+func (s *Servers) pruneProbes(snap *table.Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for vm := range s.probes {
@@ -285,7 +287,7 @@
 	}
 }
 
-// Health returns the last probe's result and when it was made.
+// Health returns the result of the last probe and when it was made.
 func (s *Servers) Health(vm string) (h Health, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
