--- a/pkg/membership/drains.go
+++ b/pkg/membership/drains.go
@@ -12,7 +12,7 @@
 	Entry    string         // name, or address while the name is unknown
 	Address  string         // of its peer listener
 	Reached  bool           // it answered
-	Heard    time.Time      // last answer before this one, zero for never
+	Heard    time.Time // last answer or request before this one, zero for never
 	Revision int            // of the entry's table when it counted
 	Counts   map[string]int // by VM
 }
@@ -40,11 +40,11 @@
 // queryInFlight asks one peer; without an answer Reached stays false.
 func (p *Peers) queryInFlight(ctx context.Context, l *link, vms []string) EntryInFlight {
 	p.mu.Lock()
-	k := l.status
+	status := l.status
 	p.mu.Unlock()
-	answer := EntryInFlight{Entry: k.State.Name, Address: k.Address, Heard: k.Heard, Counts: map[string]int{}}
+	answer := EntryInFlight{Entry: status.State.Name, Address: status.Address, Heard: status.Heard, Counts: map[string]int{}}
 	if answer.Entry == "" {
-		answer.Entry = k.Address
+		answer.Entry = status.Address
 	}
 	reply, err := p.exchange(ctx, l, vms)
 	if err != nil {
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -178,11 +178,11 @@
 func (p *Peers) Statuses() []PeerStatus {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := make([]PeerStatus, 0, len(p.links))
+	statuses := make([]PeerStatus, 0, len(p.links))
 	for _, addr := range slices.Sorted(maps.Keys(p.links)) {
-		known = append(known, p.links[addr].status)
+		statuses = append(statuses, p.links[addr].status)
 	}
-	return known
+	return statuses
 }
 
 // Run exchanges state with the peers until ctx ends, then closes all links.
--- a/pkg/membership/servers.go
+++ b/pkg/membership/servers.go
@@ -90,7 +90,8 @@
 // WithOnList sets a callback for each list of all zones.
 func WithOnList(f func(platform.VMList)) ServersOption { return func(s *Servers) { s.onList = f } }
 
-// NewServers returns the servers as seen by an entry in a zone; m is told of each change.
+// NewServers returns the servers as seen by an entry in a zone; m is called after each probe and
+// list.
 func NewServers(zone string, r *replica.Replica, lister platform.Lister, m Marker, opts ...ServersOption) *Servers {
 	s := &Servers{
 		replica: r, lister: lister, marker: m, zone: zone,
