--- a/pkg/elapsed/clock.go
+++ b/pkg/elapsed/clock.go
@@ -2,46 +2,45 @@
 
 import "time"
 
-// Clock tells the time that has passed since it was made.
+// Clock measures the time since its creation, suspensions included.
 type Clock struct {
-	origin    time.Time
-	before    time.Duration // suspensions before the clock was made
-	steady    func() time.Duration
-	suspended func() time.Duration
+	origin          time.Time
+	suspendedBefore time.Duration // suspension time before the clock was created
+	monotonic       func() time.Duration
+	suspended       func() time.Duration
 }
 
-// Option changes what a clock reads.
+// Option configures a [Clock].
 type Option func(*Clock)
 
-// WithSource has the clock read another steady clock, and ask suspended for how long the
-// machine was suspended so far.
-func WithSource(steady, suspended func() time.Duration) Option {
-	return func(c *Clock) { c.steady, c.suspended = steady, suspended }
+// WithSource replaces the sources of the monotonic time and of the total suspension time.
+func WithSource(monotonic, suspended func() time.Duration) Option {
+	return func(c *Clock) { c.monotonic, c.suspended = monotonic, suspended }
 }
 
-// WithOrigin has the clock count from another time than now.
+// WithOrigin sets the time that the clock counts from.
 func WithOrigin(t time.Time) Option { return func(c *Clock) { c.origin = t } }
 
-// New returns a clock that starts now.
+// New returns a clock that counts from now.
 func New(opts ...Option) *Clock {
 	now := time.Now()
-	c := &Clock{origin: now, before: machine.suspendedAt(now)}
+	c := &Clock{origin: now, suspendedBefore: systemDetector.suspendedAt(now)}
 	for _, o := range opts {
 		o(c)
 	}
 	return c
 }
 
-// Now is the time since the clock was made.
+// Now returns the time since the clock's origin.
 func (c *Clock) Now() time.Duration {
-	if c.steady != nil {
-		steady := c.steady() // first: a suspension between the two readings counts
-		return steady + c.suspended()
+	if c.monotonic != nil {
+		monotonic := c.monotonic() // read first, so that a suspension between the two reads counts
+		return monotonic + c.suspended()
 	}
 	t := time.Now()
-	return t.Sub(c.origin) + machine.suspendedAt(t) - c.before
+	return t.Sub(c.origin) + systemDetector.suspendedAt(t) - c.suspendedBefore
 }
 
-// Suspended is for how long this machine was suspended since the process began, 0 where
-// the system can't tell.
-func Suspended() time.Duration { return machine.suspendedAt(time.Now()) }
+// Suspended returns for how long this machine was suspended since the process started, 0 if the
+// system can't tell.
+func Suspended() time.Duration { return systemDetector.suspendedAt(time.Now()) }
--- a/pkg/elapsed/clock_test.go
+++ b/pkg/elapsed/clock_test.go
@@ -8,62 +8,65 @@
 	"golang.org/x/sys/unix"
 )
 
-// clocks are a machine's, which can be suspended.
-type clocks struct{ boot, steady time.Duration }
+// fakeClocks are the clocks of a machine that can be suspended.
+type fakeClocks struct{ boot, monotonic time.Duration }
 
-func (c *clocks) read() (boot, steady time.Duration, ok bool) { return c.boot, c.steady, true }
+func (c *fakeClocks) read() (boot, monotonic time.Duration, ok bool) {
+	return c.boot, c.monotonic, true
+}
 
-// TestDetector has a machine suspended, and counts that and nothing else.
-func TestDetector(t *testing.T) {
-	c := &clocks{boot: time.Hour, steady: time.Minute}
-	d := newDetector(c.read)
+// TestSuspensionDetector checks that suspensions are counted, and changes of the wall clock are
+// not.
+func TestSuspensionDetector(t *testing.T) {
+	c := &fakeClocks{boot: time.Hour, monotonic: time.Minute}
+	d := newSuspensionDetector(c.read)
 	offset := d.offset.Load()
-	pass := func(running, suspended time.Duration) {
-		c.steady += running
+	advance := func(running, suspended time.Duration) {
+		c.monotonic += running
 		c.boot += running + suspended
 		offset += int64(suspended)
-		d.look(int64(c.steady-time.Minute), offset)
+		d.update(int64(c.monotonic-time.Minute), offset)
 	}
-	pass(time.Second, 0)
+	advance(time.Second, 0)
 	qt.Check(t, time.Duration(d.total.Load()), qt.Equals, time.Duration(0))
-	pass(time.Second, 7*time.Second)
+	advance(time.Second, 7*time.Second)
 	qt.Check(t, time.Duration(d.total.Load()), qt.Equals, 7*time.Second)
-	pass(time.Second, 0)
-	pass(0, 3*time.Second)
+	advance(time.Second, 0)
+	advance(0, 3*time.Second)
 	qt.Check(t, time.Duration(d.total.Load()), qt.Equals, 10*time.Second)
-	offset += int64(time.Hour) // the time of day is set
-	pass(time.Second, 0)
+	offset += int64(time.Hour) // the wall clock is set
+	advance(time.Second, 0)
 	qt.Check(t, time.Duration(d.total.Load()), qt.Equals, 10*time.Second)
 }
 
-// TestNoBootClock goes by the steady clock where there is no other.
+// TestNoBootClock checks that no suspension is reported on a system without a boot-time clock.
 func TestNoBootClock(t *testing.T) {
-	d := newDetector(func() (time.Duration, time.Duration, bool) { return 0, 0, false })
+	d := newSuspensionDetector(func() (time.Duration, time.Duration, bool) { return 0, 0, false })
 	qt.Check(t, d.suspendedAt(time.Now()), qt.Equals, time.Duration(0))
 }
 
-// TestBootClockAdvances sees that this system's boot clock goes on beside the steady one.
+// TestBootClockAdvances checks that this system's boot-time clock advances with the monotonic
+// clock.
 func TestBootClockAdvances(t *testing.T) {
-	boot, steady, ok := readClocks()
+	boot, monotonic, ok := readClocks()
 	qt.Assert(t, ok, qt.IsTrue)
 	time.Sleep(20 * time.Millisecond)
-	boot2, steady2, ok := readClocks()
+	boot2, monotonic2, ok := readClocks()
 	qt.Assert(t, ok, qt.IsTrue)
-	gained := (boot2 - boot) - (steady2 - steady)
-	qt.Check(t, max(gained, -gained) < 2*jitter, qt.IsTrue, qt.Commentf("%v against %v", boot2-boot, steady2-steady))
+	gained := (boot2 - boot) - (monotonic2 - monotonic)
+	qt.Check(t, max(gained, -gained) < 2*maxReadTime, qt.IsTrue, qt.Commentf("%v against %v", boot2-boot, monotonic2-monotonic))
 	var ts unix.Timespec
 	qt.Check(t, unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts), qt.IsNil)
 }
 
-// TestClock adds suspensions to the steady clock.
+// TestClock checks that suspensions are added to the monotonic time.
 func TestClock(t *testing.T) {
-	steady, suspended := time.Second, 2*time.Second
-	c := New(WithSource(func() time.Duration { return steady }, func() time.Duration { return suspended }))
+	monotonic, suspended := time.Second, 2*time.Second
+	c := New(WithSource(func() time.Duration { return monotonic }, func() time.Duration { return suspended }))
 	qt.Check(t, c.Now(), qt.Equals, 3*time.Second)
 }
 
-// BenchmarkNow states what a reading costs: 45 ns with time.Since alone, with suspensions
-// about twice that, no allocation on either.
+// BenchmarkNow compares a read of the clock with time.Since; neither should allocate.
 func BenchmarkNow(b *testing.B) {
 	b.Run("since", func(b *testing.B) {
 		origin := time.Now()
--- a/pkg/elapsed/detector.go
+++ b/pkg/elapsed/detector.go
@@ -9,77 +9,77 @@
 )
 
 const (
-	// recheck is the longest time between two readings of the boot clock. A reading is two
-	// calls of the system, which Now, called for each order, would pay each time.
-	recheck = 100 * time.Millisecond
-	// noticed is by how much the time of day has to move against the steady clock for the
-	// boot clock to be read at once: a suspension moves it, as does a clock that is set.
-	noticed = 5 * time.Millisecond
-	// jitter bounds the time between the readings of two clocks that are compared.
-	jitter = time.Millisecond
-	// readings is how often a pair of readings is tried that something came between.
-	readings = 3
+	// recheckInterval bounds the time between two reads of the boot-time clock. Each read takes
+	// several system calls, too many for every call of Now.
+	recheckInterval = 100 * time.Millisecond
+	// minSuspension is the shortest suspension that is detected. A wall clock that moves that far
+	// against the monotonic clock causes a read of the boot-time clock at once.
+	minSuspension = 5 * time.Millisecond
+	// maxReadTime bounds the time between the reads of two clocks that are compared.
+	maxReadTime = time.Millisecond
+	// readAttempts bounds the retries when a read takes longer than maxReadTime.
+	readAttempts = 3
 )
 
-// machine tells of this machine's suspensions.
-var machine = newDetector(readClocks)
+// systemDetector detects suspensions of this machine.
+var systemDetector = newSuspensionDetector(readClocks)
 
-// detector finds suspensions: by them the boot clock gains on the steady one.
-type detector struct {
-	read func() (boot, steady time.Duration, ok bool)
-	base time.Time
+// suspensionDetector measures suspensions by how far the boot-time clock advances against the
+// monotonic clock, which stops during them.
+type suspensionDetector struct {
+	readClocks func() (boot, monotonic time.Duration, ok bool)
+	base       time.Time
 
-	total  atomic.Int64 // nanoseconds of suspension so far
-	offset atomic.Int64 // of the time of day against the steady clock, at the last reading
-	readAt atomic.Int64 // steady time of the last reading
+	total  atomic.Int64 // total suspension time in ns
+	offset atomic.Int64 // wall clock minus monotonic time in ns, at the last read
+	readAt atomic.Int64 // monotonic time of the last read in ns
 
-	mu    sync.Mutex
-	began time.Duration // boot clock less steady clock at the first reading
-	known bool
+	mu          sync.Mutex
+	baseline    time.Duration // boot-time clock minus monotonic clock at the first read
+	initialized bool
 }
 
-func newDetector(read func() (boot, steady time.Duration, ok bool)) *detector {
-	d := &detector{read: read, base: time.Now()}
-	d.look(0, d.base.UnixNano())
+func newSuspensionDetector(read func() (boot, monotonic time.Duration, ok bool)) *suspensionDetector {
+	d := &suspensionDetector{readClocks: read, base: time.Now()}
+	d.update(0, d.base.UnixNano())
 	return d
 }
 
-// suspendedAt is for how long the machine was suspended since the detector was made, at a
-// time that was read just now.
-func (d *detector) suspendedAt(t time.Time) time.Duration {
-	steady := int64(t.Sub(d.base))
-	offset := t.UnixNano() - steady
-	moved, since := offset-d.offset.Load(), steady-d.readAt.Load()
-	if max(moved, -moved) >= int64(noticed) || since >= int64(recheck) || since < 0 {
-		d.look(steady, offset)
+// suspendedAt returns the total suspension time up to t, a wall-clock time read just now.
+func (d *suspensionDetector) suspendedAt(t time.Time) time.Duration {
+	monotonic := int64(t.Sub(d.base))
+	offset := t.UnixNano() - monotonic
+	moved, since := offset-d.offset.Load(), monotonic-d.readAt.Load()
+	if max(moved, -moved) >= int64(minSuspension) || since >= int64(recheckInterval) || since < 0 {
+		d.update(monotonic, offset)
 	}
 	return time.Duration(d.total.Load())
 }
 
-// look reads the boot clock.
-func (d *detector) look(steady, offset int64) {
+// update reads the boot-time clock and updates the total.
+func (d *suspensionDetector) update(monotonic, offset int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.readAt.Store(steady)
+	d.readAt.Store(monotonic)
 	d.offset.Store(offset)
-	boot, clock, ok := d.read()
+	boot, mono, ok := d.readClocks()
 	if !ok {
 		return
 	}
-	gained := boot - clock
-	if !d.known {
-		d.known, d.began = true, gained
+	gained := boot - mono
+	if !d.initialized {
+		d.initialized, d.baseline = true, gained
 		return
 	}
-	if total := gained - d.began; total-time.Duration(d.total.Load()) >= noticed {
+	if total := gained - d.baseline; total-time.Duration(d.total.Load()) >= minSuspension {
 		d.total.Store(int64(total))
 	}
 }
 
-// readClocks reads the boot clock and the steady clock as if at one moment; ok is false
-// where the system has no boot clock.
-func readClocks() (boot, steady time.Duration, ok bool) {
-	for range readings {
+// readClocks reads the boot-time clock and the monotonic clock at practically the same moment; ok
+// is false if the system has no boot-time clock or each attempt took too long.
+func readClocks() (boot, monotonic time.Duration, ok bool) {
+	for range readAttempts {
 		var before, b, after unix.Timespec
 		err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &before)
 		if err == nil {
@@ -91,7 +91,7 @@
 		if err != nil {
 			return 0, 0, false
 		}
-		if took := time.Duration(after.Nano() - before.Nano()); took <= jitter {
+		if took := time.Duration(after.Nano() - before.Nano()); took <= maxReadTime {
 			return time.Duration(b.Nano()), time.Duration(before.Nano()) + took/2, true
 		}
 	}
--- a/pkg/elapsed/doc.go
+++ b/pkg/elapsed/doc.go
@@ -1,7 +1,8 @@
-// Package elapsed tells how much time has passed on this machine, time in which it was
-// suspended included.
+// Package elapsed measures the time that has passed on this machine, including time in which it was
+// suspended.
 //
-// The steady clock of the language stands still while a machine is suspended, so that
-// whatever a process was allowed for some seconds looks as fresh after its machine woke as
-// before. A [Clock] adds the time of suspensions, which the system's boot clock counts.
+// Go's monotonic clock stops while a machine is suspended, so a lease or timeout measured with it
+// would look unexpired after the machine resumes. A [Clock] adds the time of suspensions, which it
+// finds by comparing the system's boot-time clock with the monotonic one. Whatever grants, holds or
+// times out leases reads such a clock.
 package elapsed
--- a/pkg/pause/pause.go
+++ b/pkg/pause/pause.go
@@ -1,4 +1,5 @@
-// Package pause waits between tries and passes, so that a context can end the wait.
+// Package pause has helpers for loops that wait: [For] between retries, [Wake] to end a wait for
+// events early.
 package pause
 
 import (
@@ -6,8 +7,7 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, whose error it then returns: a loop that is
-// stopped does not sit out its pause first.
+// For waits for d or until ctx ends, and returns the error of ctx, nil if it has not ended.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/pkg/pause/wake.go
+++ b/pkg/pause/wake.go
@@ -1,7 +1,7 @@
 package pause
 
-// Wake lets a loop that receives from a channel of capacity one go on soon; more
-// calls before it does so count as one.
+// Wake signals a loop that receives from a channel of capacity one; signals that the loop has not
+// received yet are merged.
 func Wake(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
