--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -19,7 +19,7 @@
 	if heard {
 		q.Entries, _ = p.replica.Since(theirs, entriesPerMessage)
 	}
-	reply, err = l.client.Ask(ctx, q)
+	reply, err = l.client.Exchange(ctx, q)
 	p.recordExchange(l, reply, err)
 	if err != nil {
 		return nil, err
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -231,7 +231,7 @@
 	if p.caller == nil {
 		return p.heardAt
 	}
-	if at := p.caller.Heard(); !at.IsZero() {
+	if at := p.caller.LastReceived(); !at.IsZero() {
 		// The monotonic clock omits suspensions, so this may look too recent, which only
 		// delays a takeover.
 		return max(p.heardAt, m.now()-time.Since(at))
--- a/pkg/peer/caller.go
+++ b/pkg/peer/caller.go
@@ -12,73 +12,72 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a link between entries of one region.
+	// dialTimeout bounds the dial of an entry in the same region.
 	dialTimeout = 800 * time.Millisecond
-	// callWriteTimeout is how long a peer may leave a frame unread before its link is closed.
+	// callWriteTimeout bounds the write of one frame.
 	callWriteTimeout = 2 * time.Second
 )
 
-// ErrNotSent reports a call that did not reach the peer, so that it had no effect there.
+// ErrNotSent reports a call that was not sent, so it had no effect.
 type ErrNotSent struct {
-	Refused bool // nothing listens at the address, the process is not there
+	Refused bool // the connection was refused: no process listens at the address
 	Cause   error
 }
 
-// Error says why.
+// Error returns the cause.
 func (e ErrNotSent) Error() string { return "call was not sent: " + e.Cause.Error() }
 
-// ErrLinkLost reports a call whose answer did not come; it may have had its effect.
+// ErrLinkLost reports a call without an answer; it may have been executed.
 type ErrLinkLost struct{ Cause error }
 
-// Error says how the answer was lost.
+// Error returns the cause.
 func (e ErrLinkLost) Error() string { return "no answer from peer: " + e.Cause.Error() }
 
-// Caller carries many calls at once to one peer, over one link that is opened when needed.
+// Caller sends concurrent calls to one peer over one link, which is opened on demand.
 type Caller struct {
 	address string
 
-	mu       sync.Mutex
-	link     *callLink
-	dialing  chan struct{} // closed when the dial under way has ended
-	checking bool          // a link is being tried beside one that is quiet
+	mu        sync.Mutex
+	link      *callLink
+	dialing   chan struct{} // closed when the dial in progress has ended
+	replacing bool          // a replacement of a stalled link is being dialed
 }
 
-// NewCaller returns a caller of the peer at a host:port.
+// NewCaller returns a caller of the peer at a host:port address.
 func NewCaller(address string) *Caller { return &Caller{address: address} }
 
-// Call sends a call and waits for its reply.
+// Call sends a call and waits for its reply. Errors wrap [ErrNotSent] or [ErrLinkLost].
 func (c *Caller) Call(ctx context.Context, q *schema.Call) (reply *schema.CallReply, err error) {
 	defer func() { err = errors.Wrapf(err, "call peer %s", c.address) }()
 	l, err := c.open(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return l.call(ctx, q, func() { c.check(l) })
+	return l.call(ctx, q, func() { c.checkStalled(l) })
 }
 
-// Heard is when something last came from the peer on the present link, the zero
-// time if there is none.
-func (c *Caller) Heard() time.Time {
+// LastReceived returns when data last arrived on the current link, the zero time if there was none.
+func (c *Caller) LastReceived() time.Time {
 	c.mu.Lock()
 	l := c.link
 	c.mu.Unlock()
 	if l == nil {
 		return time.Time{}
 	}
-	return l.heard()
+	return l.lastReceived()
 }
 
-// Close closes the link; a later call opens another.
+// Close closes the link; a later call opens a new one.
 func (c *Caller) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link != nil {
-		c.link.fail(errors.New("closed"))
+		c.link.fail(errors.New("link closed by caller"))
 		c.link = nil
 	}
 }
 
-// open returns the link, dialling it when there is none; calls share one dial.
+// open returns the current link and dials one if there is none; concurrent calls share the dial.
 func (c *Caller) open(ctx context.Context) (*callLink, error) {
 	c.mu.Lock()
 	for {
@@ -115,7 +114,6 @@
 	return l, nil
 }
 
-// dial opens a link.
 func (c *Caller) dial(ctx context.Context) (*callLink, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/pkg/peer/calllink.go
+++ b/pkg/peer/calllink.go
@@ -9,25 +9,25 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// callLink is one open connection with the calls that wait on it.
+// callLink is one connection with the calls that wait for replies on it.
 type callLink struct {
 	conn net.Conn
 
-	writeMu  sync.Mutex
-	mu       sync.Mutex
-	nextID   int
-	waiting  map[int]chan *schema.CallReply
-	openedAt time.Time
-	heardAt  time.Time // when it was opened or something last came
-	askedAt  time.Time // when the peer was last asked whether it is there
-	err      error
-	done     chan struct{}
+	writeMu    sync.Mutex
+	mu         sync.Mutex
+	nextID     int
+	waiting    map[int]chan *schema.CallReply
+	openedAt   time.Time
+	receivedAt time.Time // when data last arrived, openedAt at first
+	probedAt   time.Time // when the peer was last probed
+	err        error
+	done       chan struct{}
 }
 
 func newCallLink(conn net.Conn) *callLink {
 	now := time.Now()
-	l := &callLink{conn: conn, waiting: map[int]chan *schema.CallReply{}, openedAt: now, heardAt: now, done: make(chan struct{})}
-	go l.read()
+	l := &callLink{conn: conn, waiting: map[int]chan *schema.CallReply{}, openedAt: now, receivedAt: now, done: make(chan struct{})}
+	go l.readReplies()
 	return l
 }
 
@@ -50,7 +50,7 @@
 	}
 }
 
-func (l *callLink) read() {
+func (l *callLink) readReplies() {
 	for {
 		reply := &schema.CallReply{}
 		if _, err := ReadFrame(l.conn, reply); err != nil {
@@ -58,7 +58,7 @@
 			return
 		}
 		l.mu.Lock()
-		l.heardAt = time.Now()
+		l.receivedAt = time.Now()
 		got := l.waiting[reply.ID]
 		delete(l.waiting, reply.ID)
 		l.mu.Unlock()
@@ -68,21 +68,20 @@
 	}
 }
 
-// heard is when something last came, the zero time if nothing has.
-func (l *callLink) heard() time.Time {
+// lastReceived returns when data last arrived, the zero time if none has.
+func (l *callLink) lastReceived() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.heardAt.Equal(l.openedAt) {
+	if l.receivedAt.Equal(l.openedAt) {
 		return time.Time{}
 	}
-	return l.heardAt
+	return l.receivedAt
 }
 
-// call sends a call and waits for its reply; it calls quiet now and then while
-// that does not come.
-func (l *callLink) call(ctx context.Context, q *schema.Call, quiet func()) (*schema.CallReply, error) {
+// call sends a call and waits for its reply; while it waits it runs onIdle every idleProbeDelay.
+func (l *callLink) call(ctx context.Context, q *schema.Call, onIdle func()) (*schema.CallReply, error) {
 	id, got := l.send(q)
-	tick := time.NewTicker(quietAfter)
+	tick := time.NewTicker(idleProbeDelay)
 	defer tick.Stop()
 	for {
 		select {
@@ -96,12 +95,12 @@
 			l.mu.Unlock()
 			return nil, ErrLinkLost{Cause: ctx.Err()}
 		case <-tick.C:
-			quiet()
+			onIdle()
 		}
 	}
 }
 
-// send sends a call; its reply comes on the channel.
+// send sends a call; got receives its reply.
 func (l *callLink) send(q *schema.Call) (id int, got chan *schema.CallReply) {
 	got = make(chan *schema.CallReply, 1)
 	l.mu.Lock()
--- a/pkg/peer/callserver.go
+++ b/pkg/peer/callserver.go
@@ -12,13 +12,13 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// maxCalls bounds the calls of one link that are answered at the same time.
+// maxCalls bounds the concurrent calls of one link.
 const maxCalls = 256
 
-// CallHandler answers a peer's call.
+// CallHandler answers a call of a peer.
 type CallHandler func(ctx context.Context, q *schema.Call) *schema.CallReply
 
-// CallServer answers calls of peers, many at once on each link.
+// CallServer answers the calls of peers, concurrently on each link.
 type CallServer struct {
 	ln      net.Listener
 	handler CallHandler
@@ -28,12 +28,12 @@
 	conns map[net.Conn]struct{}
 }
 
-// NewCallServer returns a server of links at ln.
+// NewCallServer returns a server that accepts links at ln.
 func NewCallServer(ln net.Listener, h CallHandler, log zerolog.Logger) *CallServer {
 	return &CallServer{ln: ln, handler: h, log: log, conns: map[net.Conn]struct{}{}}
 }
 
-// Serve takes links until ctx ends.
+// Serve accepts links until ctx ends, then closes them all.
 func (s *CallServer) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.closeAll)
 	defer stop()
--- a/pkg/peer/client.go
+++ b/pkg/peer/client.go
@@ -12,41 +12,42 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-const askTimeout = 2 * time.Second
+const exchangeTimeout = 2 * time.Second
 
-// Client asks one peer; its link is opened when needed and again after it broke.
+// Client sends requests to one peer over a link that is opened on demand and reopened after an
+// error.
 type Client struct {
-	address string
-	secret  string
-	tls     func() *tls.Config
-	onBytes func(sent, received int)
-	open    func(ctx context.Context, network, addr string) (net.Conn, error)
+	address     string
+	secret      string
+	tls         func() *tls.Config
+	onBytes     func(sent, received int)
+	dialContext func(ctx context.Context, network, addr string) (net.Conn, error)
 
-	mu   sync.Mutex // one question at a time
+	mu   sync.Mutex // one request at a time
 	conn net.Conn
 }
 
-// ClientOption changes how a Client is made.
+// ClientOption configures a [Client].
 type ClientOption func(*Client)
 
-// WithTLS dials by TLS with the configuration that f returns at each dial, nil for none.
+// WithTLS sets the TLS configuration, which f returns for each dial; nil means no TLS.
 func WithTLS(f func() *tls.Config) ClientOption { return func(c *Client) { c.tls = f } }
 
-// WithBytes reports the bytes of each exchange.
+// WithBytes sets a callback for the bytes of each exchange.
 func WithBytes(f func(sent, received int)) ClientOption { return func(c *Client) { c.onBytes = f } }
 
-// WithDial opens connections by f.
+// WithDial sets the function that opens connections.
 func WithDial(f func(ctx context.Context, network, addr string) (net.Conn, error)) ClientOption {
-	return func(c *Client) { c.open = f }
+	return func(c *Client) { c.dialContext = f }
 }
 
-// NewClient returns a client of the peer at a host:port.
+// NewClient returns a client of the peer at a host:port address; secret authenticates the link.
 func NewClient(address, secret string, opts ...ClientOption) *Client {
 	c := &Client{
 		address: address, secret: secret,
-		tls:     func() *tls.Config { return nil },
-		onBytes: func(int, int) {},
-		open:    (&net.Dialer{}).DialContext,
+		tls:         func() *tls.Config { return nil },
+		onBytes:     func(int, int) {},
+		dialContext: (&net.Dialer{}).DialContext,
 	}
 	for _, o := range opts {
 		o(c)
@@ -54,10 +55,10 @@
 	return c
 }
 
-// Ask sends a question and returns its answer; any error closes the link.
-func (c *Client) Ask(ctx context.Context, q *schema.PeerRequest) (reply *schema.PeerReply, err error) {
-	defer func() { err = errors.Wrapf(err, "ask peer %s", c.address) }()
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// Exchange sends a request and returns the reply; any error closes the link.
+func (c *Client) Exchange(ctx context.Context, q *schema.PeerRequest) (reply *schema.PeerReply, err error) {
+	defer func() { err = errors.Wrapf(err, "exchange with peer %s", c.address) }()
+	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,14 +67,14 @@
 			return nil, err
 		}
 	}
-	reply, err = c.exchange(ctx, q)
+	reply, err = c.roundTrip(ctx, q)
 	if err != nil {
-		c.drop()
+		c.closeConn()
 	}
 	return reply, err
 }
 
-func (c *Client) exchange(ctx context.Context, q *schema.PeerRequest) (reply *schema.PeerReply, err error) {
+func (c *Client) roundTrip(ctx context.Context, q *schema.PeerRequest) (reply *schema.PeerReply, err error) {
 	conn := c.conn
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -89,13 +90,13 @@
 	received, err := ReadFrame(conn, reply)
 	c.onBytes(sent, received)
 	if err == nil {
-		err = ctx.Err() // the deadline may have been moved for the next exchange
+		err = ctx.Err() // the deadline may have expired since, so that the link can't be reused
 	}
 	return reply, err
 }
 
 func (c *Client) dial(ctx context.Context) (conn net.Conn, err error) {
-	conn, err = c.open(ctx, "tcp", c.address)
+	conn, err = c.dialContext(ctx, "tcp", c.address)
 	if err != nil {
 		return nil, err
 	}
@@ -104,23 +105,23 @@
 	}
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetDeadline(deadline)
-	if err := greet(conn, c.secret); err != nil {
+	if err := dialHandshake(conn, c.secret); err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-func (c *Client) drop() {
+func (c *Client) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// Close closes the link; a later Ask opens another.
+// Close closes the link; a later Exchange opens a new one.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop()
+	c.closeConn()
 }
--- a/pkg/peer/frame.go
+++ b/pkg/peer/frame.go
@@ -14,21 +14,21 @@
 
 const (
 	frameHeader = 4
-	// readChunk bounds what a length alone makes the reader allocate.
+	// readChunk bounds the memory allocated before payload bytes arrive.
 	readChunk = 64 << 10
 )
 
-// ErrFrameTooLarge reports a frame above MaxFrame.
+// ErrFrameTooLarge reports a frame larger than [MaxFrame]; Size is in bytes.
 type ErrFrameTooLarge struct {
 	Size uint64
 }
 
-// Error gives the size and the limit.
+// Error returns the size and the limit.
 func (e ErrFrameTooLarge) Error() string {
 	return fmt.Sprintf("frame of %d bytes is larger than the limit of %d", e.Size, MaxFrame)
 }
 
-// WriteFrame writes one value as a frame; n is the number of bytes written.
+// WriteFrame writes v as one frame; n is the number of bytes written.
 func WriteFrame(w io.Writer, v any) (n int, err error) {
 	defer func() { err = errors.Wrap(err, "write frame") }()
 	payload, err := msgpack.Marshal(v)
@@ -45,7 +45,8 @@
 
 // ReadFrame reads one frame into v; n is the number of bytes read.
 //
-// A stream that ends before a frame begins gives io.EOF, inside a frame io.ErrUnexpectedEOF.
+// It returns io.EOF if the stream ends before a frame and io.ErrUnexpectedEOF if it ends inside
+// one.
 func ReadFrame(r io.Reader, v any) (n int, err error) {
 	defer func() { err = errors.Wrap(err, "read frame") }()
 	var header [frameHeader]byte
@@ -64,7 +65,7 @@
 	return n, msgpack.Unmarshal(payload, v)
 }
 
-// readPayload grows its buffer with what has arrived, so that a false length costs no memory.
+// readPayload grows its buffer as data arrives, so that a false length allocates little.
 func readPayload(r io.Reader, size int) (payload []byte, err error) {
 	payload = make([]byte, 0, min(size, readChunk))
 	for len(payload) < size {
@@ -79,7 +80,7 @@
 	return payload, nil
 }
 
-// unexpected turns the end of a stream inside a frame into the error that says so.
+// unexpected turns io.EOF inside a frame into io.ErrUnexpectedEOF.
 func unexpected(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
--- a/pkg/peer/handshake.go
+++ b/pkg/peer/handshake.go
@@ -13,28 +13,29 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// protocolVersion is the version of the peer protocol that this code speaks.
+// protocolVersion is the version of the peer protocol.
 const protocolVersion = 1
 
 const nonceBytes = 16
 
-// The labels keep a proof of one side from serving as the other's.
+// The labels differ by side, so that a proof can't be reflected to its sender.
 const (
 	labelDialer   = "dialer"
 	labelListener = "listener"
 )
 
-// ErrNotPeer reports the other side of a link that did not prove the shared secret.
-type ErrNotPeer struct {
+// ErrHandshake reports a peer that speaks another protocol version or did not prove the shared
+// secret.
+type ErrHandshake struct {
 	Reason string
 }
 
-// Error gives the reason.
-func (e ErrNotPeer) Error() string { return fmt.Sprintf("the other side is no peer: %s", e.Reason) }
+// Error returns the reason.
+func (e ErrHandshake) Error() string { return fmt.Sprintf("peer rejected: %s", e.Reason) }
 
 func newNonce() string {
 	raw := make([]byte, nonceBytes)
-	_, _ = rand.Read(raw) // never fails, it ends the process instead
+	_, _ = rand.Read(raw) // never returns an error
 	return hex.EncodeToString(raw)
 }
 
@@ -46,23 +47,23 @@
 
 func checkHello(h *schema.PeerHello) error {
 	if h.Protocol != protocolVersion {
-		return ErrNotPeer{Reason: fmt.Sprintf("protocol %d, expected %d", h.Protocol, protocolVersion)}
+		return ErrHandshake{Reason: fmt.Sprintf("protocol %d, expected %d", h.Protocol, protocolVersion)}
 	}
 	if len(h.Nonce) != 2*nonceBytes {
-		return ErrNotPeer{Reason: "malformed nonce"}
+		return ErrHandshake{Reason: "malformed nonce"}
 	}
 	return nil
 }
 
 func checkProof(secret, label, nonce, other, got string) error {
 	if !hmac.Equal([]byte(got), []byte(proof(secret, label, nonce, other))) {
-		return ErrNotPeer{Reason: "wrong proof of the shared secret"}
+		return ErrHandshake{Reason: "invalid proof of the shared secret"}
 	}
 	return nil
 }
 
-// greet is the dialling side of the handshake.
-func greet(rw io.ReadWriter, secret string) (err error) {
+// dialHandshake performs the dialing side of the handshake.
+func dialHandshake(rw io.ReadWriter, secret string) (err error) {
 	defer func() { err = errors.Wrap(err, "handshake") }()
 	var hello schema.PeerHello
 	if _, err := ReadFrame(rw, &hello); err != nil {
@@ -83,8 +84,8 @@
 	return checkProof(secret, labelListener, hello.Nonce, nonce, last.Proof)
 }
 
-// receive is the listening side of the handshake.
-func receive(rw io.ReadWriter, secret string) (err error) {
+// acceptHandshake performs the listening side of the handshake.
+func acceptHandshake(rw io.ReadWriter, secret string) (err error) {
 	defer func() { err = errors.Wrap(err, "handshake") }()
 	nonce := newNonce()
 	if _, err := WriteFrame(rw, &schema.PeerHello{Protocol: protocolVersion, Nonce: nonce}); err != nil {
--- a/pkg/peer/peer_test.go
+++ b/pkg/peer/peer_test.go
@@ -19,7 +19,8 @@
 
 const secret = "a-secret-of-sixteen"
 
-// serve runs a server that answers with its own name and the asker's drains.
+// serve runs a server that replies with the request's sender and drains; delay runs before each
+// reply.
 func serve(t *testing.T, delay func(q *schema.PeerRequest)) (address string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -40,13 +41,13 @@
 
 func noDelay(*schema.PeerRequest) {}
 
-// TestAsk exchanges a question over a link, and again after the link was closed.
-func TestAsk(t *testing.T) {
+// TestExchange sends a request over a link, and again after the link was closed.
+func TestExchange(t *testing.T) {
 	c := qt.New(t)
 	cl := peer.NewClient(serve(t, noDelay), secret)
 	defer cl.Close()
 	for range 3 {
-		reply, err := cl.Ask(context.Background(), &schema.PeerRequest{From: schema.PeerState{Name: "me"}, Drains: []string{"w1"}})
+		reply, err := cl.Exchange(context.Background(), &schema.PeerRequest{From: schema.PeerState{Name: "me"}, Drains: []string{"w1"}})
 		c.Assert(err, qt.IsNil)
 		c.Check(reply.From.Name, qt.Equals, "me")
 		c.Check(reply.InFlight, qt.DeepEquals, []schema.VMInFlight{{VM: "w1"}})
@@ -54,7 +55,8 @@
 	}
 }
 
-// TestLateAnswer gives a question up: its late answer must not be taken for the next one's.
+// TestLateAnswer guards against taking a late reply to a canceled request for the reply to the next
+// one.
 func TestLateAnswer(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
@@ -67,26 +69,27 @@
 	defer cl.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	_, err := cl.Ask(ctx, &schema.PeerRequest{From: schema.PeerState{Name: "slow"}})
+	_, err := cl.Exchange(ctx, &schema.PeerRequest{From: schema.PeerState{Name: "slow"}})
 	c.Assert(err, qt.IsNotNil)
 	close(release)
-	reply, err := cl.Ask(context.Background(), &schema.PeerRequest{From: schema.PeerState{Name: "next"}})
+	reply, err := cl.Exchange(context.Background(), &schema.PeerRequest{From: schema.PeerState{Name: "next"}})
 	c.Assert(err, qt.IsNil)
 	c.Check(reply.From.Name, qt.Equals, "next")
 }
 
-// TestWrongSecret refuses dialers and listeners that do not know the secret.
+// TestWrongSecret checks that dialers and listeners without the secret are rejected, also if they
+// reflect the other side's proof.
 func TestWrongSecret(t *testing.T) {
 	c := qt.New(t)
 	cl := peer.NewClient(serve(t, noDelay), "another-secret-here")
 	defer cl.Close()
-	_, err := cl.Ask(context.Background(), &schema.PeerRequest{})
+	_, err := cl.Exchange(context.Background(), &schema.PeerRequest{})
 	c.Check(err, qt.IsNotNil)
 
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = ln.Close() }()
-	go func() { // a listener that reflects what the dialer proves
+	go func() { // a listener that reflects the dialer's proof
 		conn, err := ln.Accept()
 		if err != nil {
 			return
@@ -99,11 +102,11 @@
 	}()
 	impostor := peer.NewClient(ln.Addr().String(), secret)
 	defer impostor.Close()
-	_, err = impostor.Ask(context.Background(), &schema.PeerRequest{})
-	c.Check(errors.As(err, new(peer.ErrNotPeer)), qt.IsTrue, qt.Commentf("%v", err))
+	_, err = impostor.Exchange(context.Background(), &schema.PeerRequest{})
+	c.Check(errors.As(err, new(peer.ErrHandshake)), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// TestBadFrames sends a server what is no frame: it ends the link and serves the next one.
+// TestBadFrames checks that a malformed frame ends its link only.
 func TestBadFrames(t *testing.T) {
 	address := serve(t, noDelay)
 	oversized := binary.BigEndian.AppendUint32(nil, peer.MaxFrame+1)
@@ -127,13 +130,13 @@
 			}
 			cl := peer.NewClient(address, secret)
 			defer cl.Close()
-			_, err = cl.Ask(context.Background(), &schema.PeerRequest{})
+			_, err = cl.Exchange(context.Background(), &schema.PeerRequest{})
 			c.Check(err, qt.IsNil)
 		})
 	}
 }
 
-// TestFrameErrors names each fault of a frame.
+// TestFrameErrors checks the error for each kind of malformed frame.
 func TestFrameErrors(t *testing.T) {
 	c := qt.New(t)
 	var v schema.PeerHello
@@ -147,7 +150,7 @@
 	c.Check(errors.As(err, new(peer.ErrFrameTooLarge)), qt.IsTrue)
 }
 
-// FuzzReadFrame feeds the reader any bytes: an error or a value that is written back alike.
+// FuzzReadFrame checks that any input gives an error or a value that survives a round trip.
 func FuzzReadFrame(f *testing.F) {
 	var buf bytes.Buffer
 	_, _ = peer.WriteFrame(&buf, &schema.PeerRequest{Drains: []string{"w1"}, Entries: []schema.Entry{{EditID: "e", Changes: []schema.Change{{Name: "a", After: []byte("{}")}}}}})
--- a/pkg/peer/quiet.go
+++ b/pkg/peer/quiet.go
@@ -11,88 +11,87 @@
 )
 
 const (
-	// quietAfter is how long a call waits on a link on which nothing comes before
-	// the peer is asked, on the same link, whether it is there.
-	quietAfter = 150 * time.Millisecond
-	// checkTimeout bounds the try of another link beside one that stays quiet.
-	checkTimeout = time.Second
+	// idleProbeDelay is how long a call waits on a link without incoming data before the peer is
+	// probed on the same link.
+	idleProbeDelay = 150 * time.Millisecond
+	// replaceTimeout bounds the attempt to replace a stalled link.
+	replaceTimeout = time.Second
 )
 
-// errSilent is why a link is given up on which nothing comes while the peer answers on another.
-var errSilent = errors.New("the link is silent and the peer answers on another")
+// errLinkStalled is the error of a link that was replaced.
+var errLinkStalled = errors.New("link stalled and was replaced")
 
-// aloud asks a peer whether it is there, and for nothing else: no owner is newer
-// than the version.
-var aloud = &schema.Call{Kind: schema.CallKindPing, OwnersVersion: math.MaxInt64}
+// probe is a ping whose reply lists no owner rows, since none has a newer version.
+var probe = &schema.Call{Kind: schema.CallKindPing, OwnersVersion: math.MaxInt64}
 
-// check sees whether a link has fallen silent on which a call waits. It asks on
-// the link first. If that brings nothing either, another link is opened, and takes
-// the place of this one only once the peer has answered on it: a peer that is slow,
-// or gone, is not served better by a new link.
-func (c *Caller) check(l *callLink) {
-	if !l.silentSinceAsked() {
+// checkStalled replaces a link that has stalled while a call waits on it. It probes the peer on
+// that link first. If no data arrives, it opens another link and switches to it only once the peer
+// has answered there, since a new link does not help with a slow or failed peer.
+func (c *Caller) checkStalled(l *callLink) {
+	if !l.probeUnanswered() {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.checking || c.link != l {
+	if c.replacing || c.link != l {
 		return
 	}
-	c.checking = true
-	go c.replaceIfSilent(l)
+	c.replacing = true
+	go c.replaceIfStalled(l)
 }
 
-// silentSinceAsked tells whether the peer has left the question unanswered whether
-// it is there; it asks it if nothing has come for a while.
-func (l *callLink) silentSinceAsked() bool {
+// probeUnanswered reports whether the last probe has gone unanswered; it sends one if no data has
+// arrived for idleProbeDelay.
+func (l *callLink) probeUnanswered() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
 	switch {
-	case now.Sub(l.heardAt) < quietAfter:
+	case now.Sub(l.receivedAt) < idleProbeDelay:
 		return false
-	case !l.askedAt.After(l.heardAt):
-		l.askedAt = now
-		go l.send(aloud)
+	case !l.probedAt.After(l.receivedAt):
+		l.probedAt = now
+		go l.send(probe)
 		return false
 	default:
-		return now.Sub(l.askedAt) >= quietAfter
+		return now.Sub(l.probedAt) >= idleProbeDelay
 	}
 }
 
-// answeredQuestion tells whether anything has come since the peer was asked last.
-func (l *callLink) answeredQuestion() bool {
+// probeAnswered reports whether data has arrived since the last probe.
+func (l *callLink) probeAnswered() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heardAt.After(l.askedAt)
+	return l.receivedAt.After(l.probedAt)
 }
 
-// replaceIfSilent opens another link and gives the quiet one up if the peer answers on the new one only.
-func (c *Caller) replaceIfSilent(quiet *callLink) {
-	next, err := c.openChecked()
+// replaceIfStalled opens another link and closes the stalled one if the peer answers only on the
+// new one.
+func (c *Caller) replaceIfStalled(stalled *callLink) {
+	next, err := c.dialProbed()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.checking = false
+	c.replacing = false
 	if err != nil {
-		return // the calls on the quiet link find out themselves
+		return // the calls on the stalled link time out on their own
 	}
-	if c.link != quiet || quiet.answeredQuestion() {
-		next.fail(errors.New("not needed"))
+	if c.link != stalled || stalled.probeAnswered() {
+		next.fail(errors.New("link is not needed"))
 		return
 	}
 	c.link = next
-	quiet.fail(errSilent)
+	stalled.fail(errLinkStalled)
 }
 
-// openChecked opens a link and returns it once the peer has answered on it.
-func (c *Caller) openChecked() (*callLink, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), checkTimeout)
+// dialProbed opens a link and returns it once the peer has answered a probe on it.
+func (c *Caller) dialProbed() (*callLink, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), replaceTimeout)
 	defer cancel()
 	l, err := c.dial(ctx)
 	if err != nil {
 		return nil, err
 	}
-	if _, err := l.call(ctx, aloud, func() {}); err != nil {
+	if _, err := l.call(ctx, probe, func() {}); err != nil {
 		l.fail(err)
 		return nil, err
 	}
--- a/pkg/peer/server.go
+++ b/pkg/peer/server.go
@@ -18,10 +18,10 @@
 	maxLinks         = 1024
 )
 
-// Handler answers a peer's question.
+// Handler answers a request of a peer.
 type Handler func(ctx context.Context, q *schema.PeerRequest) *schema.PeerReply
 
-// Server takes links from peers.
+// Server accepts links of peers and answers their requests.
 type Server struct {
 	ln      net.Listener
 	secret  string
@@ -34,18 +34,19 @@
 	wg    sync.WaitGroup
 }
 
-// ServerOption changes how a Server is made.
+// ServerOption configures a [Server].
 type ServerOption func(*Server)
 
-// WithLogger logs links that are refused or break.
+// WithLogger sets the logger.
 func WithLogger(l zerolog.Logger) ServerOption { return func(s *Server) { s.log = l } }
 
-// WithServerBytes reports the bytes of each exchange.
+// WithServerBytes sets a callback for the bytes of each exchange.
 func WithServerBytes(f func(sent, received int)) ServerOption {
 	return func(s *Server) { s.onBytes = f }
 }
 
-// NewServer returns a server of links at ln, which may be a TLS listener.
+// NewServer returns a server that accepts links at ln, which may be a TLS listener; secret
+// authenticates peers.
 func NewServer(ln net.Listener, secret string, h Handler, opts ...ServerOption) *Server {
 	s := &Server{
 		ln: ln, secret: secret, handler: h,
@@ -58,7 +59,7 @@
 	return s
 }
 
-// Serve takes links until ctx ends; then it closes them all and waits for their goroutines.
+// Serve accepts links until ctx ends, then closes them all and waits for their goroutines.
 func (s *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, s.closeAll)
 	defer stop()
@@ -111,7 +112,7 @@
 
 func (s *Server) serveLink(ctx context.Context, conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(handshakeTimeout))
-	if err := receive(conn, s.secret); err != nil {
+	if err := acceptHandshake(conn, s.secret); err != nil {
 		s.log.Warn().Str("event", "peer_refused").Str("remote", conn.RemoteAddr().String()).Err(err).Send()
 		return
 	}
--- a/pkg/peer/silent_test.go
+++ b/pkg/peer/silent_test.go
@@ -15,19 +15,19 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// silentCalls is an entry whose links can fall silent, and a caller of it.
-type silentCalls struct {
+// stallableEntry is an entry whose links can be stalled, and a caller of it.
+type stallableEntry struct {
 	ln     *silence.Listener
 	caller *peer.Caller
-	delay  time.Duration // of answers but those to pings
+	delay  time.Duration // of replies, except to probes
 }
 
-func newSilentCalls(t *testing.T, delay time.Duration) *silentCalls {
+func newStallableEntry(t *testing.T, delay time.Duration) *stallableEntry {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &silentCalls{ln: silence.Wrap(ln), caller: peer.NewCaller(ln.Addr().String()), delay: delay}
+	s := &stallableEntry{ln: silence.Wrap(ln), caller: peer.NewCaller(ln.Addr().String()), delay: delay}
 	ctx, cancel := context.WithCancel(context.Background())
 	server := peer.NewCallServer(s.ln, func(_ context.Context, q *schema.Call) *schema.CallReply {
 		if q.Kind != schema.CallKindPing {
@@ -40,7 +40,7 @@
 	return s
 }
 
-func (s *silentCalls) call(t time.Duration) (took time.Duration, err error) {
+func (s *stallableEntry) call(t time.Duration) (took time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), t)
 	defer cancel()
 	started := time.Now()
@@ -48,11 +48,11 @@
 	return time.Since(started), err
 }
 
-// TestSilentLink has a link fall silent twice: what was sent on it is given up well
-// before the caller's time is over, and what is asked next is answered at once.
-func TestSilentLink(t *testing.T) {
+// TestStalledLink checks that a call on a stalled link fails well before its own timeout, and that
+// the next call succeeds at once on a new link.
+func TestStalledLink(t *testing.T) {
 	c := qt.New(t)
-	s := newSilentCalls(t, 0)
+	s := newStallableEntry(t, 0)
 	for range 2 {
 		_, err := s.call(10 * time.Second)
 		c.Assert(err, qt.IsNil)
@@ -66,10 +66,10 @@
 	c.Check(s.ln.Accepted(), qt.Equals, 3)
 }
 
-// TestSlowPeer has an entry take long for its answers: its link is not held for silent.
+// TestSlowPeer guards against replacing the link to a slow peer.
 func TestSlowPeer(t *testing.T) {
 	c := qt.New(t)
-	s := newSilentCalls(t, 1200*time.Millisecond)
+	s := newStallableEntry(t, 1200*time.Millisecond)
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
