--- a/pkg/node/accounts.go
+++ b/pkg/node/accounts.go
@@ -14,7 +14,7 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// accountStatus tells operators what client accounts have been promised and have running.
+// accountStatus reports the limits and the use of all client accounts to operators.
 func (n *Node) accountStatus(c echo.Context) error {
 	cat := n.Catalog()
 	if cat == nil {
@@ -23,13 +23,13 @@
 	pools := n.accountsInPools(c.Request().Context(), cat)
 	answer := api.Accounts{CatalogVersion: int(cat.Version), Accounts: []api.AccountStatus{}}
 	for i := range cat.Accounts {
-		answer.Accounts = append(answer.Accounts, statusOf(&cat.Accounts[i], pools))
+		answer.Accounts = append(answer.Accounts, accountStatusOf(&cat.Accounts[i], pools))
 	}
 	slices.SortFunc(answer.Accounts, func(a, b api.AccountStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return c.JSON(http.StatusOK, answer)
 }
 
-func statusOf(a *catalog.Account, pools map[string][]api.AccountInPool) api.AccountStatus {
+func accountStatusOf(a *catalog.Account, pools map[string][]api.AccountInPool) api.AccountStatus {
 	st := api.AccountStatus{
 		Name: a.Name, Keys: []string{}, Weight: a.Weight, Cpu: a.Limit.CPU, MemoryMb: a.Limit.MemoryMB, Gpu: a.Limit.GPU,
 		Pools: pools[a.Name],
@@ -44,14 +44,15 @@
 	return st
 }
 
-// accountsInPools asks the owner of each pool's shard for all its accounts, by name.
+// accountsInPools asks the owner of each pool's shard for the use of all its accounts, by account
+// name. Owners that don't answer are left out.
 func (n *Node) accountsInPools(ctx context.Context, cat *catalog.Catalog) map[string][]api.AccountInPool {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	all := map[string][]api.AccountInPool{}
 	for _, pool := range cat.WorkingPools() {
 		wg.Go(func() {
-			l, ok := n.loadOf(ctx, pool, &allowance.Grant{Full: true}) // of no holder: it grants nothing
+			l, ok := n.loadOf(ctx, pool, &allowance.Grant{Full: true}) // names no holder, so it grants nothing
 			if !ok {
 				return
 			}
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -2,33 +2,33 @@
 
 import "github.com/gannetwell/gannetwell/pkg/catalog"
 
-// Admission is what a caller's key is answered with.
+// Admission is the result of checking a client's key.
 type Admission string
 
-// The answers to a key.
+// The results of checking a key.
 const (
-	// AdmissionGranted lets the call in.
+	// AdmissionGranted accepts the request.
 	AdmissionGranted Admission = "granted"
-	// AdmissionUnknownKey refuses a key that no account has, or the lack of one.
+	// AdmissionUnknownKey rejects a missing key, or one that no account has.
 	AdmissionUnknownKey Admission = "unknown_key"
-	// AdmissionUnsure refuses a key that may have been added since this entry last heard of the configuration.
+	// AdmissionUnsure rejects a key that may be newer than the configuration known here.
 	AdmissionUnsure Admission = "unsure"
 )
 
-// Admit looks a caller's key up, which is empty for none, and returns the account.
-// An entry that the table service does not answer may not know the newest keys yet:
-// its caller is sent elsewhere rather than told that the key is wrong.
+// Admit looks up the account of a client's key, which is empty for none. While the table service
+// does not answer, an unknown key may be new, so the client is sent to another entry instead of
+// being told that the key is wrong.
 func (n *Node) Admit(cat *catalog.Catalog, q *catalog.Queue, key string) (account string, a Admission) {
 	account, ok := cat.Admit(q, key)
 	switch {
 	case ok:
 		return account, AdmissionGranted
-	case key != "" && !n.rows.ok():
+	case key != "" && !n.rows.answering():
 		a = AdmissionUnsure
 	default:
 		a = AdmissionUnknownKey
 	}
-	n.metrics.keys.WithLabelValues(string(a)).Inc()
+	n.metrics.keysRefused.WithLabelValues(string(a)).Inc()
 	fingerprint := ""
 	if key != "" {
 		fingerprint = catalog.KeyOf(key).Fingerprint()
--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -15,15 +15,15 @@
 func (n *Node) answerPeer(ctx context.Context, q *schema.Call) *schema.CallReply {
 	switch q.Kind {
 	case schema.CallKindPing:
-		version, claiming := n.keeper.OwnersVersion()
+		version, claiming := n.ownership.OwnersVersion()
 		return &schema.CallReply{
 			Outcome: schema.CallOutcomeOk, CatalogVersion: int(n.catalogVersion()),
-			ReachesStore: n.rows.ok(), Start: int(n.self.Start),
-			OwnersVersion: int(version), Claiming: claiming, Stopping: n.stopping.Load(), Owners: n.keeper.RowsSince(int64(q.OwnersVersion)),
+			ReachesStore: n.rows.answering(), Start: int(n.self.Start),
+			OwnersVersion: int(version), Claiming: claiming, Stopping: n.stopping.Load(), Owners: n.ownership.RowsSince(int64(q.OwnersVersion)),
 		}
 	case schema.CallKindStandDown:
 		row := platform.Row{Value: q.OwnerRow, Version: int64(q.OwnersVersion)}
-		if n.keeper.StandDown(ctx, q.Pool, row) {
+		if n.ownership.StandDown(ctx, q.Pool, row) {
 			return &schema.CallReply{Outcome: schema.CallOutcomeOk}
 		}
 		return &schema.CallReply{Outcome: schema.CallOutcomeRefused}
@@ -33,7 +33,7 @@
 		}
 		return &schema.CallReply{Outcome: schema.CallOutcomeNotFound}
 	}
-	_, local, _ := n.keeper.Owner(q.Pool)
+	_, local, _ := n.ownership.Owner(q.Pool)
 	o, ok := local.(*shard.Owner)
 	if !ok {
 		return &schema.CallReply{Outcome: schema.CallOutcomeNotOwner}
@@ -45,7 +45,7 @@
 	return shard.Asker{Account: q.Account, Operator: q.Operator}
 }
 
-// answerLocal answers a call from a shard of this entry.
+// answerLocal answers a call with a shard that this entry owns.
 func (n *Node) answerLocal(ctx context.Context, o *shard.Owner, q *schema.Call) *schema.CallReply {
 	switch q.Kind {
 	case schema.CallKindSubmit:
@@ -64,7 +64,7 @@
 		waiting, out := o.Waiting(q.Queue)
 		return &schema.CallReply{Outcome: out, Waiting: waiting}
 	case schema.CallKindLoad:
-		full := n.passGrant(o, q.Grant)
+		full := n.applyGrant(o, q.Grant)
 		l, ok := o.Load(full)
 		raw, err := msgpack.Marshal(l)
 		if !ok || err != nil {
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -17,22 +17,20 @@
 )
 
 const (
-	// ownerWait is how long a call of another part of the system waits for a shard
-	// to get an owner before it is refused; a handover takes less.
-	ownerWait = 120 * time.Millisecond
-	// callerWait is how long a caller's request waits for an owner that can take it.
-	// An owner that falls silent is replaced within about 1.6 s; a caller that is
-	// refused meanwhile comes again a second later, by which its job is late. It
-	// gains 0.011 +- 0.006 of what callers get on days with trouble (80 pairs).
-	callerWait = 2 * time.Second
-	// askAgain is the pause before an owner that could not take a request is asked
-	// again, unless the shard gets another one before.
-	askAgain = 150 * time.Millisecond
-	// forwardTimeout bounds a call to the owner; it is above what the owner itself may wait.
+	// internalOwnerWait is how long an internal call waits for a shard to get an owner, long enough
+	// for a handover.
+	internalOwnerWait = 120 * time.Millisecond
+	// clientOwnerWait is how long a client's request waits for an owner that accepts it, long
+	// enough for the takeover from an owner that has failed.
+	clientOwnerWait = 2 * time.Second
+	// ownerRetryInterval is the time before an owner that could not accept a request is asked
+	// again, unless the shard gets a new owner earlier.
+	ownerRetryInterval = 150 * time.Millisecond
+	// forwardTimeout bounds a call to an owner; it exceeds what the owner itself may wait.
 	forwardTimeout = 1800 * time.Millisecond
 )
 
-// Submit hands a job to the owner of its queue's shard.
+// Submit passes a job to the owner of its queue's shard.
 func (n *Node) Submit(ctx context.Context, q *catalog.Queue, account, id string, spec jobs.Spec) schema.CallOutcome {
 	record := jobs.Record{Queue: q.Name, Account: account, AcceptedAt: time.Duration(time.Now().UnixNano()), MaxAttempts: q.MaxAttempts, Spec: spec}
 	raw, err := record.Encode()
@@ -40,32 +38,32 @@
 		n.log.Error().Str("event", "job_encode_failed").Str("job", id).Err(err).Send()
 		return schema.CallOutcomeRefused
 	}
-	if out, why := n.refuseAtOnce(&record, raw); out != schema.CallOutcomeOk {
+	if out, why := n.precheckSubmission(&record, raw); out != schema.CallOutcomeOk {
 		n.log.Warn().Str("event", "submission").Str("request", id).Str("queue", q.Name).Str("pool", q.Pool).Str("account", account).
 			Int("bytes", len(raw)).Str("outcome", string(out)).Str("why", why).Send()
 		return out
 	}
 	call := &schema.Call{Kind: schema.CallKindSubmit, Pool: q.Pool, Queue: q.Name, Job: id, Record: raw}
-	reply := n.askForCaller(ctx, call)
+	reply := n.callOwnerForClient(ctx, call)
 	n.log.Info().Str("event", "submission").Str("request", id).Str("queue", q.Name).Str("pool", q.Pool).Str("account", account).
 		Int64("catalog", n.catalogVersion()).Str("outcome", string(reply.Outcome)).Send()
 	return reply.Outcome
 }
 
-// refuseAtOnce tells what is wrong with a submission that no owner could take.
-func (n *Node) refuseAtOnce(r *jobs.Record, raw []byte) (out schema.CallOutcome, why string) {
+// precheckSubmission rejects a submission that no owner could accept, and tells why.
+func (n *Node) precheckSubmission(r *jobs.Record, raw []byte) (out schema.CallOutcome, why string) {
 	if err := r.CheckSize(raw, cmp.Or(n.settings.Store.RowBytes, platform.UsualRowBytes)); err != nil {
 		return schema.CallOutcomeTooLarge, err.Error()
 	}
-	if n.nowhereToStart() {
+	if n.allZonesEvacuated() {
 		return schema.CallOutcomeRefused, "all zones are out of use"
 	}
 	return schema.CallOutcomeOk, ""
 }
 
-// State asks for the state of a job.
+// State returns the state of a job.
 func (n *Node) State(ctx context.Context, q *catalog.Queue, id string, by shard.Asker) (jobs.State, schema.CallOutcome) {
-	reply := n.askForCaller(ctx, callFor(schema.CallKindState, q, id, by))
+	reply := n.callOwnerForClient(ctx, callFor(schema.CallKindState, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
 	}
@@ -75,15 +73,15 @@
 	return jobs.State(reply.State), reply.Outcome
 }
 
-// callFor is a question about a job.
+// callFor returns a call about a job.
 func callFor(kind schema.CallKind, q *catalog.Queue, id string, by shard.Asker) *schema.Call {
 	return &schema.Call{Kind: kind, Pool: q.Pool, Queue: q.Name, Job: id, Account: by.Account, Operator: by.Operator}
 }
 
-// confirmAbsent asks the table itself before a job is said not to exist: the
-// owner that was asked may have been replaced without knowing it yet.
+// confirmAbsent looks a job up in the table service before the client is told that it does not
+// exist: the owner that was asked may have been replaced without knowing it.
 func (n *Node) confirmAbsent(ctx context.Context, q *catalog.Queue, id string, by shard.Asker) schema.CallOutcome {
-	ctx, ended := n.untilEnd(ctx)
+	ctx, ended := n.cancelAtStop(ctx)
 	defer ended()
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -99,9 +97,9 @@
 	}
 }
 
-// Cancel ends a job.
+// Cancel cancels a job.
 func (n *Node) Cancel(ctx context.Context, q *catalog.Queue, id string, by shard.Asker) schema.CallOutcome {
-	reply := n.askForCaller(ctx, callFor(schema.CallKindCancel, q, id, by))
+	reply := n.callOwnerForClient(ctx, callFor(schema.CallKindCancel, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
 	}
@@ -109,55 +107,54 @@
 	return reply.Outcome
 }
 
-// Waiting counts the jobs of a queue that have not begun.
+// Waiting returns the number of jobs in a queue that have not started.
 func (n *Node) Waiting(ctx context.Context, q *catalog.Queue) (int, schema.CallOutcome) {
-	reply := n.askForCaller(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
+	reply := n.callOwnerForClient(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
 	return reply.Waiting, reply.Outcome
 }
 
-// ask puts a call to the owner of its shard, here or at another entry.
-func (n *Node) ask(ctx context.Context, q *schema.Call) *schema.CallReply {
-	return n.askWithin(ctx, q, ownerWait)
+// callOwner sends an internal call to the owner of its shard, which may be this entry.
+func (n *Node) callOwner(ctx context.Context, q *schema.Call) *schema.CallReply {
+	return n.callOwnerWithin(ctx, q, internalOwnerWait)
 }
 
-// askForCaller puts a caller's request to the owner of its shard. While the table
-// service answers this entry, a shard whose owner cannot take the request gets
-// another one soon, which the request waits for. Each request may be repeated: a
-// submission at any owner remains one job.
-func (n *Node) askForCaller(ctx context.Context, q *schema.Call) *schema.CallReply {
-	ctx, cancel := n.untilEnd(ctx)
+// callOwnerForClient sends a client's request to the owner of its shard and, if a new owner can be
+// expected, waits for one that accepts it. Requests are idempotent: a job submitted to several
+// owners remains one job.
+func (n *Node) callOwnerForClient(ctx context.Context, q *schema.Call) *schema.CallReply {
+	ctx, cancel := n.cancelAtStop(ctx)
 	defer cancel()
-	if !n.ownerMayFollow() {
-		return n.askWithin(ctx, q, ownerWait)
+	if !n.newOwnerExpected() {
+		return n.callOwnerWithin(ctx, q, internalOwnerWait)
 	}
-	return n.askWithin(ctx, q, callerWait)
+	return n.callOwnerWithin(ctx, q, clientOwnerWait)
 }
 
-// untilEnd returns a context that ends also when a node that stops has to answer
-// what it was asked: a caller that is told that the outcome is unknown, or that there
-// was none, is better off than one whose connection closes.
-func (n *Node) untilEnd(ctx context.Context) (context.Context, context.CancelFunc) {
+// cancelAtStop returns a context that also ends when a planned stop cancels open requests. The
+// client then gets an answer, such as an unknown outcome, before its connection closes.
+func (n *Node) cancelAtStop(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
-	stop := context.AfterFunc(n.ending, cancel)
+	stop := context.AfterFunc(n.waitCtx, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
 	}
 }
 
-func (n *Node) askWithin(ctx context.Context, q *schema.Call, patience time.Duration) *schema.CallReply {
-	ctx, cancel := context.WithTimeout(ctx, patience+forwardTimeout)
+// callOwnerWithin retries a call, also at new owners, until it is answered or maxWait is over.
+func (n *Node) callOwnerWithin(ctx context.Context, q *schema.Call, maxWait time.Duration) *schema.CallReply {
+	ctx, cancel := context.WithTimeout(ctx, maxWait+forwardTimeout)
 	defer cancel()
-	deadline := time.Now().Add(patience)
-	unknown := false // an owner may have taken the request without our having its answer
+	deadline := time.Now().Add(maxWait)
+	unknown := false // an owner may have executed the request although its answer was lost
 	for {
-		row, local, _ := n.keeper.Owner(q.Pool)
-		reply := n.askOwner(ctx, q, row, local)
-		if answered(reply) {
+		row, local, _ := n.ownership.Owner(q.Pool)
+		reply := n.sendToOwner(ctx, q, row, local)
+		if isFinal(reply) {
 			return reply
 		}
 		unknown = unknown || reply.Outcome == schema.CallOutcomeUnknown
-		if n.mayTakeLater(reply, patience) && n.awaitOwner(ctx, q.Pool, row.Term, time.Until(deadline)) {
+		if n.shouldRetry(reply, maxWait) && n.awaitOwner(ctx, q.Pool, row.Term, time.Until(deadline)) {
 			continue
 		}
 		if unknown {
@@ -167,8 +164,8 @@
 	}
 }
 
-// answered tells whether an owner has done what it was asked, or said what there is to say.
-func answered(reply *schema.CallReply) bool {
+// isFinal reports whether the owner has answered the request, so that there is nothing to retry.
+func isFinal(reply *schema.CallReply) bool {
 	switch reply.Outcome {
 	case schema.CallOutcomeNotOwner, schema.CallOutcomeRefused, schema.CallOutcomeUnknown:
 		return false
@@ -177,34 +174,34 @@
 	}
 }
 
-// mayTakeLater tells whether it is of use to ask again: the owner is another one
-// by now, or is about to be replaced.
-func (n *Node) mayTakeLater(reply *schema.CallReply, patience time.Duration) bool {
-	if patience <= ownerWait {
+// shouldRetry reports whether the owner has changed, or is expected to.
+func (n *Node) shouldRetry(reply *schema.CallReply, maxWait time.Duration) bool {
+	if maxWait <= internalOwnerWait {
 		return reply.Outcome == schema.CallOutcomeNotOwner
 	}
-	return n.ownerMayFollow()
+	return n.newOwnerExpected()
 }
 
-// ownerMayFollow tells whether a shard without an owner soon gets one that this entry reaches.
-func (n *Node) ownerMayFollow() bool { return n.rows.ok() && !n.cutOff() }
+// newOwnerExpected reports whether a shard without an owner should soon get one that this entry can
+// reach.
+func (n *Node) newOwnerExpected() bool { return n.rows.answering() && !n.isolated() }
 
-// awaitOwner waits for a shard to get another owner than that of a term, for a
-// moment at the most; it reports false when the patience or ctx is over.
-func (n *Node) awaitOwner(ctx context.Context, pool string, term int64, patience time.Duration) bool {
-	if patience <= 0 {
+// awaitOwner waits for a shard to get another owner than that of a term, at most
+// ownerRetryInterval; it reports false when maxWait is over or ctx has ended.
+func (n *Node) awaitOwner(ctx context.Context, pool string, term int64, maxWait time.Duration) bool {
+	if maxWait <= 0 {
 		return false
 	}
-	moment, cancel := context.WithTimeout(ctx, min(patience, askAgain))
+	waitCtx, cancel := context.WithTimeout(ctx, min(maxWait, ownerRetryInterval))
 	defer cancel()
-	n.ownerChanges(moment, pool, term)
+	n.awaitTermChange(waitCtx, pool, term)
 	return ctx.Err() == nil
 }
 
-// ownerChanges returns when a shard has another owner than that of a term, or ctx ends.
-func (n *Node) ownerChanges(ctx context.Context, pool string, term int64) {
+// awaitTermChange returns when the shard's term differs from the given one, or ctx ends.
+func (n *Node) awaitTermChange(ctx context.Context, pool string, term int64) {
 	for {
-		row, _, changed := n.keeper.Owner(pool)
+		row, _, changed := n.ownership.Owner(pool)
 		if row.Term != term {
 			return
 		}
@@ -216,8 +213,8 @@
 	}
 }
 
-// askOwner puts a call to one owner; it gives the call up when the shard gets another.
-func (n *Node) askOwner(ctx context.Context, q *schema.Call, row shard.OwnerRow, local ownership.Work) *schema.CallReply {
+// sendToOwner sends a call to one owner and cancels it when the shard gets another.
+func (n *Node) sendToOwner(ctx context.Context, q *schema.Call, row shard.OwnerRow, local ownership.Work) *schema.CallReply {
 	if o, ok := local.(*shard.Owner); ok {
 		return n.answerLocal(ctx, o, q)
 	}
@@ -228,7 +225,7 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	go func() {
-		n.ownerChanges(ctx, q.Pool, row.Term)
+		n.awaitTermChange(ctx, q.Pool, row.Term)
 		cancel()
 	}()
 	reply, err := caller.Call(ctx, q)
--- a/pkg/node/calm_test.go
+++ b/pkg/node/calm_test.go
@@ -16,9 +16,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// TestCalmFeeds counts the calls for changes of an entry beside which nothing happens: 91 a minute,
-// where each of its three feeds made 60. 588 entries were worth a fifteenth of a quiet day in calls.
-func TestCalmFeeds(t *testing.T) {
+// TestIdleFeeds bounds the calls for changes that an idle entry makes in a minute.
+func TestIdleFeeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		rows := fake.NewRows(time.Millisecond, time.Second)
@@ -31,25 +30,25 @@
 		})
 		n := newIdleNode(rows)
 		for _, feed := range []func(context.Context) error{n.followCatalog, n.followMembers, n.followOwners} {
-			defer func(stop func() error) { c.Check(stop(), qt.IsNil) }(begin(feed))
+			defer func(stop func() error) { c.Check(stop(), qt.IsNil) }(start(feed))
 		}
 		time.Sleep(time.Minute)
 		c.Check(calls.Load() <= 100, qt.IsTrue, qt.Commentf("%d calls", calls.Load()))
 	})
 }
 
-// TestCalmFeedsAfterSilence has the service fall silent while the feeds wait: what was written
-// meanwhile is known within 2 s after it answers again.
-func TestCalmFeedsAfterSilence(t *testing.T) {
-	for _, begun := range []time.Duration{0, 700 * time.Millisecond, 2300 * time.Millisecond, 3900 * time.Millisecond} {
+// TestIdleFeedsAfterOutage checks that idle feeds read what was written during an outage of the
+// table service within 2 s of its recovery.
+func TestIdleFeedsAfterOutage(t *testing.T) {
+	for _, outageAfter := range []time.Duration{0, 700 * time.Millisecond, 2300 * time.Millisecond, 3900 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			rows := fake.NewRows(time.Millisecond, time.Second)
 			n := newIdleNode(rows)
 			for _, feed := range []func(context.Context) error{n.followCatalog, n.followMembers, n.followOwners} {
-				defer func(stop func() error) { c.Check(stop(), qt.IsNil) }(begin(feed))
+				defer func(stop func() error) { c.Check(stop(), qt.IsNil) }(start(feed))
 			}
-			time.Sleep(5*time.Second + begun)
+			time.Sleep(5*time.Second + outageAfter)
 			rows.SetFault(func(_ fake.RowOp, entry string) fake.Fault {
 				if entry == "e0" {
 					return fake.FaultLostAfter
@@ -67,14 +66,14 @@
 			time.Sleep(time.Second)
 			rows.SetFault(func(fake.RowOp, string) fake.Fault { return fake.FaultNone })
 			time.Sleep(2 * time.Second)
-			row, _, _ := n.keeper.Owner(testPool)
-			c.Check(row.Term, qt.Equals, int64(7), qt.Commentf("silent after %v", begun))
+			row, _, _ := n.ownership.Owner(testPool)
+			c.Check(row.Term, qt.Equals, int64(7), qt.Commentf("outage after %v", outageAfter))
 			c.Check(n.members.Zones(), qt.Contains, "z2")
 		})
 	}
 }
 
-// putEntry registers another entry.
+// putEntry writes the registration of another entry.
 func putEntry(c *qt.C, rows *fake.Rows, m ownership.Member) {
 	raw, err := msgpack.Marshal(m)
 	c.Assert(err, qt.IsNil)
--- a/pkg/node/directory_test.go
+++ b/pkg/node/directory_test.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// pages gives changed rows out as a busy table service does: 500 in an answer.
+// pages is a busy table service with up to 500 changed rows per answer.
 type pages struct {
 	platform.Rows
 	left  int
@@ -35,8 +35,7 @@
 	return page, nil
 }
 
-// TestFullPages follows a table of which 2,200 rows have changed. They are all read at
-// once, and passed on once an answer; with the pause after each answer it took 1.6 s more.
+// TestFullPages checks that full pages are read without a pause and passed on once per page.
 func TestFullPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -47,10 +46,10 @@
 		began := time.Now()
 		var took time.Duration
 		err := n.follow(ctx, feed{
-			table: "t", pace: workersPace,
+			table: "t", minInterval: workerPollInterval,
 			list:  func(context.Context) (int64, error) { return 1, nil },
 			apply: func(platform.Row) { applied++ },
-			applied: func() {
+			onBatch: func() {
 				passed++
 				if applied == 2200 {
 					took = time.Since(began)
@@ -60,12 +59,12 @@
 		})
 		c.Assert(err, qt.IsNil)
 		c.Check(passed, qt.Equals, 5)
-		c.Check(took <= workersPace, qt.IsTrue, qt.Commentf("took %v", took))
+		c.Check(took <= workerPollInterval, qt.IsTrue, qt.Commentf("took %v", took))
 	})
 }
 
-// TestBadDirectoryRow has a worker's row overwritten by one that can't be read, and written
-// well again: it names no worker meanwhile, the other rows hold.
+// TestBadDirectoryRow checks that a malformed directory row removes only its own worker, until a
+// valid row follows.
 func TestBadDirectoryRow(t *testing.T) {
 	c := qt.New(t)
 	n := New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{}, source(), testLog())
@@ -90,5 +89,5 @@
 	c.Check(boots(), qt.DeepEquals, []string{"a", "b"})
 	feed.apply(row("c", "", 6))
 	feed.apply(platform.Row{RowKey: platform.RowKey{Key: "c"}, Removed: true, Version: 7})
-	c.Check(n.badWorkers, qt.HasLen, 0)
+	c.Check(n.malformedWorkers, qt.HasLen, 0)
 }
--- a/pkg/node/evacuation.go
+++ b/pkg/node/evacuation.go
@@ -8,22 +8,22 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// evacuation is an availability zone that is out of use.
+// evacuation is an availability zone that the operator has taken out of use.
 type evacuation struct {
 	zone  string
 	since time.Duration // when this entry learned of it
 }
 
-// evacuations are the zones that the operator has taken out of use: each by a row, which is in
-// force for as long as it is there.
+// evacuations are the zones out of use. Each is set by an operator row and in force as long as the
+// row exists.
 type evacuations struct {
-	mu    sync.Mutex
-	known bool                  // the rows were read once
-	rows  map[string]evacuation // by key
+	mu     sync.Mutex
+	loaded bool                  // the rows were read at least once
+	rows   map[string]evacuation // by key
 }
 
-// has tells whether a zone is out of use.
-func (e *evacuations) has(zone string) bool {
+// contains reports whether a zone is out of use.
+func (e *evacuations) contains(zone string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, row := range e.rows {
@@ -34,15 +34,15 @@
 	return false
 }
 
-// read tells whether the rows are known: an entry that has not read them must start nothing.
-func (e *evacuations) read() bool {
+// isLoaded reports whether the rows have been read; until then an entry must not start tasks.
+func (e *evacuations) isLoaded() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.known
+	return e.loaded
 }
 
-// begin takes a row; it reports whether it is a new one.
-func (e *evacuations) begin(key, zone string, now time.Duration) (begun bool) {
+// add adds a row and reports whether it is new.
+func (e *evacuations) add(key, zone string, now time.Duration) (added bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if _, known := e.rows[key]; known {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// end forgets a row, and returns what it said; ok is false if there was none.
-func (e *evacuations) end(key string) (ended evacuation, ok bool) {
+// remove removes a row and returns it; ok is false if there was none.
+func (e *evacuations) remove(key string) (ended evacuation, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	ended, ok = e.rows[key]
@@ -61,11 +61,12 @@
 	return ended, ok
 }
 
-// settle notes that all rows were read, and returns the keys of those that are not there any more.
-func (e *evacuations) settle(listed map[string]bool) (missing []string) {
+// markLoaded records that all rows were read, and returns the keys of known rows that no longer
+// exist.
+func (e *evacuations) markLoaded(listed map[string]bool) (missing []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.known = true
+	e.loaded = true
 	for key := range e.rows {
 		if !listed[key] {
 			missing = append(missing, key)
@@ -74,7 +75,7 @@
 	return missing
 }
 
-// all returns the zones that are out of use, and since when.
+// all returns the zones out of use, each with the time when this entry learned of it.
 func (e *evacuations) all() map[string]time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,25 +86,25 @@
 	return zones
 }
 
-// listOperator reads all that the operator has written. The history of changes may have been
-// forgotten, and with it that a row was removed.
-func (n *Node) listOperator(ctx context.Context) (version int64, err error) {
+// listOperatorRows reads all operator rows. Evacuations whose row is missing are ended, since the
+// feed may have lost the removal.
+func (n *Node) listOperatorRows(ctx context.Context) (version int64, err error) {
 	listed := map[string]bool{}
 	version, err = n.listAll(ctx, n.source.CatalogTable, func(r platform.Row) {
 		listed[r.Key] = true
-		n.applyOperator(r)
+		n.applyOperatorRow(r)
 	})
 	if err != nil {
 		return 0, err
 	}
-	for _, key := range n.evacuations.settle(listed) {
+	for _, key := range n.evacuations.markLoaded(listed) {
 		n.endEvacuation(key)
 	}
 	return version, nil
 }
 
-// applyEvacuation takes a row of the operator's if it is about a zone out of use. A row that can't
-// be read is passed over; a zone that it took out of use before stays so.
+// applyEvacuation applies an operator row if it describes an evacuation. A malformed row changes
+// nothing, so a zone that is out of use remains so.
 func (n *Node) applyEvacuation(r platform.Row) {
 	if r.Removed {
 		n.endEvacuation(r.Key)
@@ -114,23 +115,23 @@
 	case err != nil:
 		n.metrics.RowMalformed(n.source.CatalogTable)
 		n.log.Error().Str("event", "evacuation_malformed").Str("key", r.Key).Int64("version", r.Version).Err(err).Send()
-	case ok && n.evacuations.begin(r.Key, zone, n.clock.Now()):
-		n.metrics.zonesOut.Set(float64(len(n.evacuations.all())))
+	case ok && n.evacuations.add(r.Key, zone, n.clock.Now()):
+		n.metrics.evacuatedZones.Set(float64(len(n.evacuations.all())))
 		n.log.Warn().Str("event", "zone_evacuated").Str("zone", zone).Int64("version", r.Version).Send()
 	}
 }
 
 func (n *Node) endEvacuation(key string) {
-	ended, ok := n.evacuations.end(key)
+	ended, ok := n.evacuations.remove(key)
 	if !ok {
 		return
 	}
-	n.metrics.zonesOut.Set(float64(len(n.evacuations.all())))
+	n.metrics.evacuatedZones.Set(float64(len(n.evacuations.all())))
 	n.log.Info().Str("event", "zone_returned").Str("zone", ended.zone).Dur("after", n.clock.Now()-ended.since).Send()
 }
 
-// nowhereToStart tells whether all zones that have entries are out of use.
-func (n *Node) nowhereToStart() bool {
+// allZonesEvacuated reports whether all zones that have entries are out of use.
+func (n *Node) allZonesEvacuated() bool {
 	out := n.evacuations.all()
 	if len(out) == 0 {
 		return false
--- a/pkg/node/evacuation_test.go
+++ b/pkg/node/evacuation_test.go
@@ -18,9 +18,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// TestEvacuationRows takes zones out of use and back by rows of the operator's, by changes and by
-// lists that lack a row, whose removal the history no longer tells; rows that can't be read cost
-// themselves alone.
+// TestEvacuationRows checks that zones are taken out of use and returned by changed rows and by a
+// list that lacks a row, and that a malformed row affects no other.
 func TestEvacuationRows(t *testing.T) {
 	c := qt.New(t)
 	rows := fake.NewRows(time.Microsecond, time.Second)
@@ -28,22 +27,22 @@
 	operator := rows.As("operator")
 	key := func(zone string) platform.RowKey { return platform.RowKey{Table: "operator", Key: "out/" + zone} }
 	list := func() {
-		_, err := n.listOperator(context.Background())
+		_, err := n.listOperatorRows(context.Background())
 		c.Assert(err, qt.IsNil)
 	}
-	c.Check(n.evacuations.read(), qt.IsFalse)
+	c.Check(n.evacuations.isLoaded(), qt.IsFalse)
 	putJSON(c, operator, "operator", "out/north", struct{}{})
 	list()
-	c.Check(n.evacuations.read(), qt.IsTrue)
-	c.Check(n.evacuations.has("north"), qt.IsTrue)
-	c.Check(n.evacuations.has("south"), qt.IsFalse)
+	c.Check(n.evacuations.isLoaded(), qt.IsTrue)
+	c.Check(n.evacuations.contains("north"), qt.IsTrue)
+	c.Check(n.evacuations.contains("south"), qt.IsFalse)
 
-	n.applyOperator(platform.Row{RowKey: key("south"), Value: []byte("{}")})
-	n.applyOperator(platform.Row{RowKey: key("west"), Value: []byte("}")})
+	n.applyOperatorRow(platform.Row{RowKey: key("south"), Value: []byte("{}")})
+	n.applyOperatorRow(platform.Row{RowKey: key("west"), Value: []byte("}")})
 	c.Check(n.evacuations.all(), qt.HasLen, 2)
-	n.applyOperator(platform.Row{RowKey: key("south"), Removed: true})
-	n.applyOperator(platform.Row{RowKey: key("west"), Removed: true})
-	c.Check(n.evacuations.has("south"), qt.IsFalse)
+	n.applyOperatorRow(platform.Row{RowKey: key("south"), Removed: true})
+	n.applyOperatorRow(platform.Row{RowKey: key("west"), Removed: true})
+	c.Check(n.evacuations.contains("south"), qt.IsFalse)
 
 	_, err := operator.CommitRows(context.Background(), platform.RowTxn{Remove: []platform.RowKey{key("north")}})
 	c.Assert(err, qt.IsNil)
@@ -51,22 +50,22 @@
 	c.Check(n.evacuations.all(), qt.HasLen, 0)
 }
 
-// TestWorkNeedsOperatorsRows: an entry that does not know yet which zones are out of use begins no work.
+// TestWorkNeedsOperatorsRows checks that no owner starts before the evacuated zones are known.
 func TestWorkNeedsOperatorsRows(t *testing.T) {
 	c := qt.New(t)
 	n := New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{}, source(), testLog())
 	for _, pool := range []string{testPool, fleetops.Partition} {
 		_, err := n.openShard(context.Background(), pool, shard.Seen{}, nil, ownership.Events{})
-		c.Check(err, qt.ErrorIs, errOperatorUnread)
+		c.Check(err, qt.ErrorIs, errOperatorRowsUnread)
 	}
 }
 
-// TestNowhereToStart refuses submissions at once while all zones are out of use.
-func TestNowhereToStart(t *testing.T) {
+// TestAllZonesEvacuated checks that submissions are refused at once while all zones are out of use.
+func TestAllZonesEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		n := New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{}, source(), testLog())
-		n.applyOperator(platform.Row{RowKey: platform.RowKey{Key: "out/" + n.self.Zone}, Value: []byte("{}")})
+		n.applyOperatorRow(platform.Row{RowKey: platform.RowKey{Key: "out/" + n.self.Zone}, Value: []byte("{}")})
 		began := time.Now()
 		out := n.Submit(context.Background(), &catalog.Queue{Name: testQueue, Pool: testPool}, "", "0000000000000001", jobs.Spec{})
 		c.Check(out, qt.Equals, schema.CallOutcomeRefused)
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -16,59 +16,54 @@
 )
 
 const (
-	// feedWait is how long one call for changes waits. A service that was silent
-	// for a while never answers the calls of that time, although their connections
-	// stand: the wait bounds for how long such a call hides what happens after it.
-	feedWait = time.Second
-	// calmWait is how long a call for changes of entries or owners waits. Of three feeds that an
-	// entry asks anew each second one is enough to notice that the service has fallen silent;
-	// then the calls of the others are given up and sent again.
-	calmWait = 4 * time.Second
+	// longPollWait bounds the wait of one long poll. After an outage the service never answers
+	// polls sent during it, so the bound limits how long such a poll delays later changes.
+	longPollWait = time.Second
+	// idleLongPollWait is the wait of long polls on tables that rarely change. Another feed's
+	// shorter polls detect an outage; these polls are then canceled and repeated.
+	idleLongPollWait = 4 * time.Second
 	// readTimeout bounds the read of one row.
 	readTimeout = 2 * time.Second
-	// longestRead bounds a call whose answer may be large, as long as it goes on
-	// coming: 480 KB of configuration take 2 s on a link of 2 Mbit/s that carries
-	// nothing else.
-	longestRead = 15 * time.Second
-	// peerCatalogAfter is how long an entry that the service answers waits for a
-	// configuration that a peer has already, before it asks the peer: both at once
-	// share the link, so that each takes twice as long.
-	peerCatalogAfter = 2500 * time.Millisecond
-	// fullPage is how many changed rows in one answer tell that more wait: the service
-	// gives 500 at once. A follower that pauses after each full page reads 1,250 a second
-	// at most; 3,000 workers write 2,000, so that an owner of 750 of them started tasks on
-	// workers up to 5 s after they had said that they leave, and found new ones as late.
-	fullPage = 400
-	// retryFeed is the pause after a read that was refused; half of it is random, so that entries do not come together.
-	retryFeed = 250 * time.Millisecond
+	// bulkReadTimeout bounds the read of a large answer, such as a configuration, on a slow link.
+	bulkReadTimeout = 15 * time.Second
+	// peerCatalogDelay is how long a newer configuration is expected from the table service before
+	// a peer is asked for it; both transfers at once would share the link.
+	peerCatalogDelay = 2500 * time.Millisecond
+	// fullPageRows is the number of rows in an answer from which more changes are assumed to wait;
+	// the service returns up to 500. The next poll then follows without a pause, so that a feed
+	// keeps up with thousands of changes a second.
+	fullPageRows = 400
+	// feedRetryDelay is the base of the pause after a failed poll, which has random jitter.
+	feedRetryDelay = 250 * time.Millisecond
 )
 
-// feed follows one table.
+// feed describes how a table is followed.
 type feed struct {
 	table string
 	list  func(ctx context.Context) (version int64, err error) // reads the whole table
 	apply func(r platform.Row)
-	// applied is called after the rows of each answer, nil for nothing.
-	applied func()
-	pace    time.Duration // least time between two calls, 0 for none
-	// calm has its calls wait for longer as long as the service answers.
-	calm bool
-	// wanted tells whether to go on, nil for always.
-	wanted func() bool
+	// onBatch is called after the rows of each answer were applied; may be nil.
+	onBatch     func()
+	minInterval time.Duration // minimum time between two polls, 0 for none
+	// idle selects longer polls while the service answers.
+	idle bool
+	// active reports whether to continue; nil for always.
+	active func() bool
 }
 
-// follow keeps to a table until ctx ends or the feed is not wanted any more.
+// follow follows a table until ctx ends or the feed is no longer active. It lists the table first,
+// and again when the service no longer has the changes since then.
 func (n *Node) follow(ctx context.Context, f feed) error {
 	after := int64(-1)
-	for ctx.Err() == nil && (f.wanted == nil || f.wanted()) {
+	for ctx.Err() == nil && (f.active == nil || f.active()) {
 		started := time.Now()
 		rows, err := n.followOnce(ctx, f, &after)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if err == nil {
-			if rows < fullPage {
-				_ = pause.For(ctx, f.pace)
+			if rows < fullPageRows {
+				_ = pause.For(ctx, f.minInterval)
 			}
 			continue
 		}
@@ -78,17 +73,17 @@
 			continue
 		}
 		if time.Since(started) > platform.AnswerSilence {
-			continue // it has waited for an answer that did not come
+			continue // the poll itself has waited long enough
 		}
-		_ = pause.For(ctx, retryFeed/2+rand.N(retryFeed))
+		_ = pause.For(ctx, feedRetryDelay/2+rand.N(feedRetryDelay))
 	}
 	return nil
 }
 
-// followOnce reads the table, or what has changed in it since; it returns the number of changed rows.
+// followOnce lists the table or polls for its changes; it returns the number of changed rows.
 func (n *Node) followOnce(ctx context.Context, f feed, after *int64) (rows int, err error) {
 	if *after < 0 {
-		readCtx, cancel := context.WithTimeout(ctx, longestRead)
+		readCtx, cancel := context.WithTimeout(ctx, bulkReadTimeout)
 		defer cancel()
 		version, err := f.list(readCtx)
 		if err == nil {
@@ -96,14 +91,14 @@
 		}
 		return 0, err
 	}
-	wait := feedWait
-	if f.calm && n.rows.ok() {
-		wait = calmWait
+	wait := longPollWait
+	if f.idle && n.rows.answering() {
+		wait = idleLongPollWait
 	}
-	waitCtx, cancel := context.WithTimeout(ctx, wait+longestRead)
+	waitCtx, cancel := context.WithTimeout(ctx, wait+bulkReadTimeout)
 	defer cancel()
-	if f.calm {
-		defer n.rows.whenLost(cancel)()
+	if f.idle {
+		defer n.rows.notifyLoss(cancel)()
 	}
 	page, err := n.rows.FollowRows(waitCtx, f.table, *after, wait)
 	if err != nil {
@@ -112,8 +107,8 @@
 	for _, r := range page.Rows {
 		f.apply(r)
 	}
-	if len(page.Rows) > 0 && f.applied != nil {
-		f.applied()
+	if len(page.Rows) > 0 && f.onBatch != nil {
+		f.onBatch()
 	}
 	*after = max(*after, page.Version)
 	return len(page.Rows), nil
@@ -127,19 +122,20 @@
 func (n *Node) followCatalog(ctx context.Context) error {
 	return n.follow(ctx, feed{
 		table: n.source.CatalogTable,
-		list:  n.listOperator,
-		apply: n.applyOperator,
+		list:  n.listOperatorRows,
+		apply: n.applyOperatorRow,
 	})
 }
 
-// applyOperator takes a row that the operator wrote.
-func (n *Node) applyOperator(r platform.Row) {
+// applyOperatorRow applies a row that the operator has written: an evacuation, a configuration or a
+// maintenance wave.
+func (n *Node) applyOperatorRow(r platform.Row) {
 	n.applyEvacuation(r)
 	if r.Removed {
 		return
 	}
 	if r.Key == n.source.CatalogKey {
-		n.setCatalog(r.Value, "table")
+		n.applyReceivedCatalog(r.Value, "table")
 		return
 	}
 	w, ok, err := n.source.DecodeWave(r.Key, r.Value)
@@ -151,20 +147,21 @@
 	}
 }
 
-// SetCatalog puts an encoded configuration in force unless a newer one is; an error
-// leaves the last good one.
+// SetCatalog puts an encoded configuration in force unless a newer one is; on an error the current
+// one stays.
 func (n *Node) SetCatalog(raw []byte) (err error) {
-	return n.takeCatalog(raw, "caller")
+	return n.applyCatalog(raw, "caller")
 }
 
-// setCatalog does what SetCatalog does with a configuration that came over a wire.
-func (n *Node) setCatalog(raw []byte, from string) {
-	if err := n.takeCatalog(raw, from); err != nil {
+// applyReceivedCatalog applies a configuration read from the table service or a peer and logs
+// errors.
+func (n *Node) applyReceivedCatalog(raw []byte, from string) {
+	if err := n.applyCatalog(raw, from); err != nil {
 		n.log.Error().Str("event", "catalog_malformed").Str("from", from).Err(err).Send()
 	}
 }
 
-func (n *Node) takeCatalog(raw []byte, from string) error {
+func (n *Node) applyCatalog(raw []byte, from string) error {
 	c, err := n.source.DecodeCatalog(raw)
 	if err != nil {
 		return err
@@ -174,50 +171,50 @@
 	if old := n.catalog.Load(); old != nil && old.Version >= c.Version {
 		return nil
 	}
-	n.catalog.Store(&stored{Catalog: c, raw: raw})
-	n.keeper.SetCatalog(c)
+	n.catalog.Store(&storedCatalog{Catalog: c, raw: raw})
+	n.ownership.SetCatalog(c)
 	n.log.Info().Str("event", "catalog").Int64("version", c.Version).Str("from", from).Int("queues", len(c.Queues)).Int("pools", len(c.Pools)).
 		Int("accounts", len(c.Accounts)).Send()
 	return nil
 }
 
-// fetchCatalog asks a peer for a newer configuration than ours.
+// fetchCatalog asks a peer for a newer configuration, once per version.
 func (n *Node) fetchCatalog(c *peer.Caller, version int64) {
 	n.mu.Lock()
-	if n.asked >= version {
+	if n.requestedCatalog >= version {
 		n.mu.Unlock()
 		return
 	}
-	n.asked = version
+	n.requestedCatalog = version
 	n.mu.Unlock()
 	go n.fetchCatalogFrom(c, version)
 }
 
 func (n *Node) fetchCatalogFrom(c *peer.Caller, version int64) {
-	if n.rows.ok() {
-		time.Sleep(peerCatalogAfter)
+	if n.rows.answering() {
+		time.Sleep(peerCatalogDelay)
 	}
 	if n.catalogVersion() >= version {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), longestRead)
+	ctx, cancel := context.WithTimeout(context.Background(), bulkReadTimeout)
 	defer cancel()
 	reply, err := c.Call(ctx, &schema.Call{Kind: schema.CallKindCatalog})
 	if err != nil || len(reply.Catalog) == 0 {
 		n.log.Warn().Str("event", "catalog_fetch_failed").Int64("version", version).Err(err).Send()
 		n.mu.Lock()
-		n.asked = 0
+		n.requestedCatalog = 0
 		n.mu.Unlock()
 		return
 	}
-	n.setCatalog(reply.Catalog, "peer")
+	n.applyReceivedCatalog(reply.Catalog, "peer")
 }
 
 func (n *Node) followMembers(ctx context.Context) error {
 	apply := func(r platform.Row) { n.members.Apply(ctx, r) }
 	registered := false
 	return n.follow(ctx, feed{
-		table: ownership.TableMember, calm: true,
+		table: ownership.TableMember, idle: true,
 		list: func(ctx context.Context) (int64, error) {
 			if !registered {
 				if err := n.members.Register(ctx); err != nil {
@@ -231,23 +228,23 @@
 	})
 }
 
-// followOwners follows the owner rows; a shard's row is read once before,
-// since the table has a partition for each.
+// followOwners follows the owner rows. The table has a partition for each shard, so existing rows
+// are read one by one in the background.
 func (n *Node) followOwners(ctx context.Context) error {
 	go n.readOwners(ctx)
 	return n.follow(ctx, feed{
-		table: shard.TableOwner, calm: true,
+		table: shard.TableOwner, idle: true,
 		list: func(ctx context.Context) (int64, error) {
 			page, err := n.rows.ListRows(ctx, shard.TableOwner, "", "")
 			return page.Version, err
 		},
-		apply: func(r platform.Row) { n.keeper.ApplyOwner(r.Partition, r) },
+		apply: func(r platform.Row) { n.ownership.ApplyOwner(r.Partition, r) },
 	})
 }
 
-// readOwners reads the owner rows of shards that are not known yet.
+// readOwners reads owner rows that are not known yet, until ctx ends.
 func (n *Node) readOwners(ctx context.Context) {
-	tick := time.NewTicker(retryFeed)
+	tick := time.NewTicker(feedRetryDelay)
 	defer tick.Stop()
 	for {
 		select {
@@ -255,14 +252,14 @@
 			return
 		case <-tick.C:
 		}
-		for _, pool := range n.keeper.UnreadPools() {
+		for _, pool := range n.ownership.UnreadPools() {
 			readCtx, cancel := context.WithTimeout(ctx, readTimeout)
 			row, err := shard.ReadOwner(readCtx, n.rows, pool)
 			cancel()
 			if err != nil {
 				break
 			}
-			n.keeper.ApplyOwner(pool, row)
+			n.ownership.ApplyOwner(pool, row)
 		}
 	}
 }
--- a/pkg/node/local.go
+++ b/pkg/node/local.go
@@ -7,7 +7,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// local is what the pings to other entries need of this one.
+// local implements [ownership.Local].
 type local struct{ *Node }
 
 // CatalogVersion implements ownership.Local.
@@ -15,21 +15,21 @@
 
 // OwnersVersion implements ownership.Local.
 func (l local) OwnersVersion() int64 {
-	version, _ := l.keeper.OwnersVersion()
+	version, _ := l.ownership.OwnersVersion()
 	return version
 }
 
 // ReachesStore implements ownership.Local.
-func (l local) ReachesStore() bool { return l.rows.ok() }
+func (l local) ReachesStore() bool { return l.rows.answering() }
 
 // StoreAnsweredFor implements ownership.Local.
-func (l local) StoreAnsweredFor() time.Duration { return l.rows.okFor() }
+func (l local) StoreAnsweredFor() time.Duration { return l.rows.answeringFor() }
 
 // EntryChanged implements ownership.Local.
-func (l local) EntryChanged() { l.keeper.Wake() }
+func (l local) EntryChanged() { l.ownership.Wake() }
 
 // CatalogNewer implements ownership.Local.
 func (l local) CatalogNewer(c *peer.Caller, version int64) { l.fetchCatalog(c, version) }
 
 // OwnerNews implements ownership.Local.
-func (l local) OwnerNews(pool string, r platform.Row) { l.keeper.ApplyOwner(pool, r) }
+func (l local) OwnerNews(pool string, r platform.Row) { l.ownership.ApplyOwner(pool, r) }
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -14,68 +14,68 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// metricsPort is where figures are served, as the deploy file says.
+// metricsPort is the port of metrics and operators' requests, as in the deployment file.
 const metricsPort = "9464"
 
-// metrics are the node's counters and histograms; it implements shard.Metrics.
+// metrics are the node's Prometheus metrics; it implements [shard.Metrics].
 type metrics struct {
-	registry *prometheus.Registry
-	commits  *prometheus.HistogramVec
-	looks    *prometheus.CounterVec
-	orders   *prometheus.CounterVec
-	ends     *prometheus.CounterVec
-	passed   prometheus.Counter
-	lost     *prometheus.CounterVec
-	jobs     *prometheus.CounterVec
-	keys     *prometheus.CounterVec
-	badRows  *prometheus.CounterVec
-	heldBack *prometheus.CounterVec
-	waited   *prometheus.HistogramVec
-	zonesOut prometheus.Gauge
-
-	mu       sync.Mutex
-	accounts map[string]bool // that have a label of their own
+	registry        *prometheus.Registry
+	commits         *prometheus.HistogramVec
+	leaseRenewals   *prometheus.CounterVec
+	orders          *prometheus.CounterVec
+	attemptEnds     *prometheus.CounterVec
+	repeatedEnds    prometheus.Counter
+	attemptsLost    *prometheus.CounterVec
+	jobs            *prometheus.CounterVec
+	keysRefused     *prometheus.CounterVec
+	malformedRows   *prometheus.CounterVec
+	atLimit         *prometheus.CounterVec
+	predecessorWait *prometheus.HistogramVec
+	evacuatedZones  prometheus.Gauge
+
+	mu               sync.Mutex
+	labelledAccounts map[string]bool // accounts with a label of their own
 }
 
-// maxAccountLabels bounds the accounts that figures are kept of by name, above the 320
-// teams that the service is designed for; others are counted together.
+// maxAccountLabels bounds the accounts with a label of their own; it exceeds the number of accounts
+// that the service is designed for.
 const maxAccountLabels = 400
 
-// otherAccounts is the label of accounts beyond maxAccountLabels.
+// otherAccounts is the label of all further accounts.
 const otherAccounts = "other accounts"
 
 func newMetrics() *metrics {
 	m := &metrics{
 		registry: prometheus.NewRegistry(),
 		commits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "gannetwell_commit_seconds", Help: "Time of transactions at the table service by outcome.",
+			Name: "gannetwell_commit_seconds", Help: "Duration of table service transactions, by outcome.",
 			Buckets: prometheus.ExponentialBuckets(0.002, 2, 12),
 		}, []string{"outcome"}),
-		looks:  counter("gannetwell_looks_total", "Renewals of leases at workers by outcome."),
-		orders: counter("gannetwell_orders_total", "Starts and stops ordered at workers by outcome."),
-		ends:   counter("gannetwell_ends_total", "Ends of attempts by reason."),
-		passed: prometheus.NewCounter(prometheus.CounterOpts{
-			Name: "gannetwell_ends_passed_over_total", Help: "Ends that workers listed though they were told to forget them.",
+		leaseRenewals: counter("gannetwell_looks_total", "Lease renewals at workers, by outcome."),
+		orders:        counter("gannetwell_orders_total", "Start and stop orders sent to workers, by outcome."),
+		attemptEnds:   counter("gannetwell_ends_total", "Task attempts that ended, by reason."),
+		repeatedEnds: prometheus.NewCounter(prometheus.CounterOpts{
+			Name: "gannetwell_ends_passed_over_total", Help: "Ended attempts that workers reported again after the acknowledgment.",
 		}),
-		lost: counter("gannetwell_attempts_lost_total", "Attempts that were lost, by how."),
-		jobs: counter("gannetwell_jobs_total", "Jobs by what became of them."),
-		keys: counter("gannetwell_keys_refused_total", "Calls that were refused for their key, by answer."),
-		badRows: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "gannetwell_rows_malformed_total", Help: "Rows that could not be read, by table.",
+		attemptsLost: counter("gannetwell_attempts_lost_total", "Task attempts that were lost, by cause."),
+		jobs:         counter("gannetwell_jobs_total", "Jobs, by outcome."),
+		keysRefused:  counter("gannetwell_keys_refused_total", "Requests rejected because of their key, by answer."),
+		malformedRows: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "gannetwell_rows_malformed_total", Help: "Malformed rows, by table.",
 		}, []string{"table"}),
-		heldBack: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Name: "gannetwell_account_at_limit_total", Help: "Seconds in which a shard held tasks of a client account back for its limit.",
+		atLimit: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Name: "gannetwell_account_at_limit_total", Help: "Seconds in which a shard held back tasks of a client account at its limit.",
 		}, []string{"account"}),
-		waited: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: "gannetwell_predecessor_wait_seconds", Help: "Time after a takeover in which the owner before could act still, by how that ended.",
+		predecessorWait: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+			Name: "gannetwell_predecessor_wait_seconds", Help: "Time after a takeover until the former owner could no longer act, by how that ended.",
 			Buckets: prometheus.ExponentialBuckets(0.005, 2, 10),
 		}, []string{"end"}),
-		zonesOut: prometheus.NewGauge(prometheus.GaugeOpts{
+		evacuatedZones: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "gannetwell_zones_out", Help: "Availability zones that the operator has taken out of use.",
 		}),
-		accounts: map[string]bool{},
+		labelledAccounts: map[string]bool{},
 	}
-	m.registry.MustRegister(m.commits, m.looks, m.orders, m.ends, m.passed, m.lost, m.jobs, m.keys, m.badRows, m.heldBack, m.waited, m.zonesOut, collectors.NewGoCollector())
+	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.repeatedEnds, m.attemptsLost, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
 	return m
 }
 
@@ -93,23 +93,25 @@
 }
 
 // Look implements shard.Metrics.
-func (m *metrics) Look(err error) { m.looks.WithLabelValues(outcome(err)).Inc() }
+func (m *metrics) Look(err error) { m.leaseRenewals.WithLabelValues(outcome(err)).Inc() }
 
 // Order implements shard.Metrics.
 func (m *metrics) Order(err error) { m.orders.WithLabelValues(outcome(err)).Inc() }
 
 // End implements shard.Metrics.
-func (m *metrics) End(reason platform.EndReason) { m.ends.WithLabelValues(string(reason)).Inc() }
+func (m *metrics) End(reason platform.EndReason) { m.attemptEnds.WithLabelValues(string(reason)).Inc() }
 
 // EndPassedOver implements shard.Metrics.
-func (m *metrics) EndPassedOver() { m.passed.Inc() }
+func (m *metrics) EndPassedOver() { m.repeatedEnds.Inc() }
 
 // AttemptLost implements shard.Metrics.
-func (m *metrics) AttemptLost(kind shard.LossKind) { m.lost.WithLabelValues(string(kind)).Inc() }
+func (m *metrics) AttemptLost(kind shard.LossKind) {
+	m.attemptsLost.WithLabelValues(string(kind)).Inc()
+}
 
 // PredecessorDone implements shard.Metrics.
 func (m *metrics) PredecessorDone(end shard.PredecessorEnd, waited time.Duration) {
-	m.waited.WithLabelValues(string(end)).Observe(waited.Seconds())
+	m.predecessorWait.WithLabelValues(string(end)).Observe(waited.Seconds())
 }
 
 // Job implements shard.Metrics.
@@ -117,26 +119,26 @@
 
 // AccountAtLimit implements shard.Metrics.
 func (m *metrics) AccountAtLimit(account string) {
-	m.heldBack.WithLabelValues(m.accountLabel(account)).Inc()
+	m.atLimit.WithLabelValues(m.accountLabel(account)).Inc()
 }
 
 // RowMalformed implements shard.Metrics.
-func (m *metrics) RowMalformed(table string) { m.badRows.WithLabelValues(table).Inc() }
+func (m *metrics) RowMalformed(table string) { m.malformedRows.WithLabelValues(table).Inc() }
 
-// accountLabel returns the label of an account.
+// accountLabel returns the label of an account, otherAccounts once maxAccountLabels are in use.
 func (m *metrics) accountLabel(account string) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.accounts[account] {
-		if len(m.accounts) >= maxAccountLabels {
+	if !m.labelledAccounts[account] {
+		if len(m.labelledAccounts) >= maxAccountLabels {
 			return otherAccounts
 		}
-		m.accounts[account] = true
+		m.labelledAccounts[account] = true
 	}
 	return account
 }
 
-// outcome names an error for a label.
+// outcome returns the metric label of a result.
 func outcome(err error) string {
 	var refused platform.ErrOrderRefused
 	switch {
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -23,45 +23,44 @@
 )
 
 const (
-	// RetryAfter is when a caller that was refused should come again; HTTP has whole seconds.
+	// RetryAfter is the delay after which a refused client should retry, a whole number of seconds
+	// for HTTP.
 	RetryAfter = time.Second
-	// noticeTime is how long after it has ceased to be ready a node that stops goes on
-	// taking requests: the balancer asks each second and wants two answers, and a
-	// request on a kept connection may wait for half a second in front of a link that
-	// is full. At 2.5 s one was closed without an answer 0.46 s after it was sent.
-	noticeTime = 3500 * time.Millisecond
-	// finishTime bounds the requests that are still open when a node stops.
-	finishTime = 2 * time.Second
-	// answerTime is what the answers to open requests need at the end of that time,
-	// which are given up before their connections are closed.
-	answerTime = 500 * time.Millisecond
-	// endTime is what the process needs to end after that.
-	endTime = 400 * time.Millisecond
-	// cutOffAfter is for how long the table service must not have answered an entry
-	// that does not hear most others for it to count as cut off. Calls for changes
-	// are answered each second; callers come to the entry until it says that it is
-	// not ready, and then for two seconds more. 1.1 s instead of up to 2.5 s gains
-	// 0.007 +- 0.007 of what callers get on days with trouble (80 pairs).
-	cutOffAfter = 1100 * time.Millisecond
+	// shutdownDelay is how long a stopping node still accepts requests after it reports that it is
+	// not ready: the load balancer polls each second and acts on the second answer, and requests on
+	// open connections may be delayed by a saturated link.
+	shutdownDelay = 3500 * time.Millisecond
+	// shutdownTimeout bounds the requests that are still open after shutdownDelay.
+	shutdownTimeout = 2 * time.Second
+	// finalAnswerTime is the last part of shutdownTimeout, in which requests that still wait for an
+	// owner are canceled and answered.
+	finalAnswerTime = 500 * time.Millisecond
+	// processExitTime is reserved for the exit of the process after that.
+	processExitTime = 400 * time.Millisecond
+	// isolationTimeout is how long the table service must not have answered before an entry that
+	// does not hear most others counts as isolated. It exceeds longPollWait, the time between two
+	// answers of an idle feed.
+	isolationTimeout = 1100 * time.Millisecond
 )
 
-// Source is where the operator's configuration and the workers' directory are kept, and how they read.
+// Source describes the tables of the operator's configuration and of the worker directory, and
+// their encoding.
 type Source struct {
 	CatalogTable  string
 	CatalogKey    string
 	WorkerTable   string
 	DecodeCatalog func(raw []byte) (*catalog.Catalog, error)
 	DecodeWorker  func(id string, raw []byte) (platform.Worker, error)
-	// DecodeWave reads a row of CatalogTable; ok is false if it is no request for maintenance.
+	// DecodeWave decodes a row of CatalogTable; ok is false if it is no maintenance wave.
 	DecodeWave func(key string, raw []byte) (w fleetops.Wave, ok bool, err error)
-	// DecodeEvacuation reads a row of CatalogTable that takes an availability zone out of use while it
-	// is there; ok is false if it is of another kind.
+	// DecodeEvacuation decodes a row of CatalogTable that takes an availability zone out of use; ok
+	// is false if it is of another kind.
 	DecodeEvacuation func(key string, raw []byte) (zone string, ok bool, err error)
-	// EncodeWave makes the row that tells the operator how far a wave has come.
+	// EncodeWave encodes the row that reports a wave's progress to the operator.
 	EncodeWave func(wave int, completed bool) (platform.Row, error)
 }
 
-// Services is what the node needs of the platform.
+// Services are the platform's services that the node uses.
 type Services interface {
 	platform.Rows
 	platform.Workers
@@ -73,62 +72,62 @@
 type Node struct {
 	settings schema.ServiceSettings
 	self     ownership.Member
-	clock    *elapsed.Clock // of this entry
+	clock    *elapsed.Clock
 	log      zerolog.Logger
 	metrics  *metrics
 
 	source   Source
 	platform Services
-	rows     *reach // the table service of platform
+	rows     *storeMonitor // the table service of platform
 
-	members *ownership.Members
-	keeper  *ownership.Manager
+	members   *ownership.Members
+	ownership *ownership.Manager
 
-	ending    context.Context // ends when a node that stops waits no longer for what it was asked
-	endAnswer func()          // ends it
+	waitCtx     context.Context // ends when a stopping node cancels requests that wait for an owner
+	cancelWaits func()          // ends waitCtx
 
 	stop     chan struct{} // closed by Stop
 	stopOnce sync.Once
-	stopping atomic.Bool // a planned stop is under way
+	stopping atomic.Bool // a planned stop has begun
 
-	catalog     atomic.Pointer[stored]
+	catalog     atomic.Pointer[storedCatalog]
 	evacuations evacuations
 
 	mu      sync.Mutex
 	workers map[string]platform.Worker // by boot
-	// badWorkers are the versions of rows in the directory that name no worker, by boot.
-	badWorkers map[string]int64
-	waves      map[int]fleetops.Wave // by ID
-	asked      int64                 // newest configuration version that a peer is being asked for
+	// malformedWorkers holds the version of each malformed directory row, by boot.
+	malformedWorkers map[string]int64
+	waves            map[int]fleetops.Wave // by ID
+	requestedCatalog int64                 // newest configuration version requested from a peer
 }
 
-// stored is a configuration with the bytes it was read from, which peers may ask for.
-type stored struct {
+// storedCatalog is a configuration with its encoding, which peers may ask for.
+type storedCatalog struct {
 	*catalog.Catalog
 	raw []byte
 }
 
-// New returns a node that is not running yet.
+// New returns a node that does not run yet.
 func New(s schema.ServiceSettings, services Services, src Source, log zerolog.Logger) *Node {
 	clock := elapsed.New()
-	rows := &reach{Rows: services, log: log, clock: clock}
+	rows := &storeMonitor{Rows: services, log: log, clock: clock}
 	n := &Node{
 		settings: s, clock: clock, log: log, metrics: newMetrics(), source: src, platform: services, rows: rows,
-		stop: make(chan struct{}), workers: map[string]platform.Worker{}, badWorkers: map[string]int64{}, waves: map[int]fleetops.Wave{},
+		stop: make(chan struct{}), workers: map[string]platform.Worker{}, malformedWorkers: map[string]int64{}, waves: map[int]fleetops.Wave{},
 		evacuations: evacuations{rows: map[string]evacuation{}},
 	}
-	n.ending, n.endAnswer = context.WithCancel(context.Background())
+	n.waitCtx, n.cancelWaits = context.WithCancel(context.Background())
 	n.self = ownership.Member{
 		Name: s.Name, Address: net.JoinHostPort(s.Address, strconv.Itoa(s.Ports[0])), Zone: s.Zone,
 		Start: time.Now().UnixNano(), Share: s.CpuShare,
 	}
 	n.members = ownership.NewMembers(n.self, rows, log, clock, local{n})
 	rows.onLost = n.members.PingAll
-	n.keeper = ownership.NewManager(n.identity(), n.members, n.openShard, log, clock)
+	n.ownership = ownership.NewManager(n.identity(), n.members, n.openShard, log, clock)
 	return n
 }
 
-// Catalog returns the configuration in force, nil while it is not known.
+// Catalog returns the configuration in force, nil if none is known yet.
 func (n *Node) Catalog() *catalog.Catalog {
 	if c := n.catalog.Load(); c != nil {
 		return c.Catalog
@@ -143,36 +142,36 @@
 	return 0
 }
 
-// Ready tells whether the node should get callers' connections.
+// Ready reports whether the node should get clients' connections, and why not.
 func (n *Node) Ready() (ready bool, why string) {
 	switch {
 	case n.stopping.Load():
 		return false, "stopping"
 	case n.Catalog() == nil:
 		return false, "the configuration is not known yet"
-	case n.cutOff():
+	case n.isolated():
 		return false, "neither the table service nor most other entries answer"
 	}
 	return true, ""
 }
 
-// cutOff tells whether this entry has no way to take work while others probably
-// have: it neither reaches the table service nor hears most other entries. Were
-// the service down for all, the others would be heard, and say the same as we do.
-func (n *Node) cutOff() bool {
-	return n.rows.silentFor() > cutOffAfter && !n.members.HasMajority()
+// isolated reports whether this entry can't accept work although others probably can: it neither
+// reaches the table service nor hears most other entries. In an outage of the table service the
+// others would still be heard.
+func (n *Node) isolated() bool {
+	return n.rows.silentFor() > isolationTimeout && !n.members.HasMajority()
 }
 
 // Stop begins a planned stop.
 func (n *Node) Stop() { n.stopOnce.Do(func() { close(n.stop) }) }
 
-// Handlers are what the node serves to those outside.
+// Handlers are the HTTP handlers of the node's listeners.
 type Handlers struct {
-	Callers   http.Handler
-	Readiness http.Handler
+	Callers   http.Handler // serves clients
+	Readiness http.Handler // serves the load balancer's checks
 }
 
-// Run serves until the node is stopped.
+// Run serves until the node is stopped or a part of it fails.
 func (n *Node) Run(h Handlers) (err error) {
 	defer func() { err = errors.Wrap(err, "run node") }()
 	n.log.Info().Str("event", "start").Str("entry", n.self.Name).Str("zone", n.self.Zone).Int64("start", n.self.Start).Send()
@@ -183,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	callers, err := listenHTTP(n.settings.Callers, n.closingUnlessReady(h.Callers))
+	callers, err := listenHTTP(n.settings.Callers, n.closeConnUnlessReady(h.Callers))
 	if err != nil {
 		return err
 	}
@@ -191,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	figures, err := listenHTTP(net.JoinHostPort(n.settings.Address, metricsPort), n.operators())
+	operators, err := listenHTTP(net.JoinHostPort(n.settings.Address, metricsPort), n.operators())
 	if err != nil {
 		return err
 	}
@@ -201,10 +200,10 @@
 		g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 	}
 	actor(peer.NewCallServer(links, n.answerPeer, n.log).Serve)
-	for _, s := range []*httpActor{callers, readiness, figures} {
+	for _, s := range []*httpActor{callers, readiness, operators} {
 		g.Add(s.serve, s.interrupt)
 	}
-	actor(n.keeper.Run)
+	actor(n.ownership.Run)
 	actor(n.followCatalog)
 	actor(n.followWorkers)
 	actor(n.followMembers)
@@ -214,8 +213,8 @@
 	return g.Run()
 }
 
-// plannedStop waits for Stop, hands the shards over, lets the balancer take
-// note, and finishes what is open.
+// plannedStop waits for Stop, hands over the node's shards, keeps accepting requests until the load
+// balancer has noticed, and finishes open requests.
 func (n *Node) plannedStop(ctx context.Context, callers *httpActor) error {
 	select {
 	case <-ctx.Done():
@@ -224,21 +223,21 @@
 	}
 	n.log.Info().Str("event", "stop_begins").Send()
 	n.stopping.Store(true)
-	closing := time.After(n.takesRequestsFor())
-	n.keeper.Release(ctx)
+	closing := time.After(n.acceptDuration())
+	n.ownership.Release(ctx)
 	select {
 	case <-ctx.Done():
 		return nil
 	case <-closing:
 	}
-	finish, cancel := context.WithTimeout(ctx, finishTime)
+	finish, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
-	defer time.AfterFunc(finishTime-answerTime, n.endAnswer).Stop()
+	defer time.AfterFunc(shutdownTimeout-finalAnswerTime, n.cancelWaits).Stop()
 	return errors.Wrap(callers.server.Shutdown(finish), "finish open requests")
 }
 
-// takesRequestsFor is how long after the beginning of a planned stop requests are
-// still taken, within the time that the platform leaves before it kills the process.
-func (n *Node) takesRequestsFor() time.Duration {
-	return max(0, min(noticeTime, seconds(n.settings.Timing.GraceS)-finishTime-endTime))
+// acceptDuration returns how long requests are still accepted after a planned stop has begun,
+// limited by the platform's grace period.
+func (n *Node) acceptDuration() time.Duration {
+	return max(0, min(shutdownDelay, seconds(n.settings.Timing.GraceS)-shutdownTimeout-processExitTime))
 }
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -26,17 +26,17 @@
 	"github.com/gannetwell/gannetwell/service/client"
 )
 
-// patience bounds each wait; the test judges by what happens, not by when.
-const patience = 60 * time.Second
+// testTimeout bounds each wait; no test depends on how long one takes.
+const testTimeout = 60 * time.Second
 
 const (
 	testPool  = "scoring"
 	testQueue = "score-now"
-	// testAccount may have two tasks running at once.
+	// testAccount's limit allows two running tasks.
 	testAccount = "north"
 )
 
-// services is the platform as one entry reaches it.
+// services is the platform of one entry.
 type services struct {
 	platform.Rows
 	platform.Workers
@@ -62,7 +62,7 @@
 	return nil, 0, errors.New("there is no advice service")
 }
 
-// idleWitness takes no note of what workers do.
+// idleWitness ignores all events of the workers.
 type idleWitness struct{}
 
 func (idleWitness) Started(string, string, int64)                   {}
@@ -71,7 +71,7 @@
 func (idleWitness) BroughtDown(string, string)                      {}
 func (idleWitness) Acked(string, string, platform.EndReason)        {}
 
-// source reads rows that the test writes as JSON.
+// source decodes rows that the test writes as JSON.
 func source() Source {
 	return Source{
 		CatalogTable: "operator", CatalogKey: "catalog", WorkerTable: "workers",
@@ -104,8 +104,8 @@
 	c.Assert(err, qt.IsNil)
 }
 
-// freePorts returns ports that are free at an address, each another one: asked for one by one, 35
-// of 60,000 triples held one twice, and the node that was to listen there ended at once.
+// freePorts returns n distinct free ports of an address. All are held until the last is found,
+// since a port that is released may be returned again.
 func freePorts(c *qt.C, ip string, n int) (ports []int) {
 	for range n {
 		ln, err := net.Listen("tcp", ip+":0")
@@ -116,18 +116,18 @@
 	return ports
 }
 
-// eventually waits until f holds.
+// eventually waits until f returns true.
 func eventually(c *qt.C, what string, f func() bool) {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	c.Fatalf("never: %s", what)
+	c.Fatalf("timed out waiting: %s", what)
 }
 
-// TestCluster runs three entries over loopback: jobs handed in at any of them are
-// done, also while the owner of their shard stops by plan.
+// TestCluster runs three entries on loopback addresses: jobs submitted at any of them complete,
+// also while the owner of their shard stops as planned.
 func TestCluster(t *testing.T) {
 	c := qt.New(t)
 	rows := fake.NewRows(time.Millisecond, time.Second)
@@ -179,18 +179,18 @@
 		})
 	}
 	submitted := 0
-	hand := func(n *Node, count int) {
+	submit := func(n *Node, count int) {
 		for range count {
 			submitted++
-			handIn(c, n, fmt.Sprintf("%016x", submitted))
+			submitUntilAccepted(c, n, fmt.Sprintf("%016x", submitted))
 		}
 	}
 	for _, n := range nodes {
-		hand(n, 5)
+		submit(n, 5)
 	}
 	owner := ""
 	eventually(c, "the shard has an owner", func() bool {
-		row, _, _ := nodes["e0"].keeper.Owner(testPool)
+		row, _, _ := nodes["e0"].ownership.Owner(testPool)
 		owner = row.Entry
 		return owner != ""
 	})
@@ -199,7 +199,7 @@
 		other = nodes["e1"]
 	}
 	nodes[owner].Stop()
-	hand(other, 10)
+	submit(other, 10)
 	q := other.Catalog().Queue(testQueue)
 	for i := 1; i <= submitted; i++ {
 		id := fmt.Sprintf("%016x", i)
@@ -223,7 +223,7 @@
 	return New(testSettings(name, ip, ports[0], ports[1], ports[2]), s, source(), testLog())
 }
 
-// testSettings are an entry's settings with its ports for peers, callers and readiness.
+// testSettings returns an entry's settings with its ports for peers, callers and readiness.
 func testSettings(name, ip string, peers, callers, readiness int) schema.ServiceSettings {
 	return schema.ServiceSettings{
 		Name: name, Zone: "z", Address: ip, Callers: fmt.Sprintf("%s:%d", ip, callers),
@@ -234,16 +234,16 @@
 
 func testLog() zerolog.Logger { return zerolog.New(io.Discard) }
 
-// handIn repeats a submission until it is taken, as callers do.
-func handIn(c *qt.C, n *Node, id string) {
+// submitUntilAccepted repeats a submission until it is accepted, as clients do.
+func submitUntilAccepted(c *qt.C, n *Node, id string) {
 	spec := jobs.Spec{Text: "work", Steps: []jobs.Step{{Count: 3, Needs: platform.Resources{CPU: 500}}, {Count: 1, Needs: platform.Resources{CPU: 500}, After: []int{0}}}}
 	q := n.Catalog().Queue(testQueue)
-	eventually(c, "job "+id+" is taken", func() bool {
+	eventually(c, "job "+id+" is accepted", func() bool {
 		return n.Submit(context.Background(), q, testAccount, id, spec) == schema.CallOutcomeOk
 	})
 }
 
-// checkOperators asks the operators' interface of a node.
+// checkOperators checks the answers to operators' requests.
 func checkOperators(c *qt.C, n *Node) {
 	s := httptest.NewServer(n.operators())
 	defer s.Close()
@@ -254,7 +254,7 @@
 	c.Check(job.State, qt.Equals, "completed")
 	_, err = cl.Job(context.Background(), "no-such-queue", "1")
 	c.Check(err, qt.ErrorMatches, "there is no such queue")
-	eventually(c, "the pool's owner has told its load", func() bool {
+	eventually(c, "the pool's owner reports its load", func() bool {
 		shards, err := cl.Shards(context.Background())
 		c.Assert(err, qt.IsNil)
 		for _, st := range shards.Shards {
--- a/pkg/node/operators.go
+++ b/pkg/node/operators.go
@@ -13,7 +13,7 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// operators serves what operators ask about the job service; it changes nothing.
+// operators returns the read-only handler of operators' requests and metrics.
 func (n *Node) operators() http.Handler {
 	e := echo.New()
 	e.GET("/metrics", echo.WrapHandler(n.metrics.handler()))
@@ -28,13 +28,13 @@
 	return e
 }
 
-// shardStatus tells who owns each shard and how busy it is.
+// shardStatus returns the owner and the load of each shard.
 func (n *Node) shardStatus(ctx context.Context) (all []api.ShardStatus) {
-	for _, pool := range n.keeper.Shards() {
-		row, _, _ := n.keeper.Owner(pool)
+	for _, pool := range n.ownership.Shards() {
+		row, _, _ := n.ownership.Owner(pool)
 		all = append(all, api.ShardStatus{Pool: pool, Owner: row.Entry, Term: int(row.Term)})
 	}
-	loads := n.loadsOf(ctx, n.keeper.Shards())
+	loads := n.loadsOf(ctx, n.ownership.Shards())
 	for i := range all {
 		if l, ok := loads[all[i].Pool]; ok {
 			st := &all[i]
@@ -46,7 +46,7 @@
 	return all
 }
 
-// loadsOf asks the owners of shards how busy they are; those that don't answer are left out.
+// loadsOf asks the owners of shards for their load, by pool; those that don't answer are left out.
 func (n *Node) loadsOf(ctx context.Context, pools []string) map[string]shard.Load {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -66,7 +66,7 @@
 	return loads
 }
 
-// zoneStatus tells which zones are out of use, and what runs there still.
+// zoneStatus returns the zones out of use and what still runs there.
 func (n *Node) zoneStatus(ctx context.Context) []api.ZoneStatus {
 	all := []api.ZoneStatus{}
 	out := n.evacuations.all()
@@ -88,7 +88,7 @@
 	return all
 }
 
-// jobStatus tells what callers are told of a job, and who answers for it.
+// jobStatus reports a job's state, as clients see it, and the owner of its shard.
 func (n *Node) jobStatus(c echo.Context) error {
 	cat := n.Catalog()
 	if cat == nil {
@@ -99,7 +99,7 @@
 		return c.JSON(http.StatusNotFound, api.Error{Message: "there is no such queue"})
 	}
 	state, out := n.State(c.Request().Context(), q, c.Param("id"), shard.Asker{Operator: true})
-	row, _, _ := n.keeper.Owner(q.Pool)
+	row, _, _ := n.ownership.Owner(q.Pool)
 	return c.JSON(http.StatusOK, api.JobStatus{
 		Queue: q.Name, ID: c.Param("id"), Outcome: string(out), State: string(state), Pool: q.Pool, Owner: row.Entry,
 	})
--- a/pkg/node/reach.go
+++ b/pkg/node/reach.go
@@ -12,65 +12,66 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// reach passes calls to the table service on and remembers whether it answers this node.
-type reach struct {
+// storeMonitor wraps the table service and tracks whether it answers this node.
+type storeMonitor struct {
 	platform.Rows
 	log   zerolog.Logger
 	clock *elapsed.Clock
-	// onLost is told, without the lock, that the service has stopped answering.
+	// onLost is called, without mu held, when the service stops answering.
 	onLost func()
 
-	mu    sync.Mutex
-	lost  bool
-	since time.Duration // when lost last changed
-	heard time.Duration // when a call was last answered
+	mu         sync.Mutex
+	lost       bool
+	since      time.Duration // when lost last changed
+	answeredAt time.Duration // when a call was last answered
 
-	doubters map[int]func() // called once the service has stopped answering
-	doubts   int            // that were ever there
+	lossCallbacks  map[int]func() // by ID; called when the service stops answering
+	lastCallbackID int
 }
 
-// whenLost has f called when the service stops answering, unless forget was called before.
-func (r *reach) whenLost(f func()) (forget func()) {
+// notifyLoss calls f when the service stops answering, until the returned function is called.
+func (r *storeMonitor) notifyLoss(f func()) (cancel func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.doubters == nil {
-		r.doubters = map[int]func(){}
+	if r.lossCallbacks == nil {
+		r.lossCallbacks = map[int]func(){}
 	}
-	r.doubts++
-	id := r.doubts
-	r.doubters[id] = f
+	r.lastCallbackID++
+	id := r.lastCallbackID
+	r.lossCallbacks[id] = f
 	return func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		delete(r.doubters, id)
+		delete(r.lossCallbacks, id)
 	}
 }
 
 // CommitRows implements platform.Rows.
-func (r *reach) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
+func (r *storeMonitor) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
 	version, err := r.Rows.CommitRows(ctx, txn)
-	r.note(ctx, err)
+	r.recordCall(ctx, err)
 	return version, err
 }
 
 // ListRows implements platform.Rows.
-func (r *reach) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+func (r *storeMonitor) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
 	page, err := r.Rows.ListRows(ctx, table, partition, from)
-	r.note(ctx, err)
+	r.recordCall(ctx, err)
 	return page, err
 }
 
 // FollowRows implements platform.Rows.
-func (r *reach) FollowRows(ctx context.Context, table string, after int64, wait time.Duration) (platform.RowPage, error) {
+func (r *storeMonitor) FollowRows(ctx context.Context, table string, after int64, wait time.Duration) (platform.RowPage, error) {
 	page, err := r.Rows.FollowRows(ctx, table, after, wait)
-	r.note(ctx, err)
+	r.recordCall(ctx, err)
 	return page, err
 }
 
-// note takes the outcome of a call; what the service refused, it has answered.
-func (r *reach) note(ctx context.Context, err error) {
+// recordCall records the outcome of a call; an error that the service itself returned counts as an
+// answer.
+func (r *storeMonitor) recordCall(ctx context.Context, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return // given up here, which says nothing of the service
+		return // canceled by the caller, which says nothing about the service
 	}
 	if errors.As(err, new(platform.ErrConflict)) || errors.As(err, new(platform.ErrHistoryGone)) {
 		err = nil
@@ -79,7 +80,7 @@
 	defer r.mu.Unlock()
 	lost := err != nil
 	if !lost {
-		r.heard = r.clock.Now()
+		r.answeredAt = r.clock.Now()
 	}
 	if lost == r.lost {
 		return
@@ -87,7 +88,7 @@
 	r.lost, r.since = lost, r.clock.Now()
 	if lost {
 		r.log.Warn().Str("event", "store_lost").Err(err).Send()
-		for _, f := range r.doubters {
+		for _, f := range r.lossCallbacks {
 			f()
 		}
 		go r.onLost()
@@ -96,8 +97,8 @@
 	}
 }
 
-// okFor is for how long calls have been answered, 0 while they are not.
-func (r *reach) okFor() time.Duration {
+// answeringFor returns for how long calls have been answered, 0 if they are not.
+func (r *storeMonitor) answeringFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lost {
@@ -106,15 +107,15 @@
 	return r.clock.Now() - r.since
 }
 
-// silentFor is how long ago a call was last answered.
-func (r *reach) silentFor() time.Duration {
+// silentFor returns the time since a call was last answered.
+func (r *storeMonitor) silentFor() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.clock.Now() - r.heard
+	return r.clock.Now() - r.answeredAt
 }
 
-// ok tells whether the last call was answered.
-func (r *reach) ok() bool {
+// answering reports whether the last call was answered.
+func (r *storeMonitor) answering() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.lost
--- a/pkg/node/recover_test.go
+++ b/pkg/node/recover_test.go
@@ -18,8 +18,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// TestStopAnswersOpenRequests has a request under way while the node stops by
-// plan: the connection must not be closed before the answer.
+// TestStopAnswersOpenRequests guards against closing a connection before its request is answered in
+// a planned stop.
 func TestStopAnswersOpenRequests(t *testing.T) {
 	c := qt.New(t)
 	n := newTestNode(c, "e0", "127.0.0.21", services{Rows: fake.NewRows(time.Millisecond, time.Second).As("e0")})
@@ -46,15 +46,14 @@
 	}()
 	<-arrived
 	n.Stop()
-	eventually(c, "the node takes no connections any more", func() bool { return !listens(n.settings.Callers) })
+	eventually(c, "the node accepts no connections any more", func() bool { return !listens(n.settings.Callers) })
 	close(release)
 	c.Check(<-answer, qt.Equals, "whole answer")
 	c.Check(<-ended, qt.IsNil)
 }
 
-// TestStopTakesLateRequests has a caller's request on a kept connection arrive 2.9 s
-// after the beginning of a planned stop: it is answered. Such connections were closed
-// after 2.5 s, with requests on their way on a link that was full.
+// TestStopTakesLateRequests guards against closing an open connection too early in a planned stop,
+// while requests may still be delayed on a saturated link.
 func TestStopTakesLateRequests(t *testing.T) {
 	c := qt.New(t)
 	rows := fake.NewRows(time.Millisecond, time.Second)
@@ -74,7 +73,7 @@
 	c.Check(<-ended, qt.IsNil)
 }
 
-// exchange sends a request on an open connection and returns what is answered.
+// exchange sends a request on an open connection and returns the answer.
 func exchange(conn net.Conn) string {
 	_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: e0\r\n\r\n")
 	answer := make([]byte, 1000)
@@ -91,17 +90,17 @@
 	return true
 }
 
-// TestFeedAfterSilence follows a table whose service takes a call and never
-// answers it: once the service answers others again, changes are seen soon.
-func TestFeedAfterSilence(t *testing.T) {
+// TestFeedAfterOutage guards against a feed that misses changes after the service has never
+// answered one of its polls.
+func TestFeedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		rows := fake.NewRows(time.Millisecond, time.Second)
 		n := newIdleNode(rows)
-		stop := begin(func(ctx context.Context) error { return n.follow(ctx, n.workerFeed()) })
+		stop := start(func(ctx context.Context) error { return n.follow(ctx, n.workerFeed()) })
 		putJSON(c, rows.As("operator"), "workers", "w0", platform.Worker{Boot: "w0"})
 		time.Sleep(5 * time.Second)
-		c.Check(n.knows("w0"), qt.IsTrue)
+		c.Check(n.hasWorker("w0"), qt.IsTrue)
 
 		rows.SetFault(func(op fake.RowOp, entry string) fake.Fault {
 			if entry == "e0" {
@@ -114,14 +113,14 @@
 		rows.SetFault(func(fake.RowOp, string) fake.Fault { return fake.FaultNone })
 		putJSON(c, rows.As("operator"), "workers", "w2", platform.Worker{Boot: "w2"})
 		time.Sleep(2 * time.Second)
-		c.Check(n.knows("w2"), qt.IsTrue)
+		c.Check(n.hasWorker("w2"), qt.IsTrue)
 		c.Check(stop(), qt.IsNil)
 	})
 }
 
-// TestCutOffIsNotReady has an entry lose the table service: alone it keeps callers
-// away, while it hears most of the others it does not, since then none can do better.
-func TestCutOffIsNotReady(t *testing.T) {
+// TestIsolatedNotReady checks that an entry without the table service is not ready while it hears
+// few others, and stays ready while it hears most of them.
+func TestIsolatedNotReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		rows, n, stop := followingNode(c)
@@ -130,45 +129,44 @@
 		c.Check(ready(), qt.IsTrue)
 		rows.SetFault(func(fake.RowOp, string) fake.Fault { return fake.FaultDown })
 		time.Sleep(4 * time.Second)
-		c.Check(ready(), qt.IsTrue) // no other entry is known: this one is most of them
+		c.Check(ready(), qt.IsTrue) // no other entry is known, so this one is the majority
 		listUnheard(c, n, "e1", "e2")
 		c.Check(ready(), qt.IsFalse)
 		rows.SetFault(func(fake.RowOp, string) fake.Fault { return fake.FaultNone })
-		time.Sleep(2 * time.Second) // a call for changes is answered after its wait
+		time.Sleep(2 * time.Second) // a long poll is answered after its wait
 		c.Check(ready(), qt.IsTrue)
 		c.Check(stop(), qt.IsNil)
 	})
 }
 
-// TestCutOffSoonNotReady has an entry lose the table service and all other entries
-// at once, as in a zone that is cut off: it says that it is not ready after 1.1 s.
-// It took up to 2.5 s, for which callers of the zone went on coming to it.
-func TestCutOffSoonNotReady(t *testing.T) {
+// TestIsolationDetectionTime bounds the time until an entry in an isolated zone reports that it is
+// not ready.
+func TestIsolationDetectionTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		rows, n, stop := followingNode(c)
 		listUnheard(c, n, "e1", "e2")
 		ready := func() bool { ok, _ := n.Ready(); return ok }
-		for range 20 { // the time of the cut between two calls for changes does not matter
+		for range 20 { // at different times between two polls
 			time.Sleep(1700 * time.Millisecond)
 			c.Assert(ready(), qt.IsTrue)
 		}
 		rows.SetFault(func(fake.RowOp, string) fake.Fault { return fake.FaultLostBefore })
-		time.Sleep(cutOffAfter + 50*time.Millisecond)
+		time.Sleep(isolationTimeout + 50*time.Millisecond)
 		c.Check(ready(), qt.IsFalse)
 		c.Check(stop(), qt.IsNil)
 	})
 }
 
-// followingNode returns a node that follows a configuration, and the table service that holds it.
+// followingNode returns a node that follows its configuration, and its table service.
 func followingNode(c *qt.C) (rows *fake.Rows, n *Node, stop func() error) {
 	rows = fake.NewRows(time.Millisecond, time.Second)
 	n = newIdleNode(rows)
 	putJSON(c, rows.As("operator"), "operator", "catalog", catalog.Catalog{Version: 1})
-	return rows, n, begin(n.followCatalog)
+	return rows, n, start(n.followCatalog)
 }
 
-// listUnheard lets n know other entries that it never hears.
+// listUnheard lists other entries at n that never answer.
 func listUnheard(c *qt.C, n *Node, names ...string) {
 	ctx, stopPings := context.WithCancel(context.Background())
 	stopPings()
@@ -177,8 +175,8 @@
 	}
 }
 
-// TestDirectoryIsForOwners has an entry own nothing: it leaves the directory of
-// workers alone.
+// TestDirectoryIsForOwners checks that an entry that owns no shard does not read the worker
+// directory.
 func TestDirectoryIsForOwners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -189,20 +187,20 @@
 			return fake.FaultNone
 		})
 		n := newIdleNode(rows)
-		stop := begin(n.followWorkers)
+		stop := start(n.followWorkers)
 		time.Sleep(time.Minute)
 		c.Check(calls, qt.Equals, 0)
 		c.Check(stop(), qt.IsNil)
 	})
 }
 
-// newIdleNode returns a node, e0, that is not run: a test runs parts of it.
+// newIdleNode returns the node e0, of which a test runs single parts.
 func newIdleNode(rows *fake.Rows) *Node {
 	return New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{Rows: rows.As("e0")}, source(), testLog())
 }
 
-// begin runs a part of a node; stop ends its context and returns what it returned.
-func begin(part func(ctx context.Context) error) (stop func() error) {
+// start runs a part of a node; stop ends its context and returns its result.
+func start(part func(ctx context.Context) error) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- part(ctx) }()
@@ -212,23 +210,22 @@
 	}
 }
 
-// knows tells whether the directory holds a boot.
-func (n *Node) knows(boot string) bool {
+// hasWorker reports whether the directory holds a boot.
+func (n *Node) hasWorker(boot string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	_, ok := n.workers[boot]
 	return ok
 }
 
-// TestConfigurationOnSlowLink has a configuration of 480 KB come over a link of
-// 250 KB a second: it is in force after 2 s. It was given up after 1.7 s, and asked
-// for anew without end.
+// TestConfigurationOnSlowLink guards against timing out the read of a large configuration on a slow
+// link.
 func TestConfigurationOnSlowLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		rows := fake.NewRows(time.Millisecond, time.Second)
 		n := newIdleNode(rows)
-		stop := begin(n.followCatalog)
+		stop := start(n.followCatalog)
 		time.Sleep(2 * time.Second)
 		rows.SetRate(250 << 10)
 		padding := catalog.Queue{Name: strings.Repeat("q", 480<<10)}
--- a/pkg/node/serve.go
+++ b/pkg/node/serve.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// headerTimeout bounds the reading of a request's headers.
+	// headerTimeout bounds the read of a request's headers.
 	headerTimeout = 10 * time.Second
-	// idleTimeout is how long a connection without requests is kept.
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = time.Minute
 )
 
-// closingUnlessReady has callers open a new connection, at another node, for what
-// they ask after this answer: an open connection stays with its node.
-func (n *Node) closingUnlessReady(h http.Handler) http.Handler {
+// closeConnUnlessReady makes clients reconnect, to another node, when this one is not ready; an
+// open connection would keep using it.
+func (n *Node) closeConnUnlessReady(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if ready, _ := n.Ready(); !ready {
 			w.Header().Set("Connection", "close")
@@ -26,14 +26,14 @@
 	})
 }
 
-// httpActor is an HTTP server with its listener.
+// httpActor is an HTTP server with its listener, run as an actor of a run.Group.
 type httpActor struct {
 	server      *http.Server
 	ln          net.Listener
-	interrupted chan struct{} // closed when the server's connections are to be closed
+	interrupted chan struct{} // closed by interrupt
 }
 
-// listenHTTP returns a server that listens already, so that an address in use ends the start.
+// listenHTTP returns a server that listens already, so that an address in use fails at startup.
 func listenHTTP(address string, h http.Handler) (*httpActor, error) {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -45,9 +45,8 @@
 	}, nil
 }
 
-// serve returns when the server fails or is interrupted. A server that shuts
-// down still answers the requests that are open, so that its end of listening is
-// not the end of the actor, which would end all others.
+// serve returns when the server fails or is interrupted. It does not return on a graceful shutdown,
+// which would end all other actors while open requests are still answered.
 func (a *httpActor) serve() error {
 	if err := a.server.Serve(a.ln); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrapf(err, "serve %s", a.ln.Addr())
@@ -56,7 +55,7 @@
 	return nil
 }
 
-// interrupt closes all connections; oklog/run calls it once.
+// interrupt closes all connections; run.Group calls it once.
 func (a *httpActor) interrupt(error) {
 	close(a.interrupted)
 	_ = a.server.Close()
--- a/pkg/node/suspension.go
+++ b/pkg/node/suspension.go
@@ -8,11 +8,10 @@
 	"github.com/gannetwell/gannetwell/pkg/pause"
 )
 
-// watchSuspensions says in the log that this machine was suspended, within suspensionPoll
-// of its wake: what this entry was allowed before may have expired since.
+// watchSuspensions logs suspensions of this machine, during which leases may have expired.
 func (n *Node) watchSuspensions(ctx context.Context) error {
 	seen := elapsed.Suspended()
-	for pause.For(ctx, suspensionPoll) == nil {
+	for pause.For(ctx, suspensionPollInterval) == nil {
 		total := elapsed.Suspended()
 		if total > seen {
 			n.log.Warn().Str("event", "machine_suspended").Dur("for", total-seen).Send()
@@ -22,5 +21,5 @@
 	return nil
 }
 
-// suspensionPoll is how often suspensions are looked for, for the log only.
-const suspensionPoll = time.Second
+// suspensionPollInterval is the time between two checks for suspensions, which are only logged.
+const suspensionPollInterval = time.Second
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -16,27 +16,27 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// emptyTimeout bounds one call that asks a shard's owner to empty a VM.
-const emptyTimeout = 600 * time.Millisecond
+// ownerCallTimeout bounds a call that asks an owner for its load or to empty a VM.
+const ownerCallTimeout = 600 * time.Millisecond
 
-// errOperatorUnread refuses work that would not know which zones are out of use.
-var errOperatorUnread = errors.New("what the operator has written was not read yet")
+// errOperatorRowsUnread reports that the evacuated zones are not known yet, so no owner may start.
+var errOperatorRowsUnread = errors.New("what the operator has written was not read yet")
 
 func (n *Node) identity() shard.Identity {
 	return shard.Identity{Entry: n.self.Name, Start: n.self.Start, Address: n.self.Address}
 }
 
-// openShard begins the work of a shard that falls to this entry.
+// openShard takes over a shard and starts its owner; it is an [ownership.Opener].
 func (n *Node) openShard(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
-	if !n.evacuations.read() {
-		return nil, errOperatorUnread
+	if !n.evacuations.isLoaded() {
+		return nil, errOperatorRowsUnread
 	}
 	if pool == fleetops.Partition {
 		return n.openFleet(ctx, seen, cat, events)
 	}
-	// An entry that owns a shard follows the directory already; a list could be
-	// older than what the feed has brought since.
-	if owns, _ := n.keeper.Owns(); !owns {
+	// An entry that owns a shard follows the directory already; a list could be older
+	// than what its feed has read.
+	if owns, _ := n.ownership.Owns(); !owns {
 		if _, err := n.loadWorkers(ctx); err != nil {
 			return nil, errors.Wrap(err, "read directory of workers")
 		}
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), LongestLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		RowBytes: n.settings.Store.RowBytes,
 		Rows:     n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreSteady: n.rows.okFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.has, Sending: events.Committing, OnOver: events.Relinquished,
+		Metrics: n.metrics, Log: n.log, StoreSteady: n.rows.answeringFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -53,9 +53,9 @@
 	return o, nil
 }
 
-// standDown tells the process of a shard's former owner that it was replaced, and whether it does no
-// more work for the shard.
-func (n *Node) standDown(ctx context.Context, former shard.OwnerRow, newer platform.Row) (stands bool) {
+// standDown tells the process of a shard's former owner that it was replaced; it reports whether
+// that owner has stopped its work.
+func (n *Node) standDown(ctx context.Context, former shard.OwnerRow, newer platform.Row) (closed bool) {
 	caller := n.members.Caller(former.Entry, former.Address)
 	if caller == nil {
 		return false
@@ -68,11 +68,11 @@
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// openFleet begins the work of moving and maintaining VMs.
+// openFleet takes over the fleet's operations, which move and maintain VMs.
 func (n *Node) openFleet(ctx context.Context, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.has,
+		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		Pause: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, Takes: seconds(n.settings.Timing.MaintenanceS),
 		Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat)
@@ -84,7 +84,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// setWave takes a request for maintenance.
+// setWave stores a maintenance wave.
 func (n *Node) setWave(w fleetops.Wave) {
 	n.mu.Lock()
 	n.waves[w.ID] = w
@@ -100,17 +100,17 @@
 	return waves
 }
 
-// emptyVM asks the owner of a pool's shard to empty a VM.
+// emptyVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
 func (n *Node) emptyVM(ctx context.Context, pool, vm string) (empty bool) {
-	ctx, cancel := context.WithTimeout(ctx, emptyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
-	reply := n.ask(ctx, &schema.Call{Kind: schema.CallKindEmpty, Pool: pool, VM: vm})
+	reply := n.callOwner(ctx, &schema.Call{Kind: schema.CallKindEmpty, Pool: pool, VM: vm})
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// passGrant gives the owner of a shard the shares that came with a question about load;
-// it reports whether all its accounts are to be reported.
-func (n *Node) passGrant(o *shard.Owner, raw []byte) (full bool) {
+// applyGrant passes the limit shares that came with a load request to the owner; full reports
+// whether the reply is to list all accounts.
+func (n *Node) applyGrant(o *shard.Owner, raw []byte) (full bool) {
 	if len(raw) == 0 {
 		return false
 	}
@@ -123,10 +123,10 @@
 	return g.Full
 }
 
-// loadOf asks the owner of a pool's shard how busy it is, and gives it shares of
-// accounts' limits if there are any to give.
+// loadOf asks the owner of a pool's shard for its load, and passes it the shares of the accounts'
+// limits in g unless it is nil.
 func (n *Node) loadOf(ctx context.Context, pool string, g *allowance.Grant) (l shard.Load, ok bool) {
-	ctx, cancel := context.WithTimeout(ctx, emptyTimeout)
+	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	q := &schema.Call{Kind: schema.CallKindLoad, Pool: pool}
 	if g != nil {
@@ -137,7 +137,7 @@
 		}
 		q.Grant = raw
 	}
-	reply := n.ask(ctx, q)
+	reply := n.callOwner(ctx, q)
 	if reply.Outcome != schema.CallOutcomeOk {
 		return l, false
 	}
