--- a/pkg/elapsed/clock_test.go
+++ b/pkg/elapsed/clock_test.go
@@ -9,23 +9,21 @@
 )
 
 // fakeClocks are the clocks of a machine that can be suspended.
-type fakeClocks struct{ boot, monotonic time.Duration }
+type fakeClocks struct{ boot, mono time.Duration }
 
-func (c *fakeClocks) read() (boot, monotonic time.Duration, ok bool) {
-	return c.boot, c.monotonic, true
-}
+func (c *fakeClocks) read() (boot, mono time.Duration, ok bool) { return c.boot, c.mono, true }
 
 // TestSuspensionDetector checks that suspensions are counted, and changes of the wall clock are
 // not.
 func TestSuspensionDetector(t *testing.T) {
-	c := &fakeClocks{boot: time.Hour, monotonic: time.Minute}
+	c := &fakeClocks{boot: time.Hour, mono: time.Minute}
 	d := newSuspensionDetector(c.read)
 	offset := d.offset.Load()
 	advance := func(running, suspended time.Duration) {
-		c.monotonic += running
+		c.mono += running
 		c.boot += running + suspended
 		offset += int64(suspended)
-		d.update(int64(c.monotonic-time.Minute), offset)
+		d.update(int64(c.mono-time.Minute), offset)
 	}
 	advance(time.Second, 0)
 	qt.Check(t, time.Duration(d.total.Load()), qt.Equals, time.Duration(0))
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -17,12 +17,12 @@
 )
 
 const (
-	// internalOwnerWait is how long an internal call waits for a shard to get an owner, long enough
+	// ownerWait is how long an internal call waits for a shard to get an owner, long enough
 	// for a handover.
-	internalOwnerWait = 120 * time.Millisecond
-	// clientOwnerWait is how long a client's request waits for an owner that accepts it, long
+	ownerWait = 120 * time.Millisecond
+	// callerWait is how long a client's request waits for an owner that accepts it, long
 	// enough for the takeover from an owner that has failed.
-	clientOwnerWait = 2 * time.Second
+	callerWait = 2 * time.Second
 	// ownerRetryInterval is the time before an owner that could not accept a request is asked
 	// again, unless the shard gets a new owner earlier.
 	ownerRetryInterval = 150 * time.Millisecond
@@ -115,7 +115,7 @@
 
 // callOwner sends an internal call to the owner of its shard, which may be this entry.
 func (n *Node) callOwner(ctx context.Context, q *schema.Call) *schema.CallReply {
-	return n.callOwnerWithin(ctx, q, internalOwnerWait)
+	return n.callOwnerWithin(ctx, q, ownerWait)
 }
 
 // callOwnerForClient sends a client's request to the owner of its shard and, if a new owner can be
@@ -125,9 +125,9 @@
 	ctx, cancel := n.cancelAtStop(ctx)
 	defer cancel()
 	if !n.newOwnerExpected() {
-		return n.callOwnerWithin(ctx, q, internalOwnerWait)
+		return n.callOwnerWithin(ctx, q, ownerWait)
 	}
-	return n.callOwnerWithin(ctx, q, clientOwnerWait)
+	return n.callOwnerWithin(ctx, q, callerWait)
 }
 
 // cancelAtStop returns a context that also ends when a planned stop cancels open requests. The
@@ -176,7 +176,7 @@
 
 // shouldRetry reports whether the owner has changed, or is expected to.
 func (n *Node) shouldRetry(reply *schema.CallReply, maxWait time.Duration) bool {
-	if maxWait <= internalOwnerWait {
+	if maxWait <= ownerWait {
 		return reply.Outcome == schema.CallOutcomeNotOwner
 	}
 	return n.newOwnerExpected()
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -25,7 +25,7 @@
 	orders          *prometheus.CounterVec
 	attemptEnds     *prometheus.CounterVec
 	repeatedEnds    prometheus.Counter
-	attemptsLost    *prometheus.CounterVec
+	losses          *prometheus.CounterVec
 	jobs            *prometheus.CounterVec
 	keysRefused     *prometheus.CounterVec
 	malformedRows   *prometheus.CounterVec
@@ -57,9 +57,9 @@
 		repeatedEnds: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "gannetwell_ends_passed_over_total", Help: "Ended attempts that workers reported again after the acknowledgment.",
 		}),
-		attemptsLost: counter("gannetwell_attempts_lost_total", "Task attempts that were lost, by cause."),
-		jobs:         counter("gannetwell_jobs_total", "Jobs, by outcome."),
-		keysRefused:  counter("gannetwell_keys_refused_total", "Requests rejected because of their key, by answer."),
+		losses:      counter("gannetwell_attempts_lost_total", "Task attempts that were lost, by cause."),
+		jobs:        counter("gannetwell_jobs_total", "Jobs, by outcome."),
+		keysRefused: counter("gannetwell_keys_refused_total", "Requests rejected because of their key, by answer."),
 		malformedRows: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "gannetwell_rows_malformed_total", Help: "Malformed rows, by table.",
 		}, []string{"table"}),
@@ -75,7 +75,7 @@
 		}),
 		labelledAccounts: map[string]bool{},
 	}
-	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.repeatedEnds, m.attemptsLost, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
+	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.repeatedEnds, m.losses, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
 	return m
 }
 
@@ -105,9 +105,7 @@
 func (m *metrics) EndPassedOver() { m.repeatedEnds.Inc() }
 
 // AttemptLost implements shard.Metrics.
-func (m *metrics) AttemptLost(kind shard.LossKind) {
-	m.attemptsLost.WithLabelValues(string(kind)).Inc()
-}
+func (m *metrics) AttemptLost(kind shard.LossKind) { m.losses.WithLabelValues(string(kind)).Inc() }
 
 // PredecessorDone implements shard.Metrics.
 func (m *metrics) PredecessorDone(end shard.PredecessorEnd, waited time.Duration) {
--- a/pkg/node/patience_test.go
+++ b/pkg/node/patience_test.go
@@ -131,7 +131,7 @@
 		c.Assert(err, qt.IsNotNil)
 		began := time.Now()
 		c.Check(n.Submit(context.Background(), submitQueue, "", "0000000000000001", jobs.Spec{}), qt.Equals, schema.CallOutcomeRefused)
-		c.Check(time.Since(began) <= internalOwnerWait, qt.IsTrue)
+		c.Check(time.Since(began) <= ownerWait, qt.IsTrue)
 	})
 }
 
