--- a/pkg/elapsed/detector.go
+++ b/pkg/elapsed/detector.go
@@ -28,7 +28,7 @@
 // monotonic clock, which stops during them.
 type suspensionDetector struct {
 	readClocks func() (boot, monotonic time.Duration, ok bool)
-	base       time.Time
+	base       time.Time // origin of the monotonic times
 
 	total  atomic.Int64 // total suspension time in ns
 	offset atomic.Int64 // wall clock minus monotonic time in ns, at the last read
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -214,7 +214,7 @@
 }
 
 // sendToOwner sends a call to one owner and cancels it when the shard gets another.
-func (n *Node) sendToOwner(ctx context.Context, q *schema.Call, row shard.OwnerRow, local ownership.Work) *schema.CallReply {
+func (n *Node) sendToOwner(ctx context.Context, q *schema.Call, row shard.OwnerRow, local ownership.LocalOwner) *schema.CallReply {
 	if o, ok := local.(*shard.Owner); ok {
 		return n.answerLocal(ctx, o, q)
 	}
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -27,7 +27,7 @@
 }
 
 // openShard takes over a shard and starts its owner; it is an [ownership.Opener].
-func (n *Node) openShard(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
+func (n *Node) openShard(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	if !n.evacuations.isLoaded() {
 		return nil, errOperatorRowsUnread
 	}
@@ -69,7 +69,7 @@
 }
 
 // openFleet takes over the fleet's operations, which move and maintain VMs.
-func (n *Node) openFleet(ctx context.Context, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
+func (n *Node) openFleet(ctx context.Context, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -66,7 +66,7 @@
 
 // manager returns the manager of an entry whose claims are recorded and always fail.
 func (u *outage) manager(self string, m *Members, since time.Time) *Manager {
-	open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+	open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (LocalOwner, error) {
 		u.claims <- self
 		return nil, errors.New("another entry was first")
 	}
@@ -109,7 +109,7 @@
 		c := qt.New(t)
 		u := newOutage()
 		mgr := u.managers[0]
-		mgr.open = func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+		mgr.open = func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (LocalOwner, error) {
 			return nil, errors.Wrap(shard.ErrNotOwner{}, "take over")
 		}
 		u.entries[0].storeSince = time.Now()
--- a/pkg/ownership/doc.go
+++ b/pkg/ownership/doc.go
@@ -1,4 +1,4 @@
-// Package ownership decides which entry owns which shard and keeps the owners that run in this
+// Package ownership decides which entry owns which shard and manages the owners that run in this
 // process.
 //
 // An entry is one server process of the job service, and a shard holds the jobs and workers of one
--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -15,8 +15,9 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Work is the owner of a shard that runs in this process.
-type Work interface {
+// LocalOwner is the owner of a shard that runs in this process; shard.Owner and fleetops.Runner
+// implement it.
+type LocalOwner interface {
 	Term() int64
 	RowVersion() int64
 	Confirm(at time.Duration)
@@ -29,7 +30,7 @@
 // Opener takes over a shard if its owner row still has the version seen, and starts its owner. It
 // calls events.Committing before it commits the takeover, and events.Relinquished once if the owner
 // gives up the shard.
-type Opener func(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events Events) (Work, error)
+type Opener func(ctx context.Context, pool string, seen shard.Seen, cat *catalog.Catalog, events Events) (LocalOwner, error)
 
 // Events are the callbacks of an Opener.
 type Events struct {
@@ -47,7 +48,7 @@
 	goneSince    time.Duration // when the owner was found gone, 0 if it is not
 	suspectSince time.Duration // when the owner was first suspected, 0 if it is not
 
-	owner     Work          // nil unless this entry owns the shard
+	owner     LocalOwner    // nil unless this entry owns the shard
 	claiming  bool          // a claim is in progress
 	inDoubt   bool          // a takeover was sent to the table service and its outcome is unknown
 	notBefore time.Duration // earliest time of the next claim
@@ -56,7 +57,7 @@
 }
 
 // closeOwner closes a local owner in the background; s.closed tells when it has stopped.
-func (s *shardState) closeOwner(o Work) {
+func (s *shardState) closeOwner(o LocalOwner) {
 	closed := make(chan struct{})
 	s.closed = closed
 	go func() {
@@ -166,7 +167,7 @@
 func (mgr *Manager) Release(ctx context.Context) {
 	mgr.mu.Lock()
 	mgr.stopping = true
-	var owners []Work
+	var owners []LocalOwner
 	for _, s := range mgr.shards {
 		if s.owner != nil {
 			owners = append(owners, s.owner)
--- a/pkg/ownership/rebalance.go
+++ b/pkg/ownership/rebalance.go
@@ -69,7 +69,7 @@
 
 // handOver releases a shard to another entry and drops its owner. The owner row is then read again:
 // if the release was not committed, the row still names this entry, which claims the shard again.
-func (mgr *Manager) handOver(ctx context.Context, s *shardState, o Work, to string) {
+func (mgr *Manager) handOver(ctx context.Context, s *shardState, o LocalOwner, to string) {
 	o.Release(ctx, to)
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
--- a/pkg/ownership/rebalance_test.go
+++ b/pkg/ownership/rebalance_test.go
@@ -44,7 +44,7 @@
 
 // releaseRecorder records the successor it was released to.
 type releaseRecorder struct {
-	Work
+	LocalOwner
 	to chan string
 }
 
@@ -67,7 +67,7 @@
 		}
 		m.peers["e7"].Share = 0.8
 		claims := make(chan struct{}, 10)
-		open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (Work, error) {
+		open := func(context.Context, string, shard.Seen, *catalog.Catalog, Events) (LocalOwner, error) {
 			claims <- struct{}{}
 			return nil, errors.New("another entry was first")
 		}
--- a/pkg/ownership/rows.go
+++ b/pkg/ownership/rows.go
@@ -86,7 +86,7 @@
 
 // Owner returns the owner row of a shard and its owner if it runs in this process; changed is
 // closed when any owner changes.
-func (mgr *Manager) Owner(pool string) (row shard.OwnerRow, local Work, changed <-chan struct{}) {
+func (mgr *Manager) Owner(pool string) (row shard.OwnerRow, local LocalOwner, changed <-chan struct{}) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
 	s := mgr.shards[pool]
--- a/pkg/ownership/standdown_test.go
+++ b/pkg/ownership/standdown_test.go
@@ -15,15 +15,15 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// slowWork is an owner of term 1 that takes a while to close.
-type slowWork struct {
-	Work
+// slowOwner is an owner of term 1 that takes a while to close.
+type slowOwner struct {
+	LocalOwner
 	ended atomic.Bool
 }
 
-func (w *slowWork) Term() int64 { return 1 }
+func (w *slowOwner) Term() int64 { return 1 }
 
-func (w *slowWork) Close() {
+func (w *slowOwner) Close() {
 	time.Sleep(50 * time.Millisecond)
 	w.ended.Store(true)
 }
@@ -42,7 +42,7 @@
 			return platform.Row{Value: raw, Version: version}
 		}
 		mgr.ApplyOwner("p", rowOf("me", 1, 10))
-		w := &slowWork{}
+		w := &slowOwner{}
 		mgr.shards["p"].owner = w
 		c.Check(mgr.StandDown(context.Background(), "p", rowOf("before", 0, 9)), qt.IsFalse, qt.Commentf("an older row"))
 		c.Check(w.ended.Load(), qt.IsFalse)
