--- a/pkg/membership/inflight.go
+++ b/pkg/membership/inflight.go
@@ -12,7 +12,7 @@
 	Entry    string         // name, or address while the name is unknown
 	Address  string         // of its peer listener
 	Reached  bool           // it answered
-	Heard    time.Time // last answer or request before this one, zero for never
+	Heard    time.Time      // last answer or request before this one, zero for never
 	Revision int            // of the entry's table when it counted
 	Counts   map[string]int // by VM
 }
