--- /dev/null
+++ b/pkg/ownership/liveness.go
@@ -0,0 +1,164 @@
+package ownership
+
+import (
+	"time"
+
+	"github.com/gannetwell/gannetwell/pkg/shard"
+)
+
+// storeLossTimeout is how long an owner may be without the table service, while others reach it,
+// before its shard is taken over.
+const storeLossTimeout = time.Second
+
+// newOwnerGracePeriod is how long an owner that has just written its row counts as alive without
+// answering: the reads of a takeover may saturate its link. An owner that has exited refuses
+// connections and is detected at once.
+const newOwnerGracePeriod = 2500 * time.Millisecond
+
+// storeRecoveryTime is how long after the table service has recovered other entries may still be
+// recorded as not reaching it, since idle entries are pinged rarely.
+const storeRecoveryTime = 3 * time.Second
+
+// OwnerStatus is this entry's view of whether an owner is alive.
+type OwnerStatus string
+
+// The states of an owner.
+const (
+	OwnerAlive   OwnerStatus = "alive"
+	OwnerGone    OwnerStatus = "gone"    // known to have ended, or silent while most others answer
+	OwnerSuspect OwnerStatus = "suspect" // silent, and so are many others
+)
+
+// OwnerStatus returns the state of the owner named in a row first seen at since, and the reason.
+func (m *Members) OwnerStatus(o shard.OwnerRow, since time.Duration) (v OwnerStatus, why string) {
+	if o.Entry == "" {
+		return OwnerGone, "released"
+	}
+	if o.Entry == m.self.Name {
+		return OwnerGone, "an earlier process of this entry"
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p := m.peers[o.Entry]
+	switch {
+	case p == nil:
+		return OwnerSuspect, "not listed"
+	case p.Start != o.Start:
+		return OwnerGone, "restarted"
+	case m.now()-since < newOwnerGracePeriod && !p.refused:
+		return OwnerAlive, "its owner row is new"
+	case m.alive(p) && p.storeLostSince > 0 && m.now()-p.storeLostSince > storeLossTimeout && m.mostOthersReachStore(p):
+		return OwnerGone, "the table service answers this entry but not the owner"
+	case m.alive(p):
+		return OwnerAlive, ""
+	case p.heardAt == 0 && m.now()-p.addedAt < ownerTimeout && !p.refused:
+		return OwnerAlive, "not pinged yet"
+	}
+	m.updateMajority()
+	if m.majoritySince > 0 && m.now()-m.majoritySince >= ownerTimeout && m.mostOthersAnswered(p) {
+		return OwnerGone, "silent while most others answer"
+	}
+	return OwnerSuspect, "silent, as are many others"
+}
+
+// HasEnded reports whether the process of the owner in a row is known to have ended: the row names
+// no owner, its entry has restarted, or connections to it were refused refusalsUntilEnded times in
+// a row.
+func (m *Members) HasEnded(o shard.OwnerRow) bool {
+	if o.Entry == "" || o.Entry == m.self.Name {
+		return true
+	}
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	p := m.peers[o.Entry]
+	return p != nil && (p.Start != o.Start || p.consecutiveRefusals >= refusalsUntilEnded)
+}
+
+// updateMajority updates since when most entries, this one included, are alive. The caller holds
+// mu. After a partition heals the others are heard again one by one, so a majority has to last
+// before silence counts against a single entry.
+func (m *Members) updateMajority() {
+	heard := 1
+	for _, p := range m.peers {
+		if m.alive(p) {
+			heard++
+		}
+	}
+	switch {
+	case 2*heard <= len(m.peers)+1:
+		m.majoritySince = 0
+	case m.majoritySince == 0:
+		m.majoritySince = m.now()
+	}
+}
+
+// mostOthersAnswered reports whether most entries pinged since silent was last heard have answered.
+// Older answers don't count: they don't show that this entry is still connected. The caller holds
+// mu.
+func (m *Members) mostOthersAnswered(silent *memberState) bool {
+	answered, missed := 0, 0
+	for _, p := range m.peers {
+		switch {
+		case p == silent:
+		case p.heardAt > silent.heardAt:
+			answered++
+		case p.failedAt > silent.heardAt:
+			missed++
+		}
+	}
+	return answered > missed && 2*answered >= min(peerSampleSize, len(m.peers)-1)
+}
+
+// HasMajority reports whether most entries, this one included, are alive.
+func (m *Members) HasMajority() bool { return m.hasMajorityFor(0) }
+
+// mostOthersReachStore reports whether the table service answers this entry and most others except
+// one, whose own path to it must then be broken. The service must have answered here for a while,
+// since entries notice its recovery at different times. The caller holds mu.
+func (m *Members) mostOthersReachStore(except *memberState) bool {
+	if m.local.StoreAnsweredFor() < storeStableTime {
+		return false
+	}
+	reached, heard := 0, 0
+	for _, p := range m.peers {
+		if p == except || !m.alive(p) {
+			continue
+		}
+		heard++
+		if p.storeLostSince == 0 {
+			reached++
+		}
+	}
+	return m.local.ReachesStore() && 2*reached > heard
+}
+
+// Candidates returns the entries that may take over a shard, this one included: alive, not
+// stopping, and reaching the table service. Shortly after the service has recovered its reported
+// state is ignored; otherwise each entry would consider itself the only candidate.
+func (m *Members) Candidates() []Member {
+	storeRecovering := m.local.StoreAnsweredFor() < storeRecoveryTime
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	all := []Member{m.self}
+	for _, p := range m.peers {
+		if m.alive(p) && !p.stopping && (p.storeLostSince == 0 || storeRecovering) {
+			all = append(all, p.Member)
+		}
+	}
+	return all
+}
+
+// ConfirmedAt returns the latest time at which no entry had seen an owner row newer than version,
+// as their answers to pings show; ok is false if one of them has, or has not answered.
+func (m *Members) ConfirmedAt(version int64) (at time.Duration, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	at = m.now()
+	for _, p := range m.peers {
+		if p.ownersVersion < 0 || p.ownersVersion > version || p.heardAt == 0 {
+			return 0, false
+		}
+		at = min(at, p.answeredPingAt)
+	}
+	return at, true
+}
--- /dev/null
+++ b/pkg/ownership/liveness_test.go
@@ -0,0 +1,93 @@
+package ownership
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/cockroachdb/datadriven"
+	"github.com/rs/zerolog"
+
+	"github.com/gannetwell/gannetwell/pkg/elapsed"
+	"github.com/gannetwell/gannetwell/pkg/peer"
+	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/shard"
+)
+
+// fixedEntry is a [Local] with a fixed state.
+type fixedEntry struct {
+	reachesStore bool
+	storeFor     time.Duration
+}
+
+func (fixedEntry) CatalogVersion() int64                 { return 0 }
+func (fixedEntry) OwnersVersion() int64                  { return 0 }
+func (h fixedEntry) ReachesStore() bool                  { return h.reachesStore }
+func (h fixedEntry) StoreAnsweredFor() time.Duration     { return h.storeFor }
+func (fixedEntry) EntryChanged()                         {}
+func (fixedEntry) CatalogNewer(*peer.Caller, int64)      {}
+func (fixedEntry) OwnerNews(pool string, r platform.Row) {}
+
+// TestOwnerStatus runs testdata/judge: given what was heard of the other entries, the status of an
+// owner and whether its shard is claimed.
+func TestOwnerStatus(t *testing.T) {
+	datadriven.RunTest(t, "testdata/judge", func(t *testing.T, d *datadriven.TestData) string {
+		h := fixedEntry{reachesStore: true, storeFor: time.Hour}
+		args := map[string]string{}
+		for _, a := range d.CmdArgs {
+			args[a.Key] = strings.Join(a.Vals, ",")
+		}
+		if v, ok := args["store"]; ok {
+			h.storeFor, _ = time.ParseDuration(v)
+			h.reachesStore = h.storeFor > 0
+		}
+		since := time.Now().Add(-time.Minute)
+		m := NewMembers(Member{Name: "me", Start: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), h)
+		for _, line := range strings.Split(d.Input, "\n") {
+			addPeer(m, strings.Fields(line))
+		}
+		row := shard.OwnerRow{Entry: args["owner"], Start: 1, Address: args["owner"]}
+		m.majoritySince = m.now() - 10*time.Second
+		if v, ok := args["majority"]; ok {
+			age, _ := time.ParseDuration(v)
+			m.majoritySince = m.now() - age
+		}
+		rowAge, _ := time.ParseDuration(args["row"])
+		if d.Cmd == "caller" {
+			return fmt.Sprintf("%v\n", m.Caller(row.Entry, row.Address) != nil)
+		}
+		suspected, _ := time.ParseDuration(args["suspected"])
+		mgr := NewManager(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
+		s := &shardState{row: row, loaded: true, rowSeenAt: m.now() - rowAge}
+		if suspected > 0 {
+			s.suspectSince = m.now() - suspected
+		}
+		status, why := m.OwnerStatus(row, s.rowSeenAt)
+		_, gone := mgr.ownerGone(s, m.now())
+		return fmt.Sprintf("%s: %s; take over %v\n", status, why, gone)
+	})
+}
+
+// addPeer adds a member from "NAME heard=AGE [refused] [nostore=AGE] [start=N]".
+func addPeer(m *Members, words []string) {
+	p := &memberState{Member: Member{Name: words[0], Address: words[0], Start: 1}, caller: peer.NewCaller(words[0]), cancel: func() {}}
+	for _, w := range words[1:] {
+		key, value, _ := strings.Cut(w, "=")
+		age, _ := time.ParseDuration(value)
+		switch key {
+		case "heard":
+			p.heardAt = m.now() - age
+		case "refused":
+			p.refused = true
+		case "nostore":
+			p.storeLostSince = m.now() - age
+		case "start":
+			n, _ := strconv.Atoi(value)
+			p.Start = int64(n)
+		}
+	}
+	p.owns = true
+	m.peers[p.Name] = p
+}
--- /dev/null
+++ b/pkg/ownership/rebalance_test.go
@@ -0,0 +1,93 @@
+package ownership
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+	"github.com/pkg/errors"
+	"github.com/rs/zerolog"
+
+	"github.com/gannetwell/gannetwell/pkg/catalog"
+	"github.com/gannetwell/gannetwell/pkg/elapsed"
+	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/shard"
+)
+
+// TestBetterOwner checks which entry a shard is moved to for a given load.
+func TestBetterOwner(t *testing.T) {
+	candidates := []Member{{Name: "me", Share: 0.2}, {Name: "small", Share: 0.2}, {Name: "big", Share: 0.8}, {Name: "large", Share: 0.8}}
+	for _, tc := range []struct {
+		share float64
+		load  map[string]int
+		to    string
+	}{
+		{0.2, map[string]int{"me": 1, "large": 1}, "big"},
+		{0.2, map[string]int{"me": 1, "big": 1}, "large"},
+		{0.2, map[string]int{"me": 1, "large": 2, "big": 2}, ""}, // the larger entries have shards of their own
+		{0.8, map[string]int{"me": 1}, ""},                       // an equal entry without shards is not better by rebalanceFactor
+		{0.8, map[string]int{"me": 2, "large": 1}, ""},           // nor is one with a shard less
+		{0.8, map[string]int{"me": 3, "large": 1}, "big"},
+	} {
+		to, ok := betterOwner(Member{Name: "me", Share: tc.share}, "p", candidates, tc.load)
+		if !ok {
+			to = ""
+		}
+		qt.Check(t, to, qt.Equals, tc.to, qt.Commentf("%v of %v", tc.load, tc.share))
+	}
+	_, ok := betterOwner(candidates[0], "p", candidates[:1], map[string]int{"me": 1})
+	qt.Check(t, ok, qt.IsFalse)
+}
+
+// releaseRecorder records the successor it was released to.
+type releaseRecorder struct {
+	LocalOwner
+	to chan string
+}
+
+func (w *releaseRecorder) Release(_ context.Context, next string) { w.to <- next }
+func (*releaseRecorder) Confirm(time.Duration)                    {}
+
+// TestRebalance checks that a small entry hands a shard over to the largest one. If the owner row
+// still names the small entry afterwards, it claims the shard again without waiting for its rank.
+func TestRebalance(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		c := qt.New(t)
+		since := time.Now()
+		time.Sleep(time.Minute)
+		m := NewMembers(Member{Name: "me", Share: 0.2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), &unstableEntry{storeSince: since})
+		m.majoritySince = 1
+		for i := range 96 {
+			name := fmt.Sprintf("e%d", i)
+			m.peers[name] = memberHeard(name, time.Hour)
+			m.peers[name].Share = 0.2
+		}
+		m.peers["e7"].Share = 0.8
+		claims := make(chan struct{}, 10)
+		open := func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (LocalOwner, error) {
+			claims <- struct{}{}
+			return nil, errors.New("another entry was first")
+		}
+		mgr := NewManager(shard.Identity{Entry: "me", Start: 3}, m, open, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
+		mgr.catalog = catalog.New(catalog.Catalog{})
+		w := &releaseRecorder{to: make(chan string, 1)}
+		row := shard.OwnerRow{Entry: "me", Start: 3, Term: 1}
+		mgr.shards["p"] = &shardState{row: row, version: 5, loaded: true, owner: w}
+
+		mgr.reconcile(context.Background())
+		synctest.Wait()
+		c.Assert(<-w.to, qt.Equals, "e7")
+		c.Check(mgr.UnreadPools(), qt.DeepEquals, []string{"p"})
+
+		raw, err := shard.EncodeOwner(row)
+		c.Assert(err, qt.IsNil)
+		mgr.ApplyOwner("p", platform.Row{Value: raw, Version: 5})
+		time.Sleep(claimRetryDelay)
+		mgr.reconcile(context.Background())
+		synctest.Wait()
+		c.Check(claims, qt.HasLen, 1)
+	})
+}
