--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -13,8 +13,8 @@
 // ownership; numbers of a later term are above all of an earlier one.
 const attemptsPerTerm = 1 << 12
 
-// Book holds the jobs of one pool. It is not safe for concurrent use.
-type Book struct {
+// Registry holds the jobs of one pool. It is not safe for concurrent use.
+type Registry struct {
 	term   int64
 	jobs   map[string]*Job
 	active []*Job                        // not final, in order of acceptance
@@ -23,24 +23,24 @@
 }
 
 // NewBook returns an empty book; attempt numbers rise with the term.
-func NewBook(term int64) *Book {
-	return &Book{term: term, jobs: map[string]*Job{}, held: map[string]platform.Resources{}}
+func NewBook(term int64) *Registry {
+	return &Registry{term: term, jobs: map[string]*Job{}, held: map[string]platform.Resources{}}
 }
 
 // Add takes a job that was just accepted.
-func (b *Book) Add(id string, r Record, now time.Duration) {
+func (b *Registry) Add(id string, r Record, now time.Duration) {
 	b.insert(newJob(id, r, now))
 }
 
 // Restore takes a job that a former owner kept, with its progress.
-func (b *Book) Restore(id string, r Record, p Progress, addedAt time.Duration) {
+func (b *Registry) Restore(id string, r Record, p Progress, addedAt time.Duration) {
 	j := newJob(id, r, addedAt)
 	j.Restored = true
 	j.restore(p)
 	b.insert(j)
 }
 
-func (b *Book) insert(j *Job) {
+func (b *Registry) insert(j *Job) {
 	b.jobs[j.ID] = j
 	if !j.State.Final() {
 		b.active = append(b.active, j)
@@ -48,10 +48,10 @@
 }
 
 // Job returns a job, nil if there is none of that ID.
-func (b *Book) Job(id string) *Job { return b.jobs[id] }
+func (b *Registry) Job(id string) *Job { return b.jobs[id] }
 
 // Remove forgets a job.
-func (b *Book) Remove(id string) {
+func (b *Registry) Remove(id string) {
 	if j := b.jobs[id]; j != nil {
 		j.eachAttempt(b.Drop)
 		delete(b.jobs, id)
@@ -60,14 +60,14 @@
 }
 
 // All calls f for each job.
-func (b *Book) All(f func(*Job)) {
+func (b *Registry) All(f func(*Job)) {
 	for _, j := range b.jobs {
 		f(j)
 	}
 }
 
 // Active returns the jobs that are not final, in order of acceptance.
-func (b *Book) Active() []*Job {
+func (b *Registry) Active() []*Job {
 	if b.ended > 0 {
 		b.active = slices.DeleteFunc(b.active, func(j *Job) bool { return j.State.Final() })
 		b.ended = 0
@@ -76,12 +76,12 @@
 }
 
 // Timed tells whether a job has occurrences that are due at a time.
-func (b *Book) Timed() bool {
+func (b *Registry) Timed() bool {
 	return slices.ContainsFunc(b.Active(), func(j *Job) bool { return j.Spec.Times > 0 })
 }
 
 // Waiting counts the jobs of a queue none of whose tasks has begun.
-func (b *Book) Waiting(queue string) int {
+func (b *Registry) Waiting(queue string) int {
 	n := 0
 	for _, j := range b.Active() {
 		if j.Queue == queue && !j.Begun {
@@ -92,7 +92,7 @@
 }
 
 // Task finds a task by the name that workers know it by, nil if it is unknown.
-func (b *Book) Task(name string) *Task {
+func (b *Registry) Task(name string) *Task {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return nil
@@ -113,13 +113,13 @@
 }
 
 // Begin notes that an attempt of a task is ordered at a worker.
-func (b *Book) Begin(t *Task, boot string, now time.Duration) *Attempt {
+func (b *Registry) Begin(t *Task, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt+1, b.term*attemptsPerTerm)
 	return b.attach(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, Since: now, ProgressAt: now})
 }
 
 // BeginGang notes that attempts of all tasks of a step are ordered, with one number.
-func (b *Book) BeginGang(s *StepRun, boots []string, now time.Duration) []*Attempt {
+func (b *Registry) BeginGang(s *StepRun, boots []string, now time.Duration) []*Attempt {
 	number := b.term * attemptsPerTerm
 	for _, t := range s.Tasks {
 		number = max(number, t.lastAttempt+1)
@@ -135,14 +135,14 @@
 }
 
 // Adopt notes an attempt that a worker reports and that this book did not order.
-func (b *Book) Adopt(t *Task, number int64, boot string, now time.Duration) *Attempt {
+func (b *Registry) Adopt(t *Task, number int64, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt, number)
 	a := b.attach(t, &Attempt{Task: t, Number: number, Boot: boot, Phase: PhaseRunning, Since: now, ProgressAt: now})
 	b.MarkBegun(a)
 	return a
 }
 
-func (b *Book) attach(t *Task, a *Attempt) *Attempt {
+func (b *Registry) attach(t *Task, a *Attempt) *Attempt {
 	if !t.Done && len(t.Attempts) == 0 {
 		t.Step.held++
 	}
@@ -155,10 +155,10 @@
 
 // Held is what the attempts of a client account's tasks take or may take, those that
 // are being stopped included.
-func (b *Book) Held(account string) platform.Resources { return b.held[account] }
+func (b *Registry) Held(account string) platform.Resources { return b.held[account] }
 
 // MarkBegun notes that a worker has taken the attempt.
-func (b *Book) MarkBegun(a *Attempt) {
+func (b *Registry) MarkBegun(a *Attempt) {
 	if a.Phase != PhaseStopped {
 		a.Phase = PhaseRunning
 	}
@@ -173,14 +173,14 @@
 }
 
 // EachHeld calls f for each client account whose tasks have attempts.
-func (b *Book) EachHeld(f func(account string)) {
+func (b *Registry) EachHeld(f func(account string)) {
 	for account := range b.held {
 		f(account)
 	}
 }
 
 // Drop notes that an attempt is not at its worker: it never started, or was lost with it.
-func (b *Book) Drop(a *Attempt) {
+func (b *Registry) Drop(a *Attempt) {
 	t := a.Task
 	at := slices.Index(t.Attempts, a)
 	if at >= 0 {
@@ -193,7 +193,7 @@
 }
 
 // release notes that a task has an attempt less.
-func (b *Book) release(t *Task) {
+func (b *Registry) release(t *Task) {
 	if len(t.Attempts) == 0 && !t.Done {
 		t.Step.held--
 	}
@@ -215,7 +215,7 @@
 
 // End notes that the attempt of a task with a number has ended; a may be nil if
 // the book does not hold it. An end may be told again, to another owner.
-func (b *Book) End(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
+func (b *Registry) End(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
 	if a != nil {
 		b.Drop(a)
 	}
@@ -241,7 +241,7 @@
 	return e
 }
 
-func (b *Book) endDone(t *Task, e *Effect) {
+func (b *Registry) endDone(t *Task, e *Effect) {
 	s := t.Step
 	if s.Spec.LongRunning {
 		return // to be started again
@@ -257,7 +257,7 @@
 }
 
 // endFailed counts a failed attempt unless it was counted before; it reports whether it was not.
-func (b *Book) endFailed(t *Task, number int64) bool {
+func (b *Registry) endFailed(t *Task, number int64) bool {
 	s := t.Step
 	if s.Spec.LongRunning {
 		return false
@@ -277,21 +277,21 @@
 }
 
 // AllSeen notes that all workers were heard at which tasks of restored jobs may be.
-func (b *Book) AllSeen() {
+func (b *Registry) AllSeen() {
 	b.All(func(j *Job) { j.seen = true })
 }
 
 // GiveUp ends the job of a task that brings its workers down; it reports whether the job
 // was not final before.
-func (b *Book) GiveUp(t *Task) bool { return b.final(t.Step.Job, StateFailed) }
+func (b *Registry) GiveUp(t *Task) bool { return b.final(t.Step.Job, StateFailed) }
 
 // Fail ends a job that can't go on; it reports whether the job was not final before.
-func (b *Book) Fail(j *Job) bool { return b.final(j, StateFailed) }
+func (b *Registry) Fail(j *Job) bool { return b.final(j, StateFailed) }
 
 // Cancel ends a job; it reports whether the job was not final before.
-func (b *Book) Cancel(j *Job) bool { return b.final(j, StateCancelled) }
+func (b *Registry) Cancel(j *Job) bool { return b.final(j, StateCancelled) }
 
-func (b *Book) final(j *Job, state State) bool {
+func (b *Registry) final(j *Job, state State) bool {
 	if j.State.Final() {
 		return false
 	}
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -173,7 +173,7 @@
 }
 
 // finishAll ends all tasks of a step.
-func finishAll(b *Book, s *StepRun, done map[int]bool) {
+func finishAll(b *Registry, s *StepRun, done map[int]bool) {
 	for _, task := range s.Tasks {
 		if !task.Done {
 			a := b.Begin(task, "w", 0)
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -28,7 +28,7 @@
 }
 
 // move begins, loses or ends an attempt.
-func move(t *rapid.T, b *jobs.Book, s *jobs.StepRun, task *jobs.Task) {
+func move(t *rapid.T, b *jobs.Registry, s *jobs.StepRun, task *jobs.Task) {
 	if len(task.Attempts) == 0 {
 		switch {
 		case task.Done:
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -95,7 +95,7 @@
 	releasing bool // it is being handed over: nothing new is begun
 
 	catalog   *catalog.Catalog
-	book      *jobs.Book
+	book      *jobs.Registry
 	unread    map[string]bool           // IDs of jobs that are kept and can't be read
 	blind     bool                      // the record of a former owner's workers could not be read
 	accounts  accounts                  // their shares and limits
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -36,7 +36,7 @@
 
 // kept is what a shard's partition holds.
 type kept struct {
-	book       *jobs.Book
+	book       *jobs.Registry
 	unreadable map[string]bool // IDs of jobs one of whose rows can't be read
 	workers    []leasedWorker
 	record     record
