--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -22,8 +22,8 @@
 	held   map[string]platform.Resources // by client account: what attempts take or may take
 }
 
-// NewBook returns an empty book; attempt numbers rise with the term.
-func NewBook(term int64) *Registry {
+// NewRegistry returns an empty book; attempt numbers rise with the term.
+func NewRegistry(term int64) *Registry {
 	return &Registry{term: term, jobs: map[string]*Job{}, held: map[string]platform.Resources{}}
 }
 
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -38,7 +38,7 @@
 	if err := read[0].Join(read[1:]); err != nil {
 		t.Fatalf("%v", err)
 	}
-	b := NewBook(2)
+	b := NewRegistry(2)
 	b.Restore(j.ID, j.Record, read[0], 0)
 	return b.Job(j.ID), rows
 }
@@ -47,7 +47,7 @@
 func TestProgressOfWideJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{MaxAttempts: 3, Spec: Spec{Steps: []Step{{Count: maxTasks - 8}, {Count: 8, Gang: true}}}}
-		b := NewBook(1)
+		b := NewRegistry(1)
 		b.Add("0000000000000001", r, 0)
 		j := b.Job("0000000000000001")
 		checkpoint := rapid.SampledFrom([]int{0, 1, 16, 600}).Draw(t, "checkpoint")
@@ -103,7 +103,7 @@
 		}
 		c.Assert(p.Join(further), qt.IsNil)
 		c.Check(p.Steps, qt.HasLen, 0)
-		b := NewBook(2)
+		b := NewRegistry(2)
 		b.Restore("j", Record{Spec: Spec{Steps: []Step{{Count: 1}}}}, p, 0)
 		c.Check(b.Job("j").Rows(), qt.Equals, 4)
 	}
@@ -141,7 +141,7 @@
 			Times: times, Interval: time.Duration(rapid.SampledFrom([]int{0, 100, 5000}).Draw(t, "interval")) * time.Millisecond,
 			Steps: []Step{{Count: 2}, {Count: rapid.SampledFrom([]int{1, 3000}).Draw(t, "count"), After: []int{0}}},
 		}}
-		b := NewBook(1)
+		b := NewRegistry(1)
 		b.Add("j", r, 0)
 		j := b.Job("j")
 		done := map[int]bool{}
@@ -162,7 +162,7 @@
 			}
 			if rapid.IntRange(0, 4).Draw(t, "takeover") == 0 && !j.State.Final() {
 				j, _ = reread(t, j)
-				b = NewBook(2)
+				b = NewRegistry(2)
 				b.insert(j)
 			}
 			if j.State == StateCompleted != (len(done) == times) {
@@ -190,7 +190,7 @@
 	c := qt.New(t)
 	r := Record{MaxAttempts: 3, Spec: Spec{Times: 10_000_000, Interval: time.Second, Steps: []Step{{Count: 1}}}}
 	allocated := testing.AllocsPerRun(1, func() {
-		b := NewBook(1)
+		b := NewRegistry(1)
 		b.Add("j", r, 0)
 		b.Job("j").Advance(time.Minute)
 	})
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -13,7 +13,7 @@
 // tasks of a step is always that of its tasks that are neither done nor at a worker.
 func TestWaiting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := jobs.NewBook(1)
+		b := jobs.NewRegistry(1)
 		b.Add("j", jobs.Record{MaxAttempts: 2, Spec: jobs.Spec{Steps: []jobs.Step{
 			{Count: 3}, {Count: 2, Speculative: true}, {Count: 2, LongRunning: true}, {Count: 2, Gang: true},
 		}}}, 0)
--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -57,7 +57,7 @@
 func (l load) play(o order) []played {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	got := make([]played, l.accounts)
-	book := jobs.NewBook(1)
+	book := jobs.NewRegistry(1)
 	var hosts []*Host
 	for i := range l.hosts {
 		c := platform.Resources{CPU: 32000}
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -39,7 +39,7 @@
 }
 
 func newJob(st jobs.Step) *jobs.Job {
-	b := jobs.NewBook(1)
+	b := jobs.NewRegistry(1)
 	b.Add("j", jobs.Record{Spec: jobs.Spec{Steps: []jobs.Step{st}}}, 0)
 	return b.Job("j")
 }
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -61,7 +61,7 @@
 // told of each. Without the shares of accounts' limits nothing could be started safely.
 func readKept(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k kept, err error) {
 	defer func() { err = errors.Wrapf(err, "read shard %s", pool) }()
-	k.book, k.unreadable = jobs.NewBook(term), map[string]bool{}
+	k.book, k.unreadable = jobs.NewRegistry(term), map[string]bool{}
 	records, err := readAll(ctx, rows, tableJob, pool)
 	if err != nil {
 		return k, err
