--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -75,8 +75,8 @@
 	return b.active
 }
 
-// Timed tells whether a job has occurrences that are due at a time.
-func (b *Registry) Timed() bool {
+// HasOccurrences tells whether a job has occurrences that are due at a time.
+func (b *Registry) HasOccurrences() bool {
 	return slices.ContainsFunc(b.Active(), func(j *Job) bool { return j.Spec.Times > 0 })
 }
 
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -52,7 +52,7 @@
 	o.checkStragglers(now)
 	o.judgeRate(now)
 	o.logLoad(now)
-	if o.idleTasks || o.book.Timed() {
+	if o.idleTasks || o.book.HasOccurrences() {
 		o.kickPlacement()
 	}
 }
