--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -80,8 +80,8 @@
 	return slices.ContainsFunc(b.Active(), func(j *Job) bool { return j.Spec.Times > 0 })
 }
 
-// Waiting counts the jobs of a queue none of whose tasks has begun.
-func (b *Registry) Waiting(queue string) int {
+// CountQueued counts the jobs of a queue none of whose tasks has begun.
+func (b *Registry) CountQueued(queue string) int {
 	n := 0
 	for _, j := range b.Active() {
 		if j.Queue == queue && !j.Begun {
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -178,7 +178,7 @@
 	if o.over {
 		return 0, schema.CallOutcomeNotOwner
 	}
-	return o.book.Waiting(queue), schema.CallOutcomeOk
+	return o.book.CountQueued(queue), schema.CallOutcomeOk
 }
 
 // answerWaiters tells those who wait for a job's final state; the lock is held.
