--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -112,8 +112,8 @@
 	return j.task(id)
 }
 
-// Begin notes that an attempt of a task is ordered at a worker.
-func (b *Registry) Begin(t *Task, boot string, now time.Duration) *Attempt {
+// StartAttempt notes that an attempt of a task is ordered at a worker.
+func (b *Registry) StartAttempt(t *Task, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt+1, b.term*attemptsPerTerm)
 	return b.attach(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, Since: now, ProgressAt: now})
 }
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -176,7 +176,7 @@
 func finishAll(b *Registry, s *StepRun, done map[int]bool) {
 	for _, task := range s.Tasks {
 		if !task.Done {
-			a := b.Begin(task, "w", 0)
+			a := b.StartAttempt(task, "w", 0)
 			b.End(task, a, a.Number, platform.EndDone, "")
 		}
 	}
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -37,7 +37,7 @@
 				b.BeginGang(s, []string{"w", "w"}, 0)
 			}
 		default:
-			b.Begin(task, "w", 0)
+			b.StartAttempt(task, "w", 0)
 		}
 		return
 	}
@@ -50,7 +50,7 @@
 	case "failed":
 		b.End(task, a, a.Number, platform.EndFailed, "")
 	case "copy":
-		b.Begin(task, "w2", 0)
+		b.StartAttempt(task, "w2", 0)
 	}
 }
 
--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -122,7 +122,7 @@
 		}
 		o(cs, now, running)
 		for _, st := range Plan(cs, hosts, 1<<20) {
-			ends = append(ends, end{at: now + taskTime, a: book.Begin(st.Task, st.Host.Boot, now), host: st.Host})
+			ends = append(ends, end{at: now + taskTime, a: book.StartAttempt(st.Task, st.Host.Boot, now), host: st.Host})
 			running[st.Task.Step.Job.Account]++
 		}
 	}
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -87,7 +87,7 @@
 			boots[step] = append(boots[step], st.Host.Boot)
 			continue
 		}
-		o.order(o.book.Begin(st.Task, st.Host.Boot, now))
+		o.order(o.book.StartAttempt(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
 		for _, a := range o.book.BeginGang(step, boots[step], now) {
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -69,7 +69,7 @@
 		}
 		attempts = o.book.BeginGang(c.Step, boots, now)
 	} else {
-		attempts = []*jobs.Attempt{o.book.Begin(starts[0].Task, starts[0].Host.Boot, now)}
+		attempts = []*jobs.Attempt{o.book.StartAttempt(starts[0].Task, starts[0].Host.Boot, now)}
 	}
 	for _, a := range attempts {
 		s := o.sessions[a.Boot]
