--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -118,8 +118,8 @@
 	return b.attach(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, Since: now, ProgressAt: now})
 }
 
-// BeginGang notes that attempts of all tasks of a step are ordered, with one number.
-func (b *Registry) BeginGang(s *StepRun, boots []string, now time.Duration) []*Attempt {
+// StartGang notes that attempts of all tasks of a step are ordered, with one number.
+func (b *Registry) StartGang(s *StepRun, boots []string, now time.Duration) []*Attempt {
 	number := b.term * attemptsPerTerm
 	for _, t := range s.Tasks {
 		number = max(number, t.lastAttempt+1)
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -34,7 +34,7 @@
 		case task.Done:
 		case s.Spec.Gang:
 			if s.Waiting() == len(s.Tasks) {
-				b.BeginGang(s, []string{"w", "w"}, 0)
+				b.StartGang(s, []string{"w", "w"}, 0)
 			}
 		default:
 			b.StartAttempt(task, "w", 0)
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -90,7 +90,7 @@
 		o.order(o.book.StartAttempt(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
-		for _, a := range o.book.BeginGang(step, boots[step], now) {
+		for _, a := range o.book.StartGang(step, boots[step], now) {
 			o.order(a)
 		}
 	}
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -67,7 +67,7 @@
 		for _, st := range starts {
 			boots = append(boots, st.Host.Boot)
 		}
-		attempts = o.book.BeginGang(c.Step, boots, now)
+		attempts = o.book.StartGang(c.Step, boots, now)
 	} else {
 		attempts = []*jobs.Attempt{o.book.StartAttempt(starts[0].Task, starts[0].Host.Boot, now)}
 	}
