--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -153,9 +153,9 @@
 	return a
 }
 
-// Held is what the attempts of a client account's tasks take or may take, those that
+// Allocated is what the attempts of a client account's tasks take or may take, those that
 // are being stopped included.
-func (b *Registry) Held(account string) platform.Resources { return b.held[account] }
+func (b *Registry) Allocated(account string) platform.Resources { return b.held[account] }
 
 // MarkBegun notes that a worker has taken the attempt.
 func (b *Registry) MarkBegun(a *Attempt) {
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -26,7 +26,7 @@
 	}
 	b := d.left[account]
 	if b == nil {
-		b = placement.NewBudget(limit, 1, d.o.book.Held(account))
+		b = placement.NewBudget(limit, 1, d.o.book.Allocated(account))
 		d.left[account] = b
 	}
 	return b.TakeUpTo(s.Spec, n)
@@ -42,7 +42,7 @@
 	use := func(account string) *allowance.Use {
 		u := uses[account]
 		if u == nil {
-			running := placement.PartOf(o.book.Held(account).Add(besides[account]), o.limitOf(account))
+			running := placement.PartOf(o.book.Allocated(account).Add(besides[account]), o.limitOf(account))
 			u = &allowance.Use{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
 			uses[account] = u
 		}
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -127,7 +127,7 @@
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
 	if limit != (platform.Resources{}) && b.o.accounts.shares.Bound() {
-		running := b.o.book.Held(account).Add(b.besides[account])
+		running := b.o.book.Allocated(account).Add(b.besides[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
 	b.byName[account] = budget
