--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// EachHeld calls f for each client account whose tasks have attempts.
-func (b *Registry) EachHeld(f func(account string)) {
+// EachAllocated calls f for each client account whose tasks have attempts.
+func (b *Registry) EachAllocated(f func(account string)) {
 	for account := range b.held {
 		f(account)
 	}
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -55,7 +55,7 @@
 			addWaiting(use(account), s.Spec, len(idle), o.limitOf(account))
 		}
 	})
-	o.book.EachHeld(func(account string) {
+	o.book.EachAllocated(func(account string) {
 		if limited(account) {
 			use(account)
 		}
