--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -138,7 +138,7 @@
 func (b *Registry) Adopt(t *Task, number int64, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt, number)
 	a := b.attach(t, &Attempt{Task: t, Number: number, Boot: boot, Phase: PhaseRunning, Since: now, ProgressAt: now})
-	b.MarkBegun(a)
+	b.MarkStarted(a)
 	return a
 }
 
@@ -157,8 +157,8 @@
 // are being stopped included.
 func (b *Registry) Allocated(account string) platform.Resources { return b.held[account] }
 
-// MarkBegun notes that a worker has taken the attempt.
-func (b *Registry) MarkBegun(a *Attempt) {
+// MarkStarted notes that a worker has taken the attempt.
+func (b *Registry) MarkStarted(a *Attempt) {
 	if a.Phase != PhaseStopped {
 		a.Phase = PhaseRunning
 	}
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -148,7 +148,7 @@
 		}
 	}
 	if r.Phase != jobs.PhaseStopped {
-		o.book.MarkBegun(r.Attempt)
+		o.book.MarkStarted(r.Attempt)
 	}
 	if o.unwanted(r.Attempt) {
 		o.stop(s, r, "no longer wanted")
