--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -53,7 +53,7 @@
 // Remove forgets a job.
 func (b *Registry) Remove(id string) {
 	if j := b.jobs[id]; j != nil {
-		j.eachAttempt(b.Drop)
+		j.eachAttempt(b.RemoveAttempt)
 		delete(b.jobs, id)
 		b.active = slices.DeleteFunc(b.active, func(o *Job) bool { return o == j })
 	}
@@ -179,8 +179,8 @@
 	}
 }
 
-// Drop notes that an attempt is not at its worker: it never started, or was lost with it.
-func (b *Registry) Drop(a *Attempt) {
+// RemoveAttempt notes that an attempt is not at its worker: it never started, or was lost with it.
+func (b *Registry) RemoveAttempt(a *Attempt) {
 	t := a.Task
 	at := slices.Index(t.Attempts, a)
 	if at >= 0 {
@@ -217,7 +217,7 @@
 // the book does not hold it. An end may be told again, to another owner.
 func (b *Registry) End(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
 	if a != nil {
-		b.Drop(a)
+		b.RemoveAttempt(a)
 	}
 	j := t.Step.Job
 	if t.Done || j.State.Final() {
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -44,7 +44,7 @@
 	a := task.Attempts[0]
 	switch rapid.SampledFrom([]string{"drop", "done", "failed", "copy"}).Draw(t, "what") {
 	case "drop":
-		b.Drop(a)
+		b.RemoveAttempt(a)
 	case "done":
 		b.End(task, a, a.Number, platform.EndDone, "")
 	case "failed":
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -164,7 +164,7 @@
 	if a := s.attempts[name]; a != nil {
 		o.forgetAhead(a.Attempt)
 		s.letGo(name)
-		o.book.Drop(a.Attempt)
+		o.book.RemoveAttempt(a.Attempt)
 		if a.lostWith != "" {
 			o.convict(a.Task, a.lostWith)
 		}
