--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -213,9 +213,9 @@
 	JobEnded bool
 }
 
-// End notes that the attempt of a task with a number has ended; a may be nil if
+// EndAttempt notes that the attempt of a task with a number has ended; a may be nil if
 // the book does not hold it. An end may be told again, to another owner.
-func (b *Registry) End(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
+func (b *Registry) EndAttempt(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
 	if a != nil {
 		b.RemoveAttempt(a)
 	}
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -177,7 +177,7 @@
 	for _, task := range s.Tasks {
 		if !task.Done {
 			a := b.StartAttempt(task, "w", 0)
-			b.End(task, a, a.Number, platform.EndDone, "")
+			b.EndAttempt(task, a, a.Number, platform.EndDone, "")
 		}
 	}
 	if s.Index == 1 {
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -46,9 +46,9 @@
 	case "drop":
 		b.RemoveAttempt(a)
 	case "done":
-		b.End(task, a, a.Number, platform.EndDone, "")
+		b.EndAttempt(task, a, a.Number, platform.EndDone, "")
 	case "failed":
-		b.End(task, a, a.Number, platform.EndFailed, "")
+		b.EndAttempt(task, a, a.Number, platform.EndFailed, "")
 	case "copy":
 		b.StartAttempt(task, "w2", 0)
 	}
--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -94,7 +94,7 @@
 				return false
 			}
 			j := e.a.Task.Step.Job
-			book.End(e.a.Task, e.a, e.a.Number, platform.EndDone, "")
+			book.EndAttempt(e.a.Task, e.a, e.a.Number, platform.EndDone, "")
 			running[j.Account]--
 			e.host.unplace(e.a.Task.Step)
 			if j.State.Final() {
