--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -276,8 +276,8 @@
 	return true
 }
 
-// AllSeen notes that all workers were heard at which tasks of restored jobs may be.
-func (b *Registry) AllSeen() {
+// MarkReconciled notes that all workers were heard at which tasks of restored jobs may be.
+func (b *Registry) MarkReconciled() {
 	b.All(func(j *Job) { j.seen = true })
 }
 
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -82,7 +82,7 @@
 
 // allHeard does what waits until all workers of former owners were heard or have ended.
 func (o *Owner) allHeard() {
-	o.book.AllSeen()
+	o.book.MarkReconciled()
 	o.giveUpRestored()
 }
 
