--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -281,9 +281,9 @@
 	b.All(func(j *Job) { j.seen = true })
 }
 
-// GiveUp ends the job of a task that brings its workers down; it reports whether the job
+// FailJobOf ends the job of a task that brings its workers down; it reports whether the job
 // was not final before.
-func (b *Registry) GiveUp(t *Task) bool { return b.final(t.Step.Job, StateFailed) }
+func (b *Registry) FailJobOf(t *Task) bool { return b.final(t.Step.Job, StateFailed) }
 
 // Fail ends a job that can't go on; it reports whether the job was not final before.
 func (b *Registry) Fail(j *Job) bool { return b.final(j, StateFailed) }
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -106,7 +106,7 @@
 // giveUpGuilty ends the job of a task that is known to bring its workers down.
 func (o *Owner) giveUpGuilty(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != blame.Guilty || !o.book.GiveUp(t) {
+	if t.Verdict() != blame.Guilty || !o.book.FailJobOf(t) {
 		return
 	}
 	boots := zerolog.Arr()
