--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -208,7 +208,7 @@
 
 // Effect tells what an end has changed.
 type Effect struct {
-	Keep     bool       // the job's progress has to be kept before the end is acknowledged
+	MustPersist     bool       // the job's progress has to be kept before the end is acknowledged
 	Surplus  []*Attempt // copies that are no longer needed
 	JobEnded bool
 }
@@ -225,14 +225,14 @@
 	}
 	if checkpoint != "" {
 		t.Checkpoint = checkpoint
-		e.Keep = true
+		e.MustPersist = true
 	}
 	switch reason {
 	case platform.EndDone:
-		e.Keep = true
+		e.MustPersist = true
 		b.endDone(t, &e)
 	case platform.EndFailed:
-		e.Keep = b.endFailed(t, number)
+		e.MustPersist = b.endFailed(t, number)
 	}
 	if j.State.Final() {
 		e.JobEnded = true
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -118,7 +118,7 @@
 	s.health.note(e.Reason, now)
 	effect := o.book.EndAttempt(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
 	ev.Str("job_state", string(t.Step.Job.State)).Send()
-	if effect.Keep {
+	if effect.MustPersist {
 		o.keep(t.Step.Job, effect.JobEnded)
 	}
 	for _, surplus := range effect.Surplus {
