--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -204,8 +204,8 @@
 	return nil
 }
 
-// Rows is how many rows of progress there may be of the job.
-func (j *Job) Rows() int { return j.parts }
+// ProgressRows is how many rows of progress there may be of the job.
+func (j *Job) ProgressRows() int { return j.parts }
 
 // NoteRows notes how many rows of progress are written.
 func (j *Job) NoteRows(n int) { j.parts = max(j.parts, n) }
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -105,7 +105,7 @@
 		c.Check(p.Steps, qt.HasLen, 0)
 		b := NewRegistry(2)
 		b.Restore("j", Record{Spec: Spec{Steps: []Step{{Count: 1}}}}, p, 0)
-		c.Check(b.Job("j").Rows(), qt.Equals, 4)
+		c.Check(b.Job("j").ProgressRows(), qt.Equals, 4)
 	}
 }
 
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -73,7 +73,7 @@
 		d := dropped{id: o.finals[0].id, rows: 1}
 		o.finals = o.finals[1:]
 		if j := o.book.Job(d.id); j != nil {
-			d.rows = j.Rows()
+			d.rows = j.ProgressRows()
 		}
 		o.book.Remove(d.id)
 		o.drops = append(o.drops, d)
