--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -207,5 +207,5 @@
 // ProgressRows is how many rows of progress there may be of the job.
 func (j *Job) ProgressRows() int { return j.parts }
 
-// NoteRows notes how many rows of progress are written.
-func (j *Job) NoteRows(n int) { j.parts = max(j.parts, n) }
+// NoteProgressRows notes how many rows of progress are written.
+func (j *Job) NoteProgressRows(n int) { j.parts = max(j.parts, n) }
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -179,7 +179,7 @@
 		}
 		delete(o.dirty, j)
 		delete(o.setApart, j)
-		j.NoteRows(len(rows))
+		j.NoteProgressRows(len(rows))
 		b.jobs = append(b.jobs, j)
 		b.states = append(b.states, j.State)
 		b.evidence = append(b.evidence, j.Evidence())
