--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -24,8 +24,8 @@
 	return worst
 }
 
-// Evidence counts the changes of what speaks against the job's tasks.
-func (j *Job) Evidence() int { return j.evidence }
+// EvidenceVersion counts the changes of what speaks against the job's tasks.
+func (j *Job) EvidenceVersion() int { return j.evidence }
 
 // KeepEvidence notes that the changes up to a number are kept.
 func (j *Job) KeepEvidence(n int) { j.evidenceKept = max(j.evidenceKept, n) }
--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -30,7 +30,7 @@
 	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.tries(r), Ahead: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
-	o.noted[j] = append(o.noted[j], noted{session: s, running: r, evidence: j.Evidence()})
+	o.noted[j] = append(o.noted[j], noted{session: s, running: r, evidence: j.EvidenceVersion()})
 	o.keep(j, true)
 	return true
 }
