--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -27,8 +27,8 @@
 // EvidenceVersion counts the changes of what speaks against the job's tasks.
 func (j *Job) EvidenceVersion() int { return j.evidence }
 
-// KeepEvidence notes that the changes up to a number are kept.
-func (j *Job) KeepEvidence(n int) { j.evidenceKept = max(j.evidenceKept, n) }
+// MarkEvidencePersisted notes that the changes up to a number are kept.
+func (j *Job) MarkEvidencePersisted(n int) { j.evidenceKept = max(j.evidenceKept, n) }
 
 // EvidenceKept tells whether a next owner would know what spoke against the job's tasks when
 // Evidence was n.
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -19,7 +19,7 @@
 		s.settle(schema.CallOutcomeOk)
 	}
 	for i, j := range b.jobs {
-		j.KeepEvidence(b.evidence[i])
+		j.MarkEvidencePersisted(b.evidence[i])
 		o.sendNoted(j)
 		if b.states[i].Final() {
 			j.Kept = b.states[i]
