--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -30,6 +30,6 @@
 // MarkEvidencePersisted notes that the changes up to a number are kept.
 func (j *Job) MarkEvidencePersisted(n int) { j.evidenceKept = max(j.evidenceKept, n) }
 
-// EvidenceKept tells whether a next owner would know what spoke against the job's tasks when
+// EvidencePersisted tells whether a next owner would know what spoke against the job's tasks when
 // Evidence was n.
-func (j *Job) EvidenceKept(n int) bool { return j.evidenceKept >= n }
+func (j *Job) EvidencePersisted(n int) bool { return j.evidenceKept >= n }
--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -41,7 +41,7 @@
 		return
 	}
 	o.noted[j] = slices.DeleteFunc(o.noted[j], func(n noted) bool {
-		if !j.EvidenceKept(n.evidence) {
+		if !j.EvidencePersisted(n.evidence) {
 			return false
 		}
 		name := n.running.Task.Name()
