--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -167,8 +167,8 @@
 	if j.State == StateQueued {
 		j.State = StateRunning
 	}
-	if j.Kept == StateQueued {
-		j.Kept = StateRunning // follows from the workers' reports, needs no row
+	if j.PersistedState == StateQueued {
+		j.PersistedState = StateRunning // follows from the workers' reports, needs no row
 	}
 }
 
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -31,7 +31,7 @@
 	Record
 	Steps    []*StepRun    // of the occurrences that are laid out, those of one together and in order
 	State    State         // what has happened, may not be kept yet
-	Kept     State         // the last state that is kept, which callers may be told
+	PersistedState     State         // the last state that is kept, which callers may be told
 	Begun    bool          // a task has started at some time
 	AddedAt  time.Duration // on the owner's clock; before its start for a job of a former owner
 	Restored bool          // it was kept by a former owner
--- a/pkg/jobs/occurrence.go
+++ b/pkg/jobs/occurrence.go
@@ -34,7 +34,7 @@
 
 // newJob returns a job, laid out unless it runs at set times.
 func newJob(id string, r Record, now time.Duration) *Job {
-	j := &Job{ID: id, Record: r, State: StateQueued, Kept: StateQueued, AddedAt: now, parts: 1}
+	j := &Job{ID: id, Record: r, State: StateQueued, PersistedState: StateQueued, AddedAt: now, parts: 1}
 	if r.Spec.Times == 0 {
 		j.layOut(0)
 		j.next = 1
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -95,7 +95,7 @@
 func (j *Job) restore(p Progress) {
 	j.parts = max(j.parts, p.Parts)
 	if p.State.Final() {
-		j.State, j.Kept, j.Begun, j.over = p.State, p.State, true, true
+		j.State, j.PersistedState, j.Begun, j.over = p.State, p.State, true, true
 		if p.Out != nil {
 			j.leftOver = *p.Out
 		}
@@ -109,7 +109,7 @@
 		j.restoreStep(&p.Steps[i])
 	}
 	j.gather()
-	j.Kept = j.visible()
+	j.PersistedState = j.visible()
 	j.State = j.visible()
 }
 
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -123,7 +123,7 @@
 		o.mu.Unlock()
 		return out
 	}
-	if j.Kept.Final() {
+	if j.PersistedState.Final() {
 		o.mu.Unlock()
 		return schema.CallOutcomeOk
 	}
@@ -151,7 +151,7 @@
 	if out != schema.CallOutcomeOk {
 		return "", out
 	}
-	return j.Kept, out
+	return j.PersistedState, out
 }
 
 // find returns a job that the asker may see; one of another account is not there. The lock is held.
@@ -183,7 +183,7 @@
 
 // answerWaiters tells those who wait for a job's final state; the lock is held.
 func (o *Owner) answerWaiters(j *jobs.Job) {
-	if !j.Kept.Final() {
+	if !j.PersistedState.Final() {
 		return
 	}
 	for _, done := range o.waiters[j] {
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -22,7 +22,7 @@
 		j.MarkEvidencePersisted(b.evidence[i])
 		o.sendNoted(j)
 		if b.states[i].Final() {
-			j.Kept = b.states[i]
+			j.PersistedState = b.states[i]
 			o.finals = append(o.finals, finalJob{id: j.ID, at: now})
 		}
 		o.answerWaiters(j)
