--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -84,7 +84,7 @@
 func (b *Registry) CountQueued(queue string) int {
 	n := 0
 	for _, j := range b.Active() {
-		if j.Queue == queue && !j.Begun {
+		if j.Queue == queue && !j.Started {
 			n++
 		}
 	}
@@ -163,7 +163,7 @@
 		a.Phase = PhaseRunning
 	}
 	j := a.Task.Step.Job
-	j.Begun = true
+	j.Started = true
 	if j.State == StateQueued {
 		j.State = StateRunning
 	}
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -32,7 +32,7 @@
 	Steps    []*StepRun    // of the occurrences that are laid out, those of one together and in order
 	State    State         // what has happened, may not be kept yet
 	PersistedState     State         // the last state that is kept, which callers may be told
-	Begun    bool          // a task has started at some time
+	Started    bool          // a task has started at some time
 	AddedAt  time.Duration // on the owner's clock; before its start for a job of a former owner
 	Restored bool          // it was kept by a former owner
 
@@ -157,7 +157,7 @@
 	switch {
 	case j.State.Final():
 		return j.State
-	case j.Begun:
+	case j.Started:
 		return StateRunning
 	default:
 		return StateQueued
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -95,7 +95,7 @@
 func (j *Job) restore(p Progress) {
 	j.parts = max(j.parts, p.Parts)
 	if p.State.Final() {
-		j.State, j.PersistedState, j.Begun, j.over = p.State, p.State, true, true
+		j.State, j.PersistedState, j.Started, j.over = p.State, p.State, true, true
 		if p.Out != nil {
 			j.leftOver = *p.Out
 		}
@@ -103,7 +103,7 @@
 	}
 	if j.Spec.Times > 0 && p.Over.valid(j.Spec.Times) {
 		j.finished = p.Over
-		j.Begun = len(p.Over) > 0
+		j.Started = len(p.Over) > 0
 	}
 	for i := range p.Steps {
 		j.restoreStep(&p.Steps[i])
@@ -135,5 +135,5 @@
 			j.finishTask(t)
 		}
 	}
-	j.Begun = true
+	j.Started = true
 }
