--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -74,7 +74,7 @@
 	Failed     []int64 // numbers of the attempts that failed by their own or a worker's fault
 	Checkpoint string
 	Attempts   []*Attempt
-	Took       time.Duration // of the attempt that was done
+	Duration       time.Duration // of the attempt that was done
 	WantsCopy  bool          // another attempt is to start beside the one that runs
 	Losses     blame.Losses  // workers that were lost with it, as long as it is not cleared
 	Replaced   int           // attempts that were given up as too slow, by this owner
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -56,8 +56,8 @@
 		l = &learned{}
 		o.durations[step.Job.Queue] = l
 	}
-	a.Task.Took = now - a.confirmedAt
-	l.note(a.Task.Took, step.Spec.Estimate)
+	a.Task.Duration = now - a.confirmedAt
+	l.note(a.Task.Duration, step.Spec.Estimate)
 }
 
 // stepTime is how long a step is expected to take once all its tasks have started.
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -104,8 +104,8 @@
 		t := step.Tasks[i]
 		switch {
 		case t == r.Task:
-		case t.Took > 0:
-			totals = append(totals, t.Took)
+		case t.Duration > 0:
+			totals = append(totals, t.Duration)
 		case len(t.Attempts) > 0 && t.Attempts[0].Boot != s.ref.Boot:
 			if other := o.running(t.Attempts[0]); other != nil && other.Percent >= siblingPercent {
 				totals = append(totals, other.total())
