--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -78,7 +78,7 @@
 	WantsCopy  bool          // another attempt is to start beside the one that runs
 	Losses     blame.Losses  // workers that were lost with it, as long as it is not cleared
 	Replaced   int           // attempts that were given up as too slow, by this owner
-	MaybeAt    int           // workers not heard since the takeover where an attempt may be
+	PossibleWorkers    int           // workers not heard since the takeover where an attempt may be
 
 	lastAttempt int64
 	name        string
--- a/pkg/jobs/occurrence.go
+++ b/pkg/jobs/occurrence.go
@@ -83,7 +83,7 @@
 		return false
 	}
 	for _, s := range o.steps {
-		if slices.ContainsFunc(s.Tasks, func(t *Task) bool { return len(t.Attempts) > 0 || t.MaybeAt > 0 }) {
+		if slices.ContainsFunc(s.Tasks, func(t *Task) bool { return len(t.Attempts) > 0 || t.PossibleWorkers > 0 }) {
 			return false
 		}
 	}
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -33,7 +33,7 @@
 	o.heldAll = o.heldAll || !s.former.complete
 	for _, name := range s.former.tasks {
 		if t := o.book.Task(name); t != nil {
-			t.MaybeAt++
+			t.PossibleWorkers++
 		}
 	}
 }
@@ -47,8 +47,8 @@
 		o.lostUnheard(s)
 	}
 	for _, name := range s.former.tasks {
-		if t := o.book.Task(name); t != nil && t.MaybeAt > 0 {
-			t.MaybeAt--
+		if t := o.book.Task(name); t != nil && t.PossibleWorkers > 0 {
+			t.PossibleWorkers--
 		}
 	}
 	s.former = former{}
@@ -89,5 +89,5 @@
 // maybeElsewhere tells whether a task may be, or may have ended, at a worker that has
 // not been heard since the takeover.
 func (o *Owner) maybeElsewhere(t *jobs.Task) bool {
-	return t.MaybeAt > 0 || o.heldAll && t.Step.Job.Restored
+	return t.PossibleWorkers > 0 || o.heldAll && t.Step.Job.Restored
 }
