--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -115,7 +115,7 @@
 // StartAttempt notes that an attempt of a task is ordered at a worker.
 func (b *Registry) StartAttempt(t *Task, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt+1, b.term*attemptsPerTerm)
-	return b.attach(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, Since: now, ProgressAt: now})
+	return b.attach(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, OrderedAt: now, ProgressAt: now})
 }
 
 // StartGang notes that attempts of all tasks of a step are ordered, with one number.
@@ -128,7 +128,7 @@
 	for i, t := range s.Tasks {
 		t.lastAttempt = number
 		attempts = append(attempts, b.attach(t, &Attempt{
-			Task: t, Number: number, Boot: boots[i], Phase: PhaseOrdered, Since: now, ProgressAt: now,
+			Task: t, Number: number, Boot: boots[i], Phase: PhaseOrdered, OrderedAt: now, ProgressAt: now,
 		}))
 	}
 	return attempts
@@ -137,7 +137,7 @@
 // Adopt notes an attempt that a worker reports and that this book did not order.
 func (b *Registry) Adopt(t *Task, number int64, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt, number)
-	a := b.attach(t, &Attempt{Task: t, Number: number, Boot: boot, Phase: PhaseRunning, Since: now, ProgressAt: now})
+	a := b.attach(t, &Attempt{Task: t, Number: number, Boot: boot, Phase: PhaseRunning, OrderedAt: now, ProgressAt: now})
 	b.MarkStarted(a)
 	return a
 }
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -101,7 +101,7 @@
 	Number     int64
 	Boot       string
 	Phase      Phase
-	Since      time.Duration // when it was ordered
+	OrderedAt      time.Duration // when it was ordered
 	ProgressAt time.Duration // when Percent last rose
 	Percent    int
 	Load       int
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -111,7 +111,7 @@
 		if len(t.Attempts) == 0 {
 			return whole
 		}
-		last = max(last, t.Attempts[0].Since)
+		last = max(last, t.Attempts[0].OrderedAt)
 	}
 	return max(0, whole-(now-last))
 }
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -51,7 +51,7 @@
 				Ticket: o.ticketOf(a.Task.Step, a.Boot), Token: s.token, LeaseUntil: s.lease(now),
 			}
 			o.log.Info().Str("event", "start_ordered").Str("task", name).Int64("attempt", a.Number).
-				Str("boot", a.Boot).Int64("token", s.token).Int("at_worker", len(s.attempts)).Dur("queued", now-a.Since).Send()
+				Str("boot", a.Boot).Int64("token", s.token).Int("at_worker", len(s.attempts)).Dur("queued", now-a.OrderedAt).Send()
 			return func(ctx context.Context) (int64, error) { return o.cfg.Workers.StartAttempt(ctx, s.ref, order) }
 		},
 		answered: func(err error) { o.started(s, name, r, err) },
