--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -156,7 +156,7 @@
 				if done[s.Occurrence] && !s.Finished() {
 					t.Fatalf("occurrence %d is laid out again after it was done", s.Occurrence)
 				}
-				if s.Due() <= wall && s.Open() && rapid.Bool().Draw(t, "ends") {
+				if s.Due() <= wall && s.Ready() && rapid.Bool().Draw(t, "ends") {
 					finishAll(b, s, done)
 				}
 			}
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -119,8 +119,8 @@
 // Idle tells whether the task is neither done nor at a worker.
 func (t *Task) Idle() bool { return !t.Done && len(t.Attempts) == 0 }
 
-// Open tells whether the step's predecessors are done.
-func (s *StepRun) Open() bool { return s.blockers == 0 }
+// Ready tells whether the step's predecessors are done.
+func (s *StepRun) Ready() bool { return s.blockers == 0 }
 
 // Finished tells whether each task is done.
 func (s *StepRun) Finished() bool { return s.done == len(s.Tasks) }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -200,7 +200,7 @@
 	wall := time.Duration(time.Now().UnixNano())
 	for _, j := range o.book.Active() {
 		for _, s := range j.Steps {
-			if !s.Open() || s.Finished() || s.Due() > wall {
+			if !s.Ready() || s.Finished() || s.Due() > wall {
 				continue
 			}
 			if idle := o.idle(s, withHeld); len(idle) > 0 {
