--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -125,8 +125,8 @@
 // Finished tells whether each task is done.
 func (s *StepRun) Finished() bool { return s.done == len(s.Tasks) }
 
-// Waiting counts the tasks that are neither done nor at a worker.
-func (s *StepRun) Waiting() int { return len(s.Tasks) - s.done - s.held }
+// CountWaiting counts the tasks that are neither done nor at a worker.
+func (s *StepRun) CountWaiting() int { return len(s.Tasks) - s.done - s.held }
 
 // Due is when the step's occurrence may start, in Unix time; 0 for at once.
 func (s *StepRun) Due() time.Duration {
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -33,7 +33,7 @@
 		switch {
 		case task.Done:
 		case s.Spec.Gang:
-			if s.Waiting() == len(s.Tasks) {
+			if s.CountWaiting() == len(s.Tasks) {
 				b.StartGang(s, []string{"w", "w"}, 0)
 			}
 		default:
@@ -62,8 +62,8 @@
 				idle++
 			}
 		}
-		if s.Waiting() != idle {
-			t.Fatalf("step %d counts %d waiting tasks, there are %d", s.Index, s.Waiting(), idle)
+		if s.CountWaiting() != idle {
+			t.Fatalf("step %d counts %d waiting tasks, there are %d", s.Index, s.CountWaiting(), idle)
 		}
 	}
 }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -213,7 +213,7 @@
 // idle returns the tasks of a step that may start now, with held also those that
 // must wait for the end of a takeover.
 func (o *Owner) idle(s *jobs.StepRun, withHeld bool) (tasks []*jobs.Task) {
-	if s.Waiting() == 0 && !s.Spec.Speculative {
+	if s.CountWaiting() == 0 && !s.Spec.Speculative {
 		return nil
 	}
 	for _, t := range s.Tasks {
