--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -177,18 +177,18 @@
 
 // outstanding is what the attempts of the job's tasks take, or may take unseen.
 func (j *Job) outstanding() platform.Resources {
-	sum := j.Unseen()
+	sum := j.Unconfirmed()
 	j.eachAttempt(func(a *Attempt) { sum = sum.Add(a.Task.Step.Spec.Needs) })
 	return sum
 }
 
-// Unseen is what tasks of a restored job may take at workers that its present owner has
+// Unconfirmed is what tasks of a restored job may take at workers that its present owner has
 // not heard yet. A former owner may have started tasks of steps whose predecessors are
 // not known to be done, since ends are kept after what follows has been started.
 // A job that its present owner has ended meanwhile counts as one that goes on: the tasks of a
 // cancelled one were not counted, and its account had 4000 of 3000 thousandths of a core running
 // (testdata/limit_counts_cancelled).
-func (j *Job) Unseen() (sum platform.Resources) {
+func (j *Job) Unconfirmed() (sum platform.Resources) {
 	switch {
 	case !j.Restored || j.seen:
 		return sum
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -95,7 +95,7 @@
 		}
 	}
 	if o.heldAll {
-		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unseen()) })
+		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
 		return sum
 	}
 	for _, s := range o.sessions {
