--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -73,11 +73,11 @@
 			return errors.Wrapf(err, "step %d", i)
 		}
 	}
-	return s.Holdable()
+	return s.CheckTaskCount()
 }
 
-// Holdable tells whether a job that was accepted by whatever version can be laid out.
-func (s *Spec) Holdable() error {
+// CheckTaskCount tells whether a job that was accepted by whatever version can be laid out.
+func (s *Spec) CheckTaskCount() error {
 	if n := s.tasks(); n > maxTasks {
 		return errors.Errorf("%d tasks in all steps, at most %d are laid out", n, maxTasks)
 	}
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -77,7 +77,7 @@
 			k.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
-		if err := record.Spec.Holdable(); err != nil {
+		if err := record.Spec.CheckTaskCount(); err != nil {
 			// An earlier version took it. Its tasks are not laid out, so none of them starts.
 			k.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
