--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -51,7 +51,7 @@
 	MaxPerWorker  int                `msgpack:"m,omitempty"` // tasks of the step on one worker, 0 for any number
 	Image         string             `msgpack:"i,omitempty"` // tasks of one image behave alike
 	TailTarget    time.Duration      `msgpack:"q,omitempty"` // of the answers that a serving task gives
-	MayMiss       int                `msgpack:"y,omitempty"` // long-running tasks that may be away by our doing
+	MaxUnavailable       int                `msgpack:"y,omitempty"` // long-running tasks that may be away by our doing
 	Limited       bool               `msgpack:"z,omitempty"` // MayMiss was given
 }
 
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -183,7 +183,7 @@
 		case "apart":
 			st.MaxPerWorker, _ = strconv.Atoi(value)
 		case "miss":
-			st.MayMiss, _ = strconv.Atoi(value)
+			st.MaxUnavailable, _ = strconv.Atoi(value)
 			st.Limited = true
 		case "copies":
 			st.Speculative = true
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -140,7 +140,7 @@
 			away++
 		}
 	}
-	return away < step.Spec.MayMiss
+	return away < step.Spec.MaxUnavailable
 }
 
 // serves tells whether a long-running task is at work, as far as is known: one
