--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -52,7 +52,7 @@
 	Image         string             `msgpack:"i,omitempty"` // tasks of one image behave alike
 	TailTarget    time.Duration      `msgpack:"q,omitempty"` // of the answers that a serving task gives
 	MaxUnavailable       int                `msgpack:"y,omitempty"` // long-running tasks that may be away by our doing
-	Limited       bool               `msgpack:"z,omitempty"` // MayMiss was given
+	HasMaxUnavailable       bool               `msgpack:"z,omitempty"` // MayMiss was given
 }
 
 // Check tells what is wrong with a submission.
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -184,7 +184,7 @@
 			st.MaxPerWorker, _ = strconv.Atoi(value)
 		case "miss":
 			st.MaxUnavailable, _ = strconv.Atoi(value)
-			st.Limited = true
+			st.HasMaxUnavailable = true
 		case "copies":
 			st.Speculative = true
 		}
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -93,7 +93,7 @@
 			l.Used = l.Used.Add(charge)
 			cpu += charge.CPU
 			lasting = lasting || a.Task.Step.Spec.LongRunning
-			if a.Task.Step.Spec.LongRunning && a.Task.Step.Spec.Limited {
+			if a.Task.Step.Spec.LongRunning && a.Task.Step.Spec.HasMaxUnavailable {
 				limited[s.vm]++
 			}
 		}
