--- a/pkg/jobs/book.go
+++ b/pkg/jobs/book.go
@@ -9,81 +9,81 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// attemptsPerTerm leaves room for the attempts of one task within a term of
-// ownership; numbers of a later term are above all of an earlier one.
+// attemptsPerTerm is the number range reserved for a task's attempts within one ownership term, so
+// that attempt numbers of a later term exceed all earlier ones.
 const attemptsPerTerm = 1 << 12
 
 // Registry holds the jobs of one pool. It is not safe for concurrent use.
 type Registry struct {
-	term   int64
-	jobs   map[string]*Job
-	active []*Job                        // not final, in order of acceptance
-	ended  int                           // jobs in active that have become final since it was tidied
-	held   map[string]platform.Resources // by client account: what attempts take or may take
+	term          int64
+	jobs          map[string]*Job
+	active        []*Job                        // not final, in order of acceptance
+	finalInActive int                           // jobs in active that became final since it was last compacted
+	allocated     map[string]platform.Resources // by client account: resources that attempts use or may use
 }
 
-// NewRegistry returns an empty book; attempt numbers rise with the term.
+// NewRegistry returns an empty registry. Attempt numbers start above those of earlier terms.
 func NewRegistry(term int64) *Registry {
-	return &Registry{term: term, jobs: map[string]*Job{}, held: map[string]platform.Resources{}}
+	return &Registry{term: term, jobs: map[string]*Job{}, allocated: map[string]platform.Resources{}}
 }
 
-// Add takes a job that was just accepted.
-func (b *Registry) Add(id string, r Record, now time.Duration) {
-	b.insert(newJob(id, r, now))
+// Add adds a newly accepted job.
+func (reg *Registry) Add(id string, r Record, now time.Duration) {
+	reg.insert(newJob(id, r, now))
 }
 
-// Restore takes a job that a former owner kept, with its progress.
-func (b *Registry) Restore(id string, r Record, p Progress, addedAt time.Duration) {
+// Restore adds a job that a former owner persisted, with its progress.
+func (reg *Registry) Restore(id string, r Record, p Progress, addedAt time.Duration) {
 	j := newJob(id, r, addedAt)
 	j.Restored = true
 	j.restore(p)
-	b.insert(j)
+	reg.insert(j)
 }
 
-func (b *Registry) insert(j *Job) {
-	b.jobs[j.ID] = j
+func (reg *Registry) insert(j *Job) {
+	reg.jobs[j.ID] = j
 	if !j.State.Final() {
-		b.active = append(b.active, j)
+		reg.active = append(reg.active, j)
 	}
 }
 
-// Job returns a job, nil if there is none of that ID.
-func (b *Registry) Job(id string) *Job { return b.jobs[id] }
+// Job returns the job with the given ID, or nil.
+func (reg *Registry) Job(id string) *Job { return reg.jobs[id] }
 
-// Remove forgets a job.
-func (b *Registry) Remove(id string) {
-	if j := b.jobs[id]; j != nil {
-		j.eachAttempt(b.RemoveAttempt)
-		delete(b.jobs, id)
-		b.active = slices.DeleteFunc(b.active, func(o *Job) bool { return o == j })
+// Remove deletes a job and releases the resources of its attempts.
+func (reg *Registry) Remove(id string) {
+	if j := reg.jobs[id]; j != nil {
+		j.eachAttempt(reg.RemoveAttempt)
+		delete(reg.jobs, id)
+		reg.active = slices.DeleteFunc(reg.active, func(o *Job) bool { return o == j })
 	}
 }
 
 // All calls f for each job.
-func (b *Registry) All(f func(*Job)) {
-	for _, j := range b.jobs {
+func (reg *Registry) All(f func(*Job)) {
+	for _, j := range reg.jobs {
 		f(j)
 	}
 }
 
 // Active returns the jobs that are not final, in order of acceptance.
-func (b *Registry) Active() []*Job {
-	if b.ended > 0 {
-		b.active = slices.DeleteFunc(b.active, func(j *Job) bool { return j.State.Final() })
-		b.ended = 0
+func (reg *Registry) Active() []*Job {
+	if reg.finalInActive > 0 {
+		reg.active = slices.DeleteFunc(reg.active, func(j *Job) bool { return j.State.Final() })
+		reg.finalInActive = 0
 	}
-	return b.active
+	return reg.active
 }
 
-// HasOccurrences tells whether a job has occurrences that are due at a time.
-func (b *Registry) HasOccurrences() bool {
-	return slices.ContainsFunc(b.Active(), func(j *Job) bool { return j.Spec.Times > 0 })
+// HasOccurrences reports whether any active job runs on a schedule.
+func (reg *Registry) HasOccurrences() bool {
+	return slices.ContainsFunc(reg.Active(), func(j *Job) bool { return j.Spec.Times > 0 })
 }
 
-// CountQueued counts the jobs of a queue none of whose tasks has begun.
-func (b *Registry) CountQueued(queue string) int {
+// CountQueued returns the number of active jobs in a queue that have not started any task.
+func (reg *Registry) CountQueued(queue string) int {
 	n := 0
-	for _, j := range b.Active() {
+	for _, j := range reg.Active() {
 		if j.Queue == queue && !j.Started {
 			n++
 		}
@@ -91,13 +91,13 @@
 	return n
 }
 
-// Task finds a task by the name that workers know it by, nil if it is unknown.
-func (b *Registry) Task(name string) *Task {
+// Task returns the task with the given name, as formatted by [TaskID.String], or nil.
+func (reg *Registry) Task(name string) *Task {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
 		return nil
 	}
-	j := b.jobs[parts[0]]
+	j := reg.jobs[parts[0]]
 	if j == nil {
 		return nil
 	}
@@ -112,53 +112,54 @@
 	return j.task(id)
 }
 
-// StartAttempt notes that an attempt of a task is ordered at a worker.
-func (b *Registry) StartAttempt(t *Task, boot string, now time.Duration) *Attempt {
-	t.lastAttempt = max(t.lastAttempt+1, b.term*attemptsPerTerm)
-	return b.attach(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, OrderedAt: now, ProgressAt: now})
+// StartAttempt records a new attempt of a task that is being ordered at the worker of the given
+// boot.
+func (reg *Registry) StartAttempt(t *Task, boot string, now time.Duration) *Attempt {
+	t.lastAttempt = max(t.lastAttempt+1, reg.term*attemptsPerTerm)
+	return reg.addAttempt(t, &Attempt{Task: t, Number: t.lastAttempt, Boot: boot, Phase: PhaseOrdered, OrderedAt: now, ProgressAt: now})
 }
 
-// StartGang notes that attempts of all tasks of a step are ordered, with one number.
-func (b *Registry) StartGang(s *StepRun, boots []string, now time.Duration) []*Attempt {
-	number := b.term * attemptsPerTerm
+// StartGang records an attempt for every task of a gang step, all with the same number.
+func (reg *Registry) StartGang(s *StepRun, boots []string, now time.Duration) []*Attempt {
+	number := reg.term * attemptsPerTerm
 	for _, t := range s.Tasks {
 		number = max(number, t.lastAttempt+1)
 	}
 	attempts := make([]*Attempt, 0, len(s.Tasks))
 	for i, t := range s.Tasks {
 		t.lastAttempt = number
-		attempts = append(attempts, b.attach(t, &Attempt{
+		attempts = append(attempts, reg.addAttempt(t, &Attempt{
 			Task: t, Number: number, Boot: boots[i], Phase: PhaseOrdered, OrderedAt: now, ProgressAt: now,
 		}))
 	}
 	return attempts
 }
 
-// Adopt notes an attempt that a worker reports and that this book did not order.
-func (b *Registry) Adopt(t *Task, number int64, boot string, now time.Duration) *Attempt {
+// Adopt records an attempt that a worker reports and that this owner did not order.
+func (reg *Registry) Adopt(t *Task, number int64, boot string, now time.Duration) *Attempt {
 	t.lastAttempt = max(t.lastAttempt, number)
-	a := b.attach(t, &Attempt{Task: t, Number: number, Boot: boot, Phase: PhaseRunning, OrderedAt: now, ProgressAt: now})
-	b.MarkStarted(a)
+	a := reg.addAttempt(t, &Attempt{Task: t, Number: number, Boot: boot, Phase: PhaseRunning, OrderedAt: now, ProgressAt: now})
+	reg.MarkStarted(a)
 	return a
 }
 
-func (b *Registry) attach(t *Task, a *Attempt) *Attempt {
+func (reg *Registry) addAttempt(t *Task, a *Attempt) *Attempt {
 	if !t.Done && len(t.Attempts) == 0 {
-		t.Step.held++
+		t.Step.attempted++
 	}
 	t.Attempts = append(t.Attempts, a)
 	t.WantsCopy = false
 	j := t.Step.Job
-	b.held[j.Account] = b.held[j.Account].Add(t.Step.Spec.Needs)
+	reg.allocated[j.Account] = reg.allocated[j.Account].Add(t.Step.Spec.Needs)
 	return a
 }
 
-// Allocated is what the attempts of a client account's tasks take or may take, those that
-// are being stopped included.
-func (b *Registry) Allocated(account string) platform.Resources { return b.held[account] }
+// Allocated returns the resources that an account's attempts use or may use, including those being
+// stopped.
+func (reg *Registry) Allocated(account string) platform.Resources { return reg.allocated[account] }
 
-// MarkStarted notes that a worker has taken the attempt.
-func (b *Registry) MarkStarted(a *Attempt) {
+// MarkStarted records that a worker accepted the attempt.
+func (reg *Registry) MarkStarted(a *Attempt) {
 	if a.Phase != PhaseStopped {
 		a.Phase = PhaseRunning
 	}
@@ -168,56 +169,57 @@
 		j.State = StateRunning
 	}
 	if j.PersistedState == StateQueued {
-		j.PersistedState = StateRunning // follows from the workers' reports, needs no row
+		j.PersistedState = StateRunning // derivable from workers' reports, so it is not persisted
 	}
 }
 
-// EachAllocated calls f for each client account whose tasks have attempts.
-func (b *Registry) EachAllocated(f func(account string)) {
-	for account := range b.held {
+// EachAllocated calls f for each client account that has attempts.
+func (reg *Registry) EachAllocated(f func(account string)) {
+	for account := range reg.allocated {
 		f(account)
 	}
 }
 
-// RemoveAttempt notes that an attempt is not at its worker: it never started, or was lost with it.
-func (b *Registry) RemoveAttempt(a *Attempt) {
+// RemoveAttempt records that an attempt no longer exists: it never started, ended or was lost with
+// its worker.
+func (reg *Registry) RemoveAttempt(a *Attempt) {
 	t := a.Task
 	at := slices.Index(t.Attempts, a)
 	if at >= 0 {
 		t.Attempts = slices.Delete(t.Attempts, at, at+1)
-		b.release(t)
+		reg.releaseResources(t)
 	}
 	if a.Checkpoint != "" {
 		t.Checkpoint = a.Checkpoint
 	}
 }
 
-// release notes that a task has an attempt less.
-func (b *Registry) release(t *Task) {
+// releaseResources updates the counts and the account's allocation after an attempt was removed.
+func (reg *Registry) releaseResources(t *Task) {
 	if len(t.Attempts) == 0 && !t.Done {
-		t.Step.held--
+		t.Step.attempted--
 	}
 	account := t.Step.Job.Account
-	left := b.held[account].Sub(t.Step.Spec.Needs)
+	left := reg.allocated[account].Sub(t.Step.Spec.Needs)
 	if left == (platform.Resources{}) {
-		delete(b.held, account)
+		delete(reg.allocated, account)
 		return
 	}
-	b.held[account] = left
+	reg.allocated[account] = left
 }
 
-// Effect tells what an end has changed.
+// Effect describes the consequences of an attempt's end.
 type Effect struct {
-	MustPersist     bool       // the job's progress has to be kept before the end is acknowledged
-	Surplus  []*Attempt // copies that are no longer needed
-	JobEnded bool
+	MustPersist bool       // the job's progress must be persisted before the end is acknowledged
+	Surplus     []*Attempt // speculative copies that are no longer needed
+	JobEnded    bool
 }
 
-// EndAttempt notes that the attempt of a task with a number has ended; a may be nil if
-// the book does not hold it. An end may be told again, to another owner.
-func (b *Registry) EndAttempt(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
+// EndAttempt records that an attempt ended; a is nil if the registry does not know the attempt.
+// The same end may be reported again, also to a later owner.
+func (reg *Registry) EndAttempt(t *Task, a *Attempt, number int64, reason platform.EndReason, checkpoint string) (e Effect) {
 	if a != nil {
-		b.RemoveAttempt(a)
+		reg.RemoveAttempt(a)
 	}
 	j := t.Step.Job
 	if t.Done || j.State.Final() {
@@ -230,24 +232,24 @@
 	switch reason {
 	case platform.EndDone:
 		e.MustPersist = true
-		b.endDone(t, &e)
+		reg.markDone(t, &e)
 	case platform.EndFailed:
-		e.MustPersist = b.endFailed(t, number)
+		e.MustPersist = reg.recordFailure(t, number)
 	}
 	if j.State.Final() {
 		e.JobEnded = true
-		b.ended++
+		reg.finalInActive++
 	}
 	return e
 }
 
-func (b *Registry) endDone(t *Task, e *Effect) {
+func (reg *Registry) markDone(t *Task, e *Effect) {
 	s := t.Step
 	if s.Spec.LongRunning {
-		return // to be started again
+		return // it is restarted
 	}
 	if s.Spec.Gang {
-		for _, m := range s.Tasks { // one end counts for all members
+		for _, m := range s.Tasks { // the gang completes as a whole
 			s.Job.finishTask(m)
 		}
 		return
@@ -256,8 +258,8 @@
 	e.Surplus = append(e.Surplus, t.Attempts...)
 }
 
-// endFailed counts a failed attempt unless it was counted before; it reports whether it was not.
-func (b *Registry) endFailed(t *Task, number int64) bool {
+// recordFailure counts a failed attempt. It reports false if the attempt was counted before.
+func (reg *Registry) recordFailure(t *Task, number int64) bool {
 	s := t.Step
 	if s.Spec.LongRunning {
 		return false
@@ -276,26 +278,26 @@
 	return true
 }
 
-// MarkReconciled notes that all workers were heard at which tasks of restored jobs may be.
-func (b *Registry) MarkReconciled() {
-	b.All(func(j *Job) { j.seen = true })
+// MarkReconciled records that every worker that may run tasks of restored jobs has reported.
+func (reg *Registry) MarkReconciled() {
+	reg.All(func(j *Job) { j.reconciled = true })
 }
 
-// FailJobOf ends the job of a task that brings its workers down; it reports whether the job
-// was not final before.
-func (b *Registry) FailJobOf(t *Task) bool { return b.final(t.Step.Job, StateFailed) }
+// FailJobOf fails the job of a task that crashes its workers. It reports whether the job was not
+// final before.
+func (reg *Registry) FailJobOf(t *Task) bool { return reg.setFinal(t.Step.Job, StateFailed) }
 
-// Fail ends a job that can't go on; it reports whether the job was not final before.
-func (b *Registry) Fail(j *Job) bool { return b.final(j, StateFailed) }
+// Fail fails a job that cannot continue. It reports whether the job was not final before.
+func (reg *Registry) Fail(j *Job) bool { return reg.setFinal(j, StateFailed) }
 
-// Cancel ends a job; it reports whether the job was not final before.
-func (b *Registry) Cancel(j *Job) bool { return b.final(j, StateCancelled) }
+// Cancel cancels a job. It reports whether the job was not final before.
+func (reg *Registry) Cancel(j *Job) bool { return reg.setFinal(j, StateCancelled) }
 
-func (b *Registry) final(j *Job, state State) bool {
+func (reg *Registry) setFinal(j *Job, state State) bool {
 	if j.State.Final() {
 		return false
 	}
 	j.State = state
-	b.ended++
+	reg.finalInActive++
 	return true
 }
--- a/pkg/jobs/doc.go
+++ b/pkg/jobs/doc.go
@@ -1,10 +1,11 @@
-// Package jobs is the state machine of jobs: steps, tasks and their attempts.
+// Package jobs implements the state machine of jobs: their steps, tasks and attempts.
 //
-// A job is a list of steps; a step is a number of like tasks and may have to
-// wait for other steps. A job with times runs all its steps once for each time;
-// one such run is an occurrence. The package does no I/O and reads no clock: a
-// [Registry] is told what happened and tells which tasks may start.
+// A job is a list of steps. A step consists of identical tasks and may depend on earlier steps. A
+// job with a schedule runs all its steps once per occurrence. The owner of a pool's shard (package
+// shard) keeps the pool's jobs in a [Registry], reports to it what happened and asks it which
+// tasks are ready to start; package placement picks workers for them. The package does no I/O and
+// reads no clock.
 //
-// What must outlast a process is a job's [Spec] and its [Progress]; attempts
-// that run are known by asking the workers.
+// A job's [Record] and [Progress] are persisted and survive a change of owner. Running attempts
+// are not persisted: a new owner learns of them from the workers.
 package jobs
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -13,96 +13,99 @@
 )
 
 const (
-	// partTasks is how many tasks of a step one entry tells of in a progress of several rows.
-	partTasks = 32
-	// maxParts bounds the rows that a progress takes up, so that they fit into one transaction
-	// beside what else waits.
-	maxParts = 8
-	// formatParts marks progress that earlier versions cannot read: they set its job apart, where
-	// they would run again what it says is done.
-	formatParts = 2
+	// tasksPerEntry is the number of a step's tasks that one entry covers in progress of several
+	// rows.
+	tasksPerEntry = 32
+	// maxProgressRows limits the rows of a job's progress, so that they fit into one transaction
+	// together with other pending rows.
+	maxProgressRows = 8
+	// formatVersioned marks progress that earlier versions cannot decode. They quarantine the job
+	// instead of rerunning tasks that are done.
+	formatVersioned = 2
 )
 
-// ErrTooLarge reports what takes more bytes than can be kept.
+// ErrTooLarge reports a value that exceeds the size that can be persisted.
 type ErrTooLarge struct {
 	What  string
 	Bytes int
 	Limit int
 }
 
-// Error names what is too large, and the limit.
+// Error implements the error interface.
 func (e ErrTooLarge) Error() string {
-	return fmt.Sprintf("%s takes %d bytes, at most %d can be kept", e.What, e.Bytes, e.Limit)
+	return fmt.Sprintf("%s takes %d bytes, which exceeds the limit of %d bytes", e.What, e.Bytes, e.Limit)
 }
 
-// Encode returns the progress as the values of its rows, none of which is longer than a limit. What
-// makes tasks done or failed is kept in any case; checkpoints, and then losses, are left out of one
-// that takes up too many rows: such tasks begin anew, and may bring another worker down.
+// Encode returns the progress as the values of its rows, each at most limit bytes long. Completed
+// tasks and failed attempts are always included. If there are too many rows, checkpoints are
+// omitted first, so that tasks restart from the beginning, and then worker losses.
 func (p Progress) Encode(limit int) (rows [][]byte, err error) {
 	defer func() { err = errors.Wrap(err, "encode job progress") }()
-	for _, lighten := range []func(*StepProgress){
+	for _, omit := range []func(*StepProgress){
 		func(*StepProgress) {},
 		func(sp *StepProgress) { sp.Checkpoints = nil },
 		func(sp *StepProgress) { sp.Losses = nil },
 	} {
 		p.Steps = slices.Clone(p.Steps)
 		for i := range p.Steps {
-			lighten(&p.Steps[i])
+			omit(&p.Steps[i])
 		}
-		if rows, err = p.encode(limit); err == nil && len(rows) <= maxParts {
+		if rows, err = p.encode(limit); err == nil && len(rows) <= maxProgressRows {
 			return rows, nil
 		}
 	}
 	if err == nil {
-		err = ErrTooLarge{What: "the progress of a job", Bytes: len(rows) * limit, Limit: maxParts * limit}
+		err = ErrTooLarge{What: "job progress", Bytes: len(rows) * limit, Limit: maxProgressRows * limit}
 	}
 	return nil, err
 }
 
-// CheckSize tells whether the job can be kept in rows of a limited length, whatever becomes of it.
+// CheckSize returns an error if the record, or the largest progress that the job can have, does
+// not fit into rows of limit bytes.
 func (r *Record) CheckSize(record []byte, limit int) error {
 	if len(record) > limit {
-		return ErrTooLarge{What: "the job", Bytes: len(record), Limit: limit}
+		return ErrTooLarge{What: "job record", Bytes: len(record), Limit: limit}
 	}
-	if worst, most := r.occurrenceBytes(), keepable(limit); worst > most {
-		return ErrTooLarge{What: fmt.Sprintf("a job of %d tasks with %d attempts each", r.Spec.tasks(), r.MaxAttempts), Bytes: worst, Limit: most}
+	if needed, limitBytes := r.occurrenceBytes(), maxPersistedBytes(limit); needed > limitBytes {
+		return ErrTooLarge{What: fmt.Sprintf("progress of a job of %d tasks with %d attempts each", r.Spec.tasks(), r.MaxAttempts), Bytes: needed, Limit: limitBytes}
 	}
 	return nil
 }
 
 const (
-	// stepBytes, taskBytes and attemptBytes are the most that is kept in any case of a step, of each
-	// of its tasks, and of each failed attempt.
+	// stepBytes, taskBytes and attemptBytes are the maximum encoded sizes of a step, a task and a
+	// failed attempt, without checkpoints and losses.
 	stepBytes    = 40
 	taskBytes    = 8
 	attemptBytes = 9
 )
 
-// occurrenceBytes is the most that is kept in any case of one occurrence.
+// occurrenceBytes returns the maximum encoded size of one occurrence, without checkpoints and
+// losses.
 func (r *Record) occurrenceBytes() int {
-	return len(r.Spec.Steps)*stepBytes + r.Spec.tasks()*(taskBytes+stepBytes/partTasks+max(1, r.MaxAttempts)*attemptBytes)
+	return len(r.Spec.Steps)*stepBytes + r.Spec.tasks()*(taskBytes+stepBytes/tasksPerEntry+max(1, r.MaxAttempts)*attemptBytes)
 }
 
-// keepable is how much of a job can be kept in rows of a limited length, with room to spare for how
-// it falls into rows.
-func keepable(limit int) int { return maxParts * limit * 3 / 4 }
+// maxPersistedBytes returns the maximum progress size for rows of limit bytes, with a margin for
+// rows that cannot be filled completely.
+func maxPersistedBytes(limit int) int { return maxProgressRows * limit * 3 / 4 }
 
-// encode returns the progress as the values of as many rows as it takes.
+// encode returns the progress as the values of as many rows as needed.
 func (p *Progress) encode(limit int) (rows [][]byte, err error) {
-	whole, err := p.marshal()
-	if err != nil || len(whole) <= limit {
-		return [][]byte{whole}, err
+	single, err := p.marshal()
+	if err != nil || len(single) <= limit {
+		return [][]byte{single}, err
 	}
 	first := Progress{State: p.State, Out: p.Out, Over: p.Over}
 	part, size := Progress{}, 0
 	var parts []Progress
 	for _, sp := range p.Steps {
-		for _, piece := range sp.pieces() {
+		for _, piece := range sp.split() {
 			raw, err := msgpack.Marshal(&piece)
 			if err != nil {
 				return nil, err
 			}
-			if size+len(raw) > limit-envelope && size > 0 {
+			if size+len(raw) > limit-rowOverheadBytes && size > 0 {
 				parts, part, size = append(parts, part), Progress{}, 0
 			}
 			part.Steps, size = append(part.Steps, piece), size+len(raw)
@@ -110,52 +113,53 @@
 	}
 	parts = append(parts, part)
 	first.Parts = 1 + len(parts)
-	for _, one := range append([]Progress{first}, parts...) {
-		raw, err := one.marshal()
+	for _, row := range append([]Progress{first}, parts...) {
+		raw, err := row.marshal()
 		if err != nil {
 			return nil, err
 		}
 		if len(raw) > limit {
-			return nil, ErrTooLarge{What: "a part of a job's progress", Bytes: len(raw), Limit: limit}
+			return nil, ErrTooLarge{What: "row of job progress", Bytes: len(raw), Limit: limit}
 		}
 		rows = append(rows, raw)
 	}
 	return rows, nil
 }
 
-// envelope is room for what a row holds beside its steps, in bytes.
-const envelope = 64
+// rowOverheadBytes is reserved in each row for everything besides its steps.
+const rowOverheadBytes = 64
 
-// pieces divides what is kept of a step by tasks.
-func (sp *StepProgress) pieces() []StepProgress {
-	tasks := max(1, 8*len(sp.Done), 1+greatest(sp.Failed), 1+greatest(sp.Checkpoints), 1+greatest(sp.Losses))
-	pieces := make([]StepProgress, (tasks+partTasks-1)/partTasks)
+// split divides a step's progress into entries of tasksPerEntry tasks.
+func (sp *StepProgress) split() []StepProgress {
+	tasks := max(1, 8*len(sp.Done), 1+maxKey(sp.Failed), 1+maxKey(sp.Checkpoints), 1+maxKey(sp.Losses))
+	pieces := make([]StepProgress, (tasks+tasksPerEntry-1)/tasksPerEntry)
 	for i := range pieces {
 		pieces[i].At, pieces[i].GangFailed = sp.At, sp.GangFailed
-		if from, to := i*partTasks/8, min((i+1)*partTasks/8, len(sp.Done)); from < to {
+		if from, to := i*tasksPerEntry/8, min((i+1)*tasksPerEntry/8, len(sp.Done)); from < to {
 			pieces[i].Done = make([]byte, to)
 			copy(pieces[i].Done[from:], sp.Done[from:to])
 		}
 	}
-	deal(sp.Failed, pieces, func(one *StepProgress) *map[int][]int64 { return &one.Failed })
-	deal(sp.Checkpoints, pieces, func(one *StepProgress) *map[int]string { return &one.Checkpoints })
-	deal(sp.Losses, pieces, func(one *StepProgress) *map[int]blame.Losses { return &one.Losses })
+	// distribute copies per-task values into the entries that cover the tasks.
+	distribute(sp.Failed, pieces, func(sp *StepProgress) *map[int][]int64 { return &sp.Failed })
+	distribute(sp.Checkpoints, pieces, func(sp *StepProgress) *map[int]string { return &sp.Checkpoints })
+	distribute(sp.Losses, pieces, func(sp *StepProgress) *map[int]blame.Losses { return &sp.Losses })
 	return pieces
 }
 
-// greatest is the greatest key, -1 for none.
-func greatest[V any](m map[int]V) int {
-	top := -1
+// maxKey returns the greatest key of a map, or -1 if the map is empty.
+func maxKey[V any](m map[int]V) int {
+	greatest := -1
 	for k := range m {
-		top = max(top, k)
+		greatest = max(greatest, k)
 	}
-	return top
+	return greatest
 }
 
-// deal puts what is known of tasks into the pieces that tell of them.
-func deal[V any](all map[int]V, pieces []StepProgress, field func(*StepProgress) *map[int]V) {
+// distribute puts what is known of tasks into the pieces that tell of them.
+func distribute[V any](all map[int]V, pieces []StepProgress, field func(*StepProgress) *map[int]V) {
 	for task, v := range all {
-		m := field(&pieces[task/partTasks])
+		m := field(&pieces[task/tasksPerEntry])
 		if *m == nil {
 			*m = map[int]V{}
 		}
@@ -163,12 +167,13 @@
 	}
 }
 
-// marshal encodes one row, in a form that earlier versions read if they understand all of it.
+// marshal encodes one row. It uses the unversioned format if earlier versions can decode the row
+// completely.
 func (p *Progress) marshal() ([]byte, error) {
 	if len(p.Over) == 0 && p.Parts == 0 {
 		return msgpack.Marshal(p)
 	}
-	return msgpack.Marshal([]any{formatParts, p})
+	return msgpack.Marshal([]any{formatVersioned, p})
 }
 
 // DecodeProgress reads one row of a job's progress.
@@ -185,17 +190,17 @@
 	if err != nil {
 		return p, err
 	}
-	if format != formatParts {
-		return p, errors.Errorf("format %d is not known", format)
+	if format != formatVersioned {
+		return p, errors.Errorf("unknown format %d", format)
 	}
 	return p, d.Decode(&p)
 }
 
-// Join puts the further rows of a progress behind its first one. There may be more, of a time when it
-// took up more: what they say is out of date, and they are counted only.
+// Join appends the remaining rows to the first one. Rows beyond p.Parts are left over from larger
+// progress: they are only counted, so that they are removed with the job.
 func (p *Progress) Join(further []Progress) error {
 	if len(further) < p.Parts-1 {
-		return errors.Errorf("%d of %d rows of a job's progress are there", 1+len(further), p.Parts)
+		return errors.Errorf("found only %d of %d rows of a job's progress", 1+len(further), p.Parts)
 	}
 	for i := range p.Parts - 1 {
 		p.Steps = append(p.Steps, further[i].Steps...)
@@ -204,8 +209,8 @@
 	return nil
 }
 
-// ProgressRows is how many rows of progress there may be of the job.
-func (j *Job) ProgressRows() int { return j.parts }
+// ProgressRows returns the number of progress rows that may be stored for the job.
+func (j *Job) ProgressRows() int { return j.progressRows }
 
-// NoteProgressRows notes how many rows of progress are written.
-func (j *Job) NoteProgressRows(n int) { j.parts = max(j.parts, n) }
+// NoteProgressRows records that n progress rows were written.
+func (j *Job) NoteProgressRows(n int) { j.progressRows = max(j.progressRows, n) }
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -13,16 +13,16 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// rowLimit is the length of rows in these tests, in bytes.
+// rowLimit is the maximum row length in these tests, in bytes.
 const rowLimit = 65_536
 
-// fataler ends a test.
+// fataler is the part of testing.T that rapid.T shares.
 type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
-// reread keeps a job's progress in rows, and lays the job out again from them.
-func reread(t fataler, j *Job) (again *Job, rows [][]byte) {
+// roundTrip encodes a job's progress and restores the job from it.
+func roundTrip(t fataler, j *Job) (again *Job, rows [][]byte) {
 	rows, err := j.Progress().Encode(rowLimit)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -38,18 +38,19 @@
 	if err := read[0].Join(read[1:]); err != nil {
 		t.Fatalf("%v", err)
 	}
-	b := NewRegistry(2)
-	b.Restore(j.ID, j.Record, read[0], 0)
-	return b.Job(j.ID), rows
+	reg := NewRegistry(2)
+	reg.Restore(j.ID, j.Record, read[0], 0)
+	return reg.Job(j.ID), rows
 }
 
-// TestProgressOfWideJob has all that can be known of each of 4,096 tasks kept and read again.
+// Progress of a job with the maximum number of tasks fits into its rows, and no completed task or
+// failed attempt is lost.
 func TestProgressOfWideJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{MaxAttempts: 3, Spec: Spec{Steps: []Step{{Count: maxTasks - 8}, {Count: 8, Gang: true}}}}
-		b := NewRegistry(1)
-		b.Add("0000000000000001", r, 0)
-		j := b.Job("0000000000000001")
+		reg := NewRegistry(1)
+		reg.Add("0000000000000001", r, 0)
+		j := reg.Job("0000000000000001")
 		checkpoint := rapid.SampledFrom([]int{0, 1, 16, 600}).Draw(t, "checkpoint")
 		losses := rapid.IntRange(0, 5).Draw(t, "losses")
 		every := rapid.IntRange(1, 50).Draw(t, "every")
@@ -67,8 +68,8 @@
 			}
 		}
 		j.Steps[1].GangFailed = []int64{1 << 40}
-		again, rows := reread(t, j)
-		if len(rows) > maxParts {
+		again, rows := roundTrip(t, j)
+		if len(rows) > maxProgressRows {
 			t.Fatalf("%d rows", len(rows))
 		}
 		for i, task := range j.Steps[0].Tasks {
@@ -78,22 +79,21 @@
 			}
 		}
 		if len(again.Steps[1].GangFailed) != 1 {
-			t.Fatalf("the failed run of the gang was forgotten")
+			t.Fatalf("the failed gang run was lost")
 		}
 	})
 }
 
-// TestFurtherRowMissing: progress of which a row is missing is no progress.
-func TestFurtherRowMissing(t *testing.T) {
+// Incomplete progress is rejected.
+func TestMissingRowIsRejected(t *testing.T) {
 	p := Progress{Parts: 3}
 	qt.Check(t, p.Join([]Progress{{}}), qt.IsNotNil)
 	qt.Check(t, p.Join([]Progress{{}, {}}), qt.IsNil)
 }
 
-// TestFurtherRowsAreKnown: rows of a time when progress took up more are known after a takeover, of a
-// job that goes on and of one that has ended, so that they are removed with the job. What they say is
-// out of date.
-func TestFurtherRowsAreKnown(t *testing.T) {
+// Rows left over from larger progress are counted, so that they are removed with the job, and
+// their content is ignored.
+func TestStaleRowsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	stale := Progress{Steps: []StepProgress{{Done: []byte{1}}}}
 	for _, p := range []Progress{{State: StateCompleted}, {Parts: 2}, {}} {
@@ -103,24 +103,24 @@
 		}
 		c.Assert(p.Join(further), qt.IsNil)
 		c.Check(p.Steps, qt.HasLen, 0)
-		b := NewRegistry(2)
-		b.Restore("j", Record{Spec: Spec{Steps: []Step{{Count: 1}}}}, p, 0)
-		c.Check(b.Job("j").ProgressRows(), qt.Equals, 4)
+		reg := NewRegistry(2)
+		reg.Restore("j", Record{Spec: Spec{Steps: []Step{{Count: 1}}}}, p, 0)
+		c.Check(reg.Job("j").ProgressRows(), qt.Equals, 4)
 	}
 }
 
-// oldProgress is a job's progress as versions before occurrences were laid out by their times read it.
+// oldProgress is the format of versions that do not know Over and Parts.
 type oldProgress struct {
 	State State          `msgpack:"s,omitempty"`
 	Steps []StepProgress `msgpack:"p,omitempty"`
 }
 
-// TestEarlierVersionSetsApart: earlier versions must not read progress that they would understand a
-// part of only, and read all other.
-func TestEarlierVersionSetsApart(t *testing.T) {
+// Earlier versions must fail to decode progress with fields they do not know, and decode all other
+// progress.
+func TestEarlierVersionRejectsNewProgress(t *testing.T) {
 	c := qt.New(t)
 	var old oldProgress
-	for _, p := range []Progress{{Over: spans{0, 3}}, {Parts: 2}} {
+	for _, p := range []Progress{{Over: rangeSet{0, 3}}, {Parts: 2}} {
 		raw, err := p.marshal()
 		c.Assert(err, qt.IsNil)
 		c.Check(msgpack.Unmarshal(raw, &old), qt.IsNotNil)
@@ -132,8 +132,8 @@
 	c.Check(old.Steps, qt.HasLen, 1)
 }
 
-// TestOccurrences plays jobs that run at set times over drawn clocks, ends and takeovers: each
-// occurrence is laid out when it is due, is done once, and few are laid out at a time.
+// Each occurrence of a scheduled job is expanded when due and finished exactly once across
+// takeovers, and the number of expanded tasks stays bounded.
 func TestOccurrences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		times := rapid.SampledFrom([]int{1, 3, 40, 10_000_000}).Draw(t, "times")
@@ -141,29 +141,29 @@
 			Times: times, Interval: time.Duration(rapid.SampledFrom([]int{0, 100, 5000}).Draw(t, "interval")) * time.Millisecond,
 			Steps: []Step{{Count: 2}, {Count: rapid.SampledFrom([]int{1, 3000}).Draw(t, "count"), After: []int{0}}},
 		}}
-		b := NewRegistry(1)
-		b.Add("j", r, 0)
-		j := b.Job("j")
+		reg := NewRegistry(1)
+		reg.Add("j", r, 0)
+		j := reg.Job("j")
 		done := map[int]bool{}
 		var wall time.Duration
 		for range rapid.IntRange(1, 10).Draw(t, "steps") {
 			wall += time.Duration(rapid.IntRange(0, 20_000).Draw(t, "ms")) * time.Millisecond
 			j.Advance(wall)
-			if n := len(j.open) * r.Spec.tasks(); n > max(openTasks, r.Spec.tasks()) {
-				t.Fatalf("%d tasks are laid out", n)
+			if n := len(j.expanded) * r.Spec.tasks(); n > max(maxExpandedTasks, r.Spec.tasks()) {
+				t.Fatalf("%d tasks are expanded", n)
 			}
 			for _, s := range j.Steps {
 				if done[s.Occurrence] && !s.Finished() {
-					t.Fatalf("occurrence %d is laid out again after it was done", s.Occurrence)
+					t.Fatalf("occurrence %d was expanded again after it finished", s.Occurrence)
 				}
 				if s.Due() <= wall && s.Ready() && rapid.Bool().Draw(t, "ends") {
-					finishAll(b, s, done)
+					finishStep(reg, s, done)
 				}
 			}
 			if rapid.IntRange(0, 4).Draw(t, "takeover") == 0 && !j.State.Final() {
-				j, _ = reread(t, j)
-				b = NewRegistry(2)
-				b.insert(j)
+				j, _ = roundTrip(t, j)
+				reg = NewRegistry(2)
+				reg.insert(j)
 			}
 			if j.State == StateCompleted != (len(done) == times) {
 				t.Fatalf("the job is %s with %d of %d occurrences done", j.State, len(done), times)
@@ -172,12 +172,12 @@
 	})
 }
 
-// finishAll ends all tasks of a step.
-func finishAll(b *Registry, s *StepRun, done map[int]bool) {
+// finishStep completes all tasks of a step.
+func finishStep(reg *Registry, s *StepRun, done map[int]bool) {
 	for _, task := range s.Tasks {
 		if !task.Done {
-			a := b.StartAttempt(task, "w", 0)
-			b.EndAttempt(task, a, a.Number, platform.EndDone, "")
+			a := reg.StartAttempt(task, "w", 0)
+			reg.EndAttempt(task, a, a.Number, platform.EndDone, "")
 		}
 	}
 	if s.Index == 1 {
@@ -185,14 +185,14 @@
 	}
 }
 
-// TestManyTimes has a job of ten million times take no more than one of a few.
-func TestManyTimes(t *testing.T) {
+// Memory does not grow with the number of scheduled occurrences.
+func TestManyOccurrencesStayCheap(t *testing.T) {
 	c := qt.New(t)
 	r := Record{MaxAttempts: 3, Spec: Spec{Times: 10_000_000, Interval: time.Second, Steps: []Step{{Count: 1}}}}
 	allocated := testing.AllocsPerRun(1, func() {
-		b := NewRegistry(1)
-		b.Add("j", r, 0)
-		b.Job("j").Advance(time.Minute)
+		reg := NewRegistry(1)
+		reg.Add("j", r, 0)
+		reg.Job("j").Advance(time.Minute)
 	})
 	c.Check(allocated < 1000, qt.IsTrue, qt.Commentf("%v allocations", allocated))
 }
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -2,20 +2,21 @@
 
 import "github.com/gannetwell/gannetwell/pkg/blame"
 
-// SetLosses notes what speaks against a task; it has to be kept before the task may be
-// started on trial.
+// SetLosses sets the worker losses that are attributed to a task. They must be persisted before
+// the task is started on trial.
 func (t *Task) SetLosses(ls blame.Losses) {
 	t.Losses = ls
-	t.Step.Job.evidence++
+	t.Step.Job.evidenceVersion++
 }
 
-// Verdict tells how the task may be started, by the workers that were lost with it.
+// Verdict returns how the task may be started, given the workers that were lost while running it.
 func (t *Task) Verdict() blame.Verdict { return t.Losses.Verdict() }
 
-// Suspect tells whether the task may not start just anywhere.
+// Suspect reports whether the task is restricted in where it may start.
 func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Verdict() != blame.Clear }
 
-// Verdict tells how the step's tasks may be started together: as the worst of them may.
+// Verdict returns how the step's tasks may be started together: the most restrictive verdict of
+// its tasks.
 func (s *StepRun) Verdict() blame.Verdict {
 	worst := blame.Clear
 	for _, t := range s.Tasks {
@@ -24,12 +25,11 @@
 	return worst
 }
 
-// EvidenceVersion counts the changes of what speaks against the job's tasks.
-func (j *Job) EvidenceVersion() int { return j.evidence }
+// EvidenceVersion counts the changes to the losses of the job's tasks.
+func (j *Job) EvidenceVersion() int { return j.evidenceVersion }
 
-// MarkEvidencePersisted notes that the changes up to a number are kept.
-func (j *Job) MarkEvidencePersisted(n int) { j.evidenceKept = max(j.evidenceKept, n) }
+// MarkEvidencePersisted records that the losses are persisted up to version n.
+func (j *Job) MarkEvidencePersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
 
-// EvidencePersisted tells whether a next owner would know what spoke against the job's tasks when
-// Evidence was n.
-func (j *Job) EvidencePersisted(n int) bool { return j.evidenceKept >= n }
+// EvidencePersisted reports whether the losses are persisted at least up to version n.
+func (j *Job) EvidencePersisted(n int) bool { return j.evidencePersisted >= n }
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -9,8 +9,7 @@
 	"github.com/gannetwell/gannetwell/pkg/blame"
 )
 
-// TestStepVerdict sees that a step may start as the worst of its tasks may, whichever of
-// them has more losses.
+// A step's verdict is the most restrictive one of its tasks, whichever has more losses.
 func TestStepVerdict(t *testing.T) {
 	soon, late := blame.Loss{Firm: true}, blame.Loss{Firm: true, Ran: time.Second}
 	proof := blame.Loss{Trial: true, Sure: true}
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// State is the state of a job as callers see it.
+// State is the state of a job as reported to clients.
 type State string
 
 // The states of jobs.
@@ -20,95 +20,95 @@
 	StateCancelled State = "cancelled"
 )
 
-// Final tells whether a job in this state has nothing more to do.
+// Final reports whether the job has ended.
 func (s State) Final() bool {
 	return s == StateCompleted || s == StateFailed || s == StateCancelled
 }
 
-// Job is a job and how far it has come.
+// Job is a job and its execution state.
 type Job struct {
 	ID string
 	Record
-	Steps    []*StepRun    // of the occurrences that are laid out, those of one together and in order
-	State    State         // what has happened, may not be kept yet
-	PersistedState     State         // the last state that is kept, which callers may be told
-	Started    bool          // a task has started at some time
-	AddedAt  time.Duration // on the owner's clock; before its start for a job of a former owner
-	Restored bool          // it was kept by a former owner
-
-	evidence     int // changes of what speaks against tasks
-	evidenceKept int // of those, the last one that is kept
-	parts        int // rows that its progress may take up
-
-	open     []*occurrence // that are laid out, by number
-	next     int           // occurrences from here on are laid out once they are due
-	finished spans         // occurrences whose tasks are all done
-
-	leftOver platform.Resources // what attempts of a final job may have taken when a former owner kept it
-	over     bool               // a former owner kept that it is final
-	seen     bool               // its present owner has heard all workers that may have its tasks
+	Steps          []*StepRun    // of all expanded occurrences, ordered by occurrence and step
+	State          State         // current state, possibly not persisted yet
+	PersistedState State         // last persisted state, the one reported to clients
+	Started        bool          // a task has started
+	AddedAt        time.Duration // on the owner's clock; negative if accepted before that clock started
+	Restored       bool          // a former owner persisted it
+
+	evidenceVersion   int // changes to the losses of its tasks
+	evidencePersisted int // version of the losses that is persisted
+	progressRows      int // rows that its progress may occupy
+
+	expanded       []*occurrence // by number
+	nextOccurrence int           // the first one to expand next
+	finished       rangeSet      // numbers of occurrences whose tasks are all done
+
+	restoredUsage platform.Resources // of attempts of a final job, as persisted by a former owner
+	restoredFinal bool               // it was final when restored
+	reconciled    bool               // every worker that may run its tasks has reported to the present owner
 }
 
-// StepRun is a step of one occurrence.
+// StepRun is one step within an occurrence.
 type StepRun struct {
 	Job        *Job
 	Spec       *Step
 	Occurrence int
 	Index      int
 	Tasks      []*Task
-	GangFailed []int64 // numbers of the runs of the whole gang that failed
-	BrokenRun  int64   // number of the last run of the gang that a start failed of
-
-	of       *occurrence
-	blockers int // unfinished steps that it waits for
-	done     int
-	held     int // tasks that are not done and have an attempt
-	waiters  []*StepRun
+	GangFailed []int64 // attempt numbers of the gang runs that failed
+	BrokenRun  int64   // attempt number of the last gang run in which a start failed
+
+	occurrence  *occurrence
+	pendingDeps int // unfinished steps that it depends on
+	done        int // finished tasks
+	attempted   int // unfinished tasks that have an attempt
+	dependents  []*StepRun
 }
 
-// Task is one task and its attempts that may be at workers.
+// Task is one task of a step and its current attempts.
 type Task struct {
-	Step       *StepRun
-	Index      int
-	Done       bool
-	Failed     []int64 // numbers of the attempts that failed by their own or a worker's fault
-	Checkpoint string
-	Attempts   []*Attempt
-	Duration       time.Duration // of the attempt that was done
-	WantsCopy  bool          // another attempt is to start beside the one that runs
-	Losses     blame.Losses  // workers that were lost with it, as long as it is not cleared
-	Replaced   int           // attempts that were given up as too slow, by this owner
-	PossibleWorkers    int           // workers not heard since the takeover where an attempt may be
+	Step            *StepRun
+	Index           int
+	Done            bool
+	Failed          []int64 // numbers of failed attempts
+	Checkpoint      string
+	Attempts        []*Attempt
+	Duration        time.Duration // of the successful attempt
+	WantsCopy       bool          // a speculative copy is to be started
+	Losses          blame.Losses  // worker losses attributed to it, until it is cleared
+	Replaced        int           // attempts replaced as stragglers by this owner
+	PossibleWorkers int           // workers that may run it but have not reported since the takeover
 
 	lastAttempt int64
 	name        string
 }
 
-// Phase is how far an attempt has come.
+// Phase is the state of an attempt.
 type Phase string
 
 // The phases of attempts.
 const (
-	PhaseOrdered Phase = "ordered" // the order is on its way
+	PhaseOrdered Phase = "ordered" // the order is in flight
 	PhaseRunning Phase = "running"
-	PhaseStopped Phase = "stopped" // its end was ordered, its resources are not free yet
-	PhaseInDoubt Phase = "doubt"   // the order got no answer
+	PhaseStopped Phase = "stopped" // its stop was ordered, its resources are not free yet
+	PhaseInDoubt Phase = "doubt"   // the order was not answered
 )
 
-// Attempt is an attempt that is or may be at a worker.
+// Attempt is an execution of a task that is or may be at a worker.
 type Attempt struct {
 	Task       *Task
 	Number     int64
-	Boot       string
+	Boot       string // of the worker: identifies one boot of its VM
 	Phase      Phase
-	OrderedAt      time.Duration // when it was ordered
-	ProgressAt time.Duration // when Percent last rose
+	OrderedAt  time.Duration // on the owner's clock
+	ProgressAt time.Duration // when Percent last increased
 	Percent    int
 	Load       int
 	Checkpoint string
 }
 
-// Name returns the name that workers know the task by.
+// Name returns the name that workers identify the task by.
 func (t *Task) Name() string {
 	if t.name == "" {
 		t.name = TaskID{Job: t.Step.Job.ID, Occurrence: t.Step.Occurrence, Step: t.Step.Index, Index: t.Index}.String()
@@ -116,24 +116,25 @@
 	return t.name
 }
 
-// Idle tells whether the task is neither done nor at a worker.
+// Idle reports whether the task is not done and has no attempt.
 func (t *Task) Idle() bool { return !t.Done && len(t.Attempts) == 0 }
 
-// Ready tells whether the step's predecessors are done.
-func (s *StepRun) Ready() bool { return s.blockers == 0 }
+// Ready reports whether all steps that it depends on are finished.
+func (s *StepRun) Ready() bool { return s.pendingDeps == 0 }
 
-// Finished tells whether each task is done.
+// Finished reports whether all tasks are done.
 func (s *StepRun) Finished() bool { return s.done == len(s.Tasks) }
 
-// CountWaiting counts the tasks that are neither done nor at a worker.
-func (s *StepRun) CountWaiting() int { return len(s.Tasks) - s.done - s.held }
+// CountWaiting returns the number of idle tasks.
+func (s *StepRun) CountWaiting() int { return len(s.Tasks) - s.done - s.attempted }
 
-// Due is when the step's occurrence may start, in Unix time; 0 for at once.
+// Due returns when the step's occurrence may start, as the time since the Unix epoch, or 0 for
+// immediately.
 func (s *StepRun) Due() time.Duration {
 	return s.Job.Spec.due(s.Occurrence)
 }
 
-// finishTask marks a task done and releases the steps that waited for its step.
+// finishTask marks a task done. If that finishes its step, it unblocks dependent steps.
 func (j *Job) finishTask(t *Task) {
 	if t.Done {
 		return
@@ -141,19 +142,19 @@
 	t.Done = true
 	t.Step.done++
 	if len(t.Attempts) > 0 {
-		t.Step.held--
+		t.Step.attempted--
 	}
 	if !t.Step.Finished() {
 		return
 	}
-	for _, s := range t.Step.waiters {
-		s.blockers--
+	for _, s := range t.Step.dependents {
+		s.pendingDeps--
 	}
-	j.finishStep(t.Step.of)
+	j.finishStep(t.Step.occurrence)
 }
 
-// visible is the state that follows from what has begun.
-func (j *Job) visible() State {
+// derivedState returns the state that follows from the job's tasks.
+func (j *Job) derivedState() State {
 	switch {
 	case j.State.Final():
 		return j.State
@@ -175,25 +176,23 @@
 	}
 }
 
-// outstanding is what the attempts of the job's tasks take, or may take unseen.
-func (j *Job) outstanding() platform.Resources {
+// usage returns the resources that the job's attempts use or may use.
+func (j *Job) usage() platform.Resources {
 	sum := j.Unconfirmed()
 	j.eachAttempt(func(a *Attempt) { sum = sum.Add(a.Task.Step.Spec.Needs) })
 	return sum
 }
 
-// Unconfirmed is what tasks of a restored job may take at workers that its present owner has
-// not heard yet. A former owner may have started tasks of steps whose predecessors are
-// not known to be done, since ends are kept after what follows has been started.
-// A job that its present owner has ended meanwhile counts as one that goes on: the tasks of a
-// cancelled one were not counted, and its account had 4000 of 3000 thousandths of a core running
-// (testdata/limit_counts_cancelled).
+// Unconfirmed returns the resources that tasks of a restored job may use at workers that have not
+// reported yet. Steps with unfinished dependencies count too: a former owner may have started them
+// before the end of the dependency was persisted. So does a job that the present owner has ended:
+// its tasks may still run.
 func (j *Job) Unconfirmed() (sum platform.Resources) {
 	switch {
-	case !j.Restored || j.seen:
+	case !j.Restored || j.reconciled:
 		return sum
-	case j.over:
-		return j.leftOver
+	case j.restoredFinal:
+		return j.restoredUsage
 	}
 	for _, s := range j.Steps {
 		for _, t := range s.Tasks {
--- a/pkg/jobs/occurrence.go
+++ b/pkg/jobs/occurrence.go
@@ -9,76 +9,77 @@
 )
 
 const (
-	// layOutAhead is how long before its time an occurrence is laid out: the clock of a former
-	// owner, which may have started it, may have been ahead of ours.
-	layOutAhead = 5 * time.Second
-	// openTasks bounds the tasks of a job that are laid out at once, so that one whose occurrences
-	// are due faster than they are done takes no more memory than others. Those beyond it wait.
-	openTasks = maxTasks / 2
+	// expandAhead is how long before its due time an occurrence is expanded. It covers the clock
+	// skew to a former owner, which may have started the occurrence already.
+	expandAhead = 5 * time.Second
+	// maxExpandedTasks limits the memory of a job whose occurrences become due faster than they
+	// finish. Occurrences beyond it wait.
+	maxExpandedTasks = maxTasks / 2
 )
 
-// mostOpen is how many occurrences are laid out by their times: no more than can be kept if twice as
-// many are, with those that a former owner has started.
-func (r *Record) mostOpen() int {
-	byTasks := openTasks / max(1, r.Spec.tasks())
-	byBytes := keepable(platform.UsualRowBytes) / 2 / max(1, r.occurrenceBytes())
+// maxExpanded returns how many occurrences Advance expands at a time. It allows for as many more
+// that a former owner has started.
+func (r *Record) maxExpanded() int {
+	byTasks := maxExpandedTasks / max(1, r.Spec.tasks())
+	byBytes := maxPersistedBytes(platform.UsualRowBytes) / 2 / max(1, r.occurrenceBytes())
 	return max(1, min(byTasks, byBytes))
 }
 
-// occurrence is one of the times that a job's steps run, laid out.
+// occurrence is one scheduled run of a job, expanded into steps and tasks.
 type occurrence struct {
 	number     int
 	steps      []*StepRun
-	unfinished int // steps
+	unfinished int // number of unfinished steps
 }
 
-// newJob returns a job, laid out unless it runs at set times.
+// newJob returns a job. Its only occurrence is expanded unless it runs on a schedule.
 func newJob(id string, r Record, now time.Duration) *Job {
-	j := &Job{ID: id, Record: r, State: StateQueued, PersistedState: StateQueued, AddedAt: now, parts: 1}
+	j := &Job{ID: id, Record: r, State: StateQueued, PersistedState: StateQueued, AddedAt: now, progressRows: 1}
 	if r.Spec.Times == 0 {
-		j.layOut(0)
-		j.next = 1
+		j.expand(0)
+		j.nextOccurrence = 1
 	}
 	return j
 }
 
-// Advance lays out the occurrences that are due by a time since 1970, or will be in a moment, and
-// forgets those that are over, whose steps it returns: no task of theirs is found by its name any more.
-func (j *Job) Advance(wall time.Duration) (over []*StepRun) {
+// Advance expands the occurrences that are due at wall, the time since the Unix epoch, or soon
+// after. It returns the steps of the finished occurrences that it drops; their tasks are no longer
+// found by name.
+func (j *Job) Advance(wall time.Duration) (retired []*StepRun) {
 	if j.Spec.Times == 0 || j.State.Final() {
 		return nil
 	}
-	j.open = slices.DeleteFunc(j.open, func(o *occurrence) bool {
-		if !o.over() {
+	j.expanded = slices.DeleteFunc(j.expanded, func(o *occurrence) bool {
+		if !o.retirable() {
 			return false
 		}
-		over = append(over, o.steps...)
+		retired = append(retired, o.steps...)
 		return true
 	})
-	changed := len(over) > 0
+	changed := len(retired) > 0
 	defer func() {
 		if changed {
-			j.gather()
+			j.collectSteps()
 		}
 	}()
-	most := j.mostOpen()
-	for j.next < j.Spec.Occurrences() && j.Spec.due(j.next) <= wall+layOutAhead {
-		if end := j.finished.endOf(j.next); end > j.next {
-			j.next = end
+	limit := j.maxExpanded()
+	for j.nextOccurrence < j.Spec.Occurrences() && j.Spec.due(j.nextOccurrence) <= wall+expandAhead {
+		if end := j.finished.nextAbsent(j.nextOccurrence); end > j.nextOccurrence {
+			j.nextOccurrence = end
 			continue
 		}
-		if len(j.open) >= most {
-			return over
+		if len(j.expanded) >= limit {
+			return retired
 		}
-		j.add(j.next)
-		j.next++
+		j.insertOccurrence(j.nextOccurrence)
+		j.nextOccurrence++
 		changed = true
 	}
-	return over
+	return retired
 }
 
-// over tells whether all of the occurrence is done, and nothing of it is or may be at a worker any more.
-func (o *occurrence) over() bool {
+// retirable reports whether all steps are finished and no attempt is or may be at a worker.
+func (o *occurrence) retirable() bool {
 	if o.unfinished > 0 {
 		return false
 	}
@@ -90,23 +91,23 @@
 	return true
 }
 
-// layOut makes the steps and tasks of an occurrence, unless they are there.
-func (j *Job) layOut(number int) *occurrence {
-	o := j.add(number)
-	j.gather()
+// expand creates the steps and tasks of an occurrence, unless they exist, and updates Steps.
+func (j *Job) expand(number int) *occurrence {
+	o := j.insertOccurrence(number)
+	j.collectSteps()
 	return o
 }
 
-// add does what layOut does, and leaves it to the caller to gather the steps.
-func (j *Job) add(number int) *occurrence {
-	at, there := j.find(number)
-	if there {
-		return j.open[at]
+// insertOccurrence is expand without updating Steps; the caller calls collectSteps.
+func (j *Job) insertOccurrence(number int) *occurrence {
+	at, found := j.findOccurrence(number)
+	if found {
+		return j.expanded[at]
 	}
 	o := &occurrence{number: number, unfinished: len(j.Spec.Steps)}
 	for i := range j.Spec.Steps {
 		spec := &j.Spec.Steps[i]
-		s := &StepRun{Job: j, Spec: spec, Occurrence: number, Index: i, of: o, blockers: len(spec.After)}
+		s := &StepRun{Job: j, Spec: spec, Occurrence: number, Index: i, occurrence: o, pendingDeps: len(spec.After)}
 		tasks := make([]Task, spec.Count)
 		s.Tasks = make([]*Task, spec.Count)
 		for k := range tasks {
@@ -114,28 +115,28 @@
 			s.Tasks[k] = &tasks[k]
 		}
 		for _, a := range spec.After {
-			o.steps[a].waiters = append(o.steps[a].waiters, s)
+			o.steps[a].dependents = append(o.steps[a].dependents, s)
 		}
 		o.steps = append(o.steps, s)
 	}
-	j.open = slices.Insert(j.open, at, o)
+	j.expanded = slices.Insert(j.expanded, at, o)
 	return o
 }
 
-// gather lists the steps of all occurrences that are laid out.
-func (j *Job) gather() {
+// collectSteps rebuilds Steps from the expanded occurrences.
+func (j *Job) collectSteps() {
 	j.Steps = nil
-	for _, o := range j.open {
+	for _, o := range j.expanded {
 		j.Steps = append(j.Steps, o.steps...)
 	}
 }
 
-// find returns where an occurrence is among those laid out, or would be.
-func (j *Job) find(number int) (at int, there bool) {
-	return slices.BinarySearchFunc(j.open, number, func(o *occurrence, n int) int { return cmp.Compare(o.number, n) })
+// findOccurrence returns the index of an expanded occurrence, or where to insert it.
+func (j *Job) findOccurrence(number int) (at int, found bool) {
+	return slices.BinarySearchFunc(j.expanded, number, func(o *occurrence, n int) int { return cmp.Compare(o.number, n) })
 }
 
-// finishStep notes that all tasks of one more step of an occurrence are done.
+// finishStep records that one more step of an occurrence is finished.
 func (j *Job) finishStep(o *occurrence) {
 	if o.unfinished--; o.unfinished > 0 {
 		return
@@ -146,8 +147,8 @@
 	}
 }
 
-// task finds a task by its name's numbers, nil if there is none. A former owner whose clock was far
-// ahead may have started an occurrence that is not laid out yet.
+// task returns the task with the given ID, or nil. For a restored job it expands the occurrence if
+// needed, since a former owner whose clock was ahead may have started it.
 func (j *Job) task(id TaskID) *Task {
 	if id.Occurrence < 0 || id.Occurrence >= j.Spec.Occurrences() || id.Step < 0 || id.Step >= len(j.Spec.Steps) {
 		return nil
@@ -155,11 +156,11 @@
 	if id.Index < 0 || id.Index >= j.Spec.Steps[id.Step].Count {
 		return nil
 	}
-	if at, there := j.find(id.Occurrence); there {
-		return j.open[at].steps[id.Step].Tasks[id.Index]
+	if at, found := j.findOccurrence(id.Occurrence); found {
+		return j.expanded[at].steps[id.Step].Tasks[id.Index]
 	}
-	if !j.Restored || j.finished.has(id.Occurrence) || len(j.open) >= 2*j.mostOpen() {
+	if !j.Restored || j.finished.has(id.Occurrence) || len(j.expanded) >= 2*j.maxExpanded() {
 		return nil
 	}
-	return j.layOut(id.Occurrence).steps[id.Step].Tasks[id.Index]
+	return j.expand(id.Occurrence).steps[id.Step].Tasks[id.Index]
 }
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -7,35 +7,35 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Progress is what is kept of how far a job has come.
+// Progress is the persisted execution state of a job.
 type Progress struct {
-	State State          `msgpack:"s,omitempty"` // empty while it goes on
+	State State          `msgpack:"s,omitempty"` // empty while the job is not final
 	Steps []StepProgress `msgpack:"p,omitempty"`
-	// Over are the occurrences that are done, as spans.
-	Over spans `msgpack:"v,omitempty"`
-	// Parts is the number of rows that the progress takes up, 0 for one.
+	// Over contains the finished occurrences.
+	Over rangeSet `msgpack:"v,omitempty"`
+	// Parts is the number of rows, 0 for one.
 	Parts int `msgpack:"n,omitempty"`
-	// Out is what attempts of a final job still took, which were being stopped.
+	// Out is the resources of a final job's attempts that were still being stopped.
 	Out *platform.Resources `msgpack:"o,omitempty"`
 }
 
-// StepProgress is the part of one step in which something has happened.
+// StepProgress is the progress of one step, or of some of its tasks.
 type StepProgress struct {
-	At          int             `msgpack:"a"`           // number of the occurrence times that of steps, and that of the step
-	Done        []byte          `msgpack:"d,omitempty"` // a bit for each task
-	Failed      map[int][]int64 `msgpack:"f,omitempty"` // numbers of failed attempts, by task
-	Checkpoints map[int]string  `msgpack:"c,omitempty"` // by task
-	GangFailed  []int64         `msgpack:"g,omitempty"`
+	At          int             `msgpack:"a"`           // occurrence number * steps per occurrence + step index
+	Done        []byte          `msgpack:"d,omitempty"` // bitmap by task index
+	Failed      map[int][]int64 `msgpack:"f,omitempty"` // numbers of failed attempts, by task index
+	Checkpoints map[int]string  `msgpack:"c,omitempty"` // by task index
+	GangFailed  []int64         `msgpack:"g,omitempty"` // attempt numbers of failed gang runs
 
-	Losses map[int]blame.Losses `msgpack:"l,omitempty"` // by task
+	Losses map[int]blame.Losses `msgpack:"l,omitempty"` // by task index
 }
 
-// Progress returns what is to be kept of the job.
+// Progress returns the state to persist for the job.
 func (j *Job) Progress() Progress {
 	p := Progress{}
 	if j.State.Final() {
 		p.State = j.State
-		if out := j.outstanding(); out != (platform.Resources{}) {
+		if out := j.usage(); out != (platform.Resources{}) {
 			p.Out = &out
 		}
 		return p
@@ -44,7 +44,7 @@
 		p.Over = slices.Clone(j.finished)
 	}
 	for _, s := range j.Steps {
-		if s.Job.Spec.Times > 0 && s.of.unfinished == 0 {
+		if s.Job.Spec.Times > 0 && s.occurrence.unfinished == 0 {
 			continue
 		}
 		if sp, ok := s.progress(s.Occurrence*len(j.Spec.Steps) + s.Index); ok {
@@ -54,6 +54,7 @@
 	return p
 }
 
+// progress returns the step's progress; ok is false if there is nothing to persist.
 func (s *StepRun) progress(at int) (sp StepProgress, ok bool) {
 	sp = StepProgress{At: at, GangFailed: s.GangFailed}
 	ok = len(s.GangFailed) > 0
@@ -91,13 +92,13 @@
 	return sp, ok
 }
 
-// restore applies kept progress to a new job.
+// restore applies persisted progress to a new job.
 func (j *Job) restore(p Progress) {
-	j.parts = max(j.parts, p.Parts)
+	j.progressRows = max(j.progressRows, p.Parts)
 	if p.State.Final() {
-		j.State, j.PersistedState, j.Started, j.over = p.State, p.State, true, true
+		j.State, j.PersistedState, j.Started, j.restoredFinal = p.State, p.State, true, true
 		if p.Out != nil {
-			j.leftOver = *p.Out
+			j.restoredUsage = *p.Out
 		}
 		return
 	}
@@ -108,18 +109,18 @@
 	for i := range p.Steps {
 		j.restoreStep(&p.Steps[i])
 	}
-	j.gather()
-	j.PersistedState = j.visible()
-	j.State = j.visible()
+	j.collectSteps()
+	j.PersistedState = j.derivedState()
+	j.State = j.derivedState()
 }
 
-// restoreStep applies what is kept of a step, which may be a part of it.
+// restoreStep applies the progress of a step, or of some of its tasks.
 func (j *Job) restoreStep(sp *StepProgress) {
-	width := len(j.Spec.Steps)
-	if sp.At < 0 || sp.At/width >= j.Spec.Occurrences() || j.finished.has(sp.At/width) {
+	stepCount := len(j.Spec.Steps)
+	if sp.At < 0 || sp.At/stepCount >= j.Spec.Occurrences() || j.finished.has(sp.At/stepCount) {
 		return
 	}
-	s := j.add(sp.At / width).steps[sp.At%width]
+	s := j.insertOccurrence(sp.At / stepCount).steps[sp.At%stepCount]
 	s.GangFailed = sp.GangFailed
 	for i, t := range s.Tasks {
 		if failed, ok := sp.Failed[i]; ok {
--- a/pkg/jobs/spans.go
+++ b/pkg/jobs/spans.go
@@ -2,22 +2,22 @@
 
 import "slices"
 
-// spans is a set of numbers, held as the ranges that it is made of: from each even element up to
-// before the next one, in order.
-type spans []int
+// rangeSet is a set of integers, stored as sorted half-open ranges: elements 2i and 2i+1 are the
+// start and the end of range i.
+type rangeSet []int
 
-// has tells whether a number is in the set.
-func (s spans) has(n int) bool {
+// has reports whether n is in the set.
+func (s rangeSet) has(n int) bool {
 	at, _ := slices.BinarySearch(s, n+1)
 	return at%2 == 1
 }
 
-// add puts a number into the set.
-func (s spans) add(n int) spans {
+// add returns the set with n added.
+func (s rangeSet) add(n int) rangeSet {
 	if s.has(n) {
 		return s
 	}
-	at, _ := slices.BinarySearch(s, n+1) // even: the number lies behind the range before at
+	at, _ := slices.BinarySearch(s, n+1) // even, since n is between two ranges
 	after := at < len(s) && s[at] == n+1
 	switch before := at > 0 && s[at-1] == n; {
 	case before && after:
@@ -33,24 +33,24 @@
 	}
 }
 
-// endOf is the first number from n on that is not in the set.
-func (s spans) endOf(n int) int {
+// nextAbsent returns the smallest number from n on that is not in the set.
+func (s rangeSet) nextAbsent(n int) int {
 	if at, _ := slices.BinarySearch(s, n+1); at%2 == 1 {
 		return s[at]
 	}
 	return n
 }
 
-// count is how many numbers are in the set.
-func (s spans) count() (n int) {
+// count returns the number of elements.
+func (s rangeSet) count() (n int) {
 	for i := 0; i+1 < len(s); i += 2 {
 		n += s[i+1] - s[i]
 	}
 	return n
 }
 
-// valid tells whether the elements are a set of numbers below a bound.
-func (s spans) valid(bound int) bool {
+// valid reports whether the ranges are sorted, not empty and within [0, bound).
+func (s rangeSet) valid(bound int) bool {
 	if len(s)%2 == 1 || len(s) > 0 && (s[0] < 0 || s[len(s)-1] > bound) {
 		return false
 	}
--- a/pkg/jobs/spans_test.go
+++ b/pkg/jobs/spans_test.go
@@ -6,11 +6,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestSpans holds sets of numbers against maps.
-func TestSpans(t *testing.T) {
+// Compares rangeSet with a map.
+func TestRangeSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const bound = 40
-		var s spans
+		var s rangeSet
 		want := map[int]bool{}
 		for _, n := range rapid.SliceOf(rapid.IntRange(0, bound-1)).Draw(t, "numbers") {
 			s = s.add(n)
--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -10,63 +10,62 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Bounds of a submission. What is accepted is laid out by each owner of its shard, and must be
-// possible to keep whatever becomes of it.
+// Limits of a submission. They bound the memory and the stored progress of a job.
 const (
 	maxSteps     = 256
-	maxTasks     = 4096 // of all steps of one occurrence
-	maxSpecBytes = 4000 // of the text that workers get
+	maxTasks     = 4096 // in all steps of one occurrence
+	maxSpecBytes = 4000 // of Spec.Text
 	maxNameBytes = 200  // of a label, rack or image
 )
 
-// maxDue bounds the times of a job since 1970, well within what a duration can hold.
+// maxDueTime limits a job's due times, as time since the Unix epoch, to avoid overflow.
 const (
-	year   = 365 * 24 * time.Hour
-	maxDue = 200 * year
+	year       = 365 * 24 * time.Hour
+	maxDueTime = 200 * year
 )
 
-// Spec is a job as it was submitted.
+// Spec is a job as submitted.
 type Spec struct {
-	Text     string        `msgpack:"x"` // what workers get with each start
+	Text     string        `msgpack:"x"` // passed to workers with each start
 	Steps    []Step        `msgpack:"s"`
-	Times    int           `msgpack:"t,omitempty"` // number of occurrences, 0 for one that is due at once
+	Times    int           `msgpack:"t,omitempty"` // number of occurrences, 0 for a single one without a schedule
 	Interval time.Duration `msgpack:"i,omitempty"` // between occurrences
-	FirstDue time.Duration `msgpack:"f,omitempty"` // of occurrence 0, since 1970
+	FirstDue time.Duration `msgpack:"f,omitempty"` // of occurrence 0, since the Unix epoch
 }
 
-// Step is a number of like tasks.
+// Step is a number of identical tasks.
 type Step struct {
-	Count         int                `msgpack:"n"`
-	Needs         platform.Resources `msgpack:"r"` // of one task
-	Estimate      time.Duration      `msgpack:"e,omitempty"`
-	After         []int              `msgpack:"a,omitempty"` // steps that must be done before
-	Checkpointing bool               `msgpack:"k,omitempty"`
-	Gang          bool               `msgpack:"g,omitempty"` // its tasks run only all together
-	SameRack      bool               `msgpack:"w,omitempty"` // slower when spread over racks
-	Speculative   bool               `msgpack:"c,omitempty"` // copies may run at the same time
-	LongRunning   bool               `msgpack:"l,omitempty"` // runs until the job is cancelled
-	Filler        bool               `msgpack:"f,omitempty"` // uses processor time that others leave
-	Label         string             `msgpack:"b,omitempty"` // that the worker must have
-	DataRack      string             `msgpack:"d,omitempty"` // rack of its data, slower elsewhere
-	MaxPerWorker  int                `msgpack:"m,omitempty"` // tasks of the step on one worker, 0 for any number
-	Image         string             `msgpack:"i,omitempty"` // tasks of one image behave alike
-	TailTarget    time.Duration      `msgpack:"q,omitempty"` // of the answers that a serving task gives
-	MaxUnavailable       int                `msgpack:"y,omitempty"` // long-running tasks that may be away by our doing
-	HasMaxUnavailable       bool               `msgpack:"z,omitempty"` // MayMiss was given
+	Count             int                `msgpack:"n"`
+	Needs             platform.Resources `msgpack:"r"`           // resources of one task
+	Estimate          time.Duration      `msgpack:"e,omitempty"` // expected duration of one task
+	After             []int              `msgpack:"a,omitempty"` // indexes of the steps it depends on
+	Checkpointing     bool               `msgpack:"k,omitempty"` // its tasks report checkpoints to resume from
+	Gang              bool               `msgpack:"g,omitempty"` // all tasks run together or none
+	SameRack          bool               `msgpack:"w,omitempty"` // slower when spread over racks
+	Speculative       bool               `msgpack:"c,omitempty"` // several attempts of a task may run concurrently
+	LongRunning       bool               `msgpack:"l,omitempty"` // runs until the job is cancelled
+	Filler            bool               `msgpack:"f,omitempty"` // best effort, uses otherwise idle CPU time
+	Label             string             `msgpack:"b,omitempty"` // required of the worker
+	DataRack          string             `msgpack:"d,omitempty"` // rack of its data, slower elsewhere
+	MaxPerWorker      int                `msgpack:"m,omitempty"` // tasks of the step on one worker, 0 for no limit
+	Image             string             `msgpack:"i,omitempty"` // tasks with the same image are expected to behave alike
+	TailTarget        time.Duration      `msgpack:"q,omitempty"` // tail latency target of a serving task
+	MaxUnavailable    int                `msgpack:"y,omitempty"` // long-running tasks that may be disrupted at the same time
+	HasMaxUnavailable bool               `msgpack:"z,omitempty"` // MaxUnavailable was given
 }
 
-// Check tells what is wrong with a submission.
+// Check validates a submission.
 func (s *Spec) Check() (err error) {
 	defer func() { err = errors.Wrap(err, "job") }()
 	switch {
 	case len(s.Text) > maxSpecBytes:
-		return errors.Errorf("the task text has %d bytes, at most %d are taken", len(s.Text), maxSpecBytes)
+		return errors.Errorf("task text of %d bytes exceeds the limit of %d", len(s.Text), maxSpecBytes)
 	case len(s.Steps) == 0 || len(s.Steps) > maxSteps:
-		return errors.Errorf("%d steps, 1 to %d are taken", len(s.Steps), maxSteps)
+		return errors.Errorf("%d steps, want 1 to %d", len(s.Steps), maxSteps)
 	case s.Times < 0 || s.Interval < 0:
-		return errors.New("times and their interval must not be negative")
-	case s.Times > 0 && (s.FirstDue > maxDue || s.Interval > (maxDue-max(0, s.FirstDue))/time.Duration(s.Times)):
-		return errors.Errorf("its last time is more than %d years after 1970", maxDue/year)
+		return errors.New("number of times and interval must not be negative")
+	case s.Times > 0 && (s.FirstDue > maxDueTime || s.Interval > (maxDueTime-max(0, s.FirstDue))/time.Duration(s.Times)):
+		return errors.Errorf("last occurrence is due more than %d years after 1970", maxDueTime/year)
 	}
 	for i := range s.Steps {
 		if err := s.Steps[i].check(i); err != nil {
@@ -76,15 +75,16 @@
 	return s.CheckTaskCount()
 }
 
-// CheckTaskCount tells whether a job that was accepted by whatever version can be laid out.
+// CheckTaskCount returns an error if the job has too many tasks. It is also called for restored
+// jobs, which another version may have accepted.
 func (s *Spec) CheckTaskCount() error {
 	if n := s.tasks(); n > maxTasks {
-		return errors.Errorf("%d tasks in all steps, at most %d are laid out", n, maxTasks)
+		return errors.Errorf("%d tasks in all steps exceed the limit of %d", n, maxTasks)
 	}
 	return nil
 }
 
-// tasks is how many tasks one occurrence has.
+// tasks returns the number of tasks of one occurrence.
 func (s *Spec) tasks() (n int) {
 	for i := range s.Steps {
 		n += s.Steps[i].Count
@@ -92,7 +92,7 @@
 	return n
 }
 
-// due is when an occurrence may start, in Unix time; 0 for at once.
+// due returns when an occurrence may start, as time since the Unix epoch, or 0 for immediately.
 func (s *Spec) due(occurrence int) time.Duration {
 	if s.Times == 0 {
 		return 0
@@ -102,62 +102,61 @@
 
 func (st *Step) check(at int) error {
 	if st.Count < 1 || st.Count > maxTasks {
-		return errors.Errorf("%d tasks, 1 to %d are taken", st.Count, maxTasks)
+		return errors.Errorf("%d tasks, want 1 to %d", st.Count, maxTasks)
 	}
 	if n := st.Needs; n.CPU < 0 || n.MemoryMB < 0 || n.GPU < 0 {
 		return errors.New("resources must not be negative")
 	}
 	for _, name := range []string{st.Label, st.DataRack, st.Image} {
 		if len(name) > maxNameBytes {
-			return errors.Errorf("a name has %d bytes, at most %d are taken", len(name), maxNameBytes)
+			return errors.Errorf("label, rack or image name of %d bytes exceeds the limit of %d", len(name), maxNameBytes)
 		}
 	}
 	var before [maxSteps]bool
 	for _, a := range st.After {
 		if a < 0 || a >= at {
-			return errors.Errorf("waits for step %d, which is no earlier one", a)
+			return errors.Errorf("depends on step %d, which is not an earlier step", a)
 		}
 		if before[a] {
-			return errors.Errorf("waits for step %d twice", a)
+			return errors.Errorf("depends on step %d twice", a)
 		}
 		before[a] = true
 	}
 	return nil
 }
 
-// Occurrences is the number of times that the steps run.
+// Occurrences returns the number of times that the steps run, at least 1.
 func (s *Spec) Occurrences() int { return max(s.Times, 1) }
 
-// Record is what is kept of a job from its acceptance on.
+// Record is the persisted description of an accepted job.
 type Record struct {
 	Queue       string        `msgpack:"q"`
-	AcceptedAt  time.Duration `msgpack:"a"`           // Unix time by the clock of the entry that took it
-	MaxAttempts int           `msgpack:"m"`           // failed attempts of a task after which the job has failed
-	Account     string        `msgpack:"c,omitempty"` // client account that handed it in, empty for none
-	Excess      bool          `msgpack:"e,omitempty"` // it came beyond what the account has been promised
+	AcceptedAt  time.Duration `msgpack:"a"`           // since the Unix epoch, by the clock of the entry that accepted it
+	MaxAttempts int           `msgpack:"m"`           // failed attempts of a task after which the job fails
+	Account     string        `msgpack:"c,omitempty"` // client account that submitted it, empty for none
+	Excess      bool          `msgpack:"e,omitempty"` // submitted beyond the account's promised rate
 	Spec        Spec          `msgpack:"s"`
 }
 
-// BelongsTo tells whether a client account may ask for the job and cancel it. A job
-// that was handed in without an account, or kept by a version that knew none, is
-// open to every caller whom its queue admits.
+// BelongsTo reports whether a client account may query and cancel the job. A job without an
+// account is open to every caller that its queue admits.
 func (r *Record) BelongsTo(account string) bool {
 	return r.Account == "" || r.Account == account
 }
 
-// Encode returns the record as bytes.
+// Encode returns the msgpack encoding of the record.
 func (r *Record) Encode() ([]byte, error) {
 	raw, err := msgpack.Marshal(r)
 	return raw, errors.Wrap(err, "encode job record")
 }
 
-// DecodeRecord reverses Encode.
+// DecodeRecord decodes a record encoded by [Record.Encode].
 func DecodeRecord(raw []byte) (r Record, err error) {
 	err = msgpack.Unmarshal(raw, &r)
 	return r, errors.Wrap(err, "decode job record")
 }
 
-// TaskID names a task.
+// TaskID identifies a task.
 type TaskID struct {
 	Job        string
 	Occurrence int
@@ -165,7 +164,7 @@
 	Index      int
 }
 
-// String returns the name that workers know the task by.
+// String returns the name that workers identify the task by.
 func (t TaskID) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", t.Job, t.Occurrence, t.Step, t.Index)
 }
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -9,52 +9,51 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TestWaiting has attempts begin, be lost and end in any order: the count of waiting
-// tasks of a step is always that of its tasks that are neither done nor at a worker.
+// CountWaiting matches the number of idle tasks after any sequence of starts, losses and ends.
 func TestWaiting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := jobs.NewRegistry(1)
-		b.Add("j", jobs.Record{MaxAttempts: 2, Spec: jobs.Spec{Steps: []jobs.Step{
+		reg := jobs.NewRegistry(1)
+		reg.Add("j", jobs.Record{MaxAttempts: 2, Spec: jobs.Spec{Steps: []jobs.Step{
 			{Count: 3}, {Count: 2, Speculative: true}, {Count: 2, LongRunning: true}, {Count: 2, Gang: true},
 		}}}, 0)
-		steps := b.Job("j").Steps
+		steps := reg.Job("j").Steps
 		for range rapid.IntRange(1, 40).Draw(t, "moves") {
 			s := rapid.SampledFrom(steps).Draw(t, "step")
 			task := rapid.SampledFrom(s.Tasks).Draw(t, "task")
-			move(t, b, s, task)
-			check(t, steps)
+			changeAttempt(t, reg, s, task)
+			checkWaiting(t, steps)
 		}
 	})
 }
 
-// move begins, loses or ends an attempt.
-func move(t *rapid.T, b *jobs.Registry, s *jobs.StepRun, task *jobs.Task) {
+// changeAttempt starts, removes or ends an attempt.
+func changeAttempt(t *rapid.T, reg *jobs.Registry, s *jobs.StepRun, task *jobs.Task) {
 	if len(task.Attempts) == 0 {
 		switch {
 		case task.Done:
 		case s.Spec.Gang:
 			if s.CountWaiting() == len(s.Tasks) {
-				b.StartGang(s, []string{"w", "w"}, 0)
+				reg.StartGang(s, []string{"w", "w"}, 0)
 			}
 		default:
-			b.StartAttempt(task, "w", 0)
+			reg.StartAttempt(task, "w", 0)
 		}
 		return
 	}
 	a := task.Attempts[0]
 	switch rapid.SampledFrom([]string{"drop", "done", "failed", "copy"}).Draw(t, "what") {
 	case "drop":
-		b.RemoveAttempt(a)
+		reg.RemoveAttempt(a)
 	case "done":
-		b.EndAttempt(task, a, a.Number, platform.EndDone, "")
+		reg.EndAttempt(task, a, a.Number, platform.EndDone, "")
 	case "failed":
-		b.EndAttempt(task, a, a.Number, platform.EndFailed, "")
+		reg.EndAttempt(task, a, a.Number, platform.EndFailed, "")
 	case "copy":
-		b.StartAttempt(task, "w2", 0)
+		reg.StartAttempt(task, "w2", 0)
 	}
 }
 
-func check(t *rapid.T, steps []*jobs.StepRun) {
+func checkWaiting(t *rapid.T, steps []*jobs.StepRun) {
 	for _, s := range steps {
 		idle := 0
 		for _, task := range s.Tasks {
@@ -63,7 +62,7 @@
 			}
 		}
 		if s.CountWaiting() != idle {
-			t.Fatalf("step %d counts %d waiting tasks, there are %d", s.Index, s.CountWaiting(), idle)
+			t.Fatalf("step %d: CountWaiting is %d, want %d", s.Index, s.CountWaiting(), idle)
 		}
 	}
 }
