--- a/pkg/fleetops/orders.go
+++ b/pkg/fleetops/orders.go
@@ -66,7 +66,7 @@
 	var emptying, sending sync.WaitGroup
 	for _, o := range orders {
 		emptying.Go(func() {
-			if o.pool == r.spare() || r.cfg.Empty(ctx, o.pool, o.vm) {
+			if o.pool == r.spare() || r.cfg.Drain(ctx, o.pool, o.vm) {
 				empty <- o
 			}
 		})
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -35,7 +35,7 @@
 
 	Rows     platform.Rows
 	Machines platform.Machines
-	Empty    Emptier
+	Drain    Emptier
 	Load     Loader
 	Waves    func() []Wave // all requests for maintenance that are known by now
 	// ZoneOut tells whether the operator has taken an availability zone out of use; nil for none.
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -72,7 +72,7 @@
 func (n *Node) openFleet(ctx context.Context, seen shard.Seen, cat *catalog.Catalog, events ownership.Events) (ownership.Work, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.has,
+		Rows: n.rows, Machines: n.platform, Drain: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.has,
 		Pause: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, Takes: seconds(n.settings.Timing.MaintenanceS),
 		Sending: events.Sending, OnOver: events.Over,
 	}, seen, cat)
