--- a/pkg/fleetops/maintain.go
+++ b/pkg/fleetops/maintain.go
@@ -84,7 +84,7 @@
 		case v.Phase == PhaseDone || v.Phase == PhaseGone:
 		case !ok:
 			r.setPhase(w, v, PhaseGone, "the VM is no longer listed")
-		case v.Phase == PhaseOrdered && v.back(m, r.now(), r.cfg.Takes):
+		case v.Phase == PhaseOrdered && v.back(m, r.now(), r.cfg.MaintenanceTime):
 			r.setPhase(w, v, PhaseDone, "it is up again")
 		case v.Phase != PhaseOrdered && m.State == platform.MachineMaintenance && w.ID != 0 && r.formerWaves[v.Name] == w.ID:
 			v.Worker, v.confirmedAt = m.Worker, r.now()
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -43,7 +43,7 @@
 	Report  func(wave int, completed bool) (platform.Row, error) // makes the row that tells the operator of a wave
 
 	Pause time.Duration // between orders of two holders for a VM
-	Takes time.Duration // the maintenance of one VM
+	MaintenanceTime time.Duration // the maintenance of one VM
 
 	Sending func()      // called before the takeover's transaction is sent
 	OnOver  func(error) // called once when the work is given up
