--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -81,7 +81,7 @@
 	var malformed errMalformed
 	switch {
 	case errors.As(err, &malformed):
-		r.first = now + orderWindow + orderTransit + r.cfg.Pause
+		r.first = now + orderWindow + orderTransit + r.cfg.OrderGap
 	case err != nil:
 		r.log.Warn().Str("event", "former_orders_not_known").Err(err).Send()
 		return false
@@ -91,7 +91,7 @@
 	for _, o := range a.Orders {
 		r.former[o.VM] = o.Until
 		r.formerWaves[o.VM] = o.Wave
-		longest = max(longest, o.Until+orderTransit+r.cfg.Pause-r.clock.earliest(now))
+		longest = max(longest, o.Until+orderTransit+r.cfg.OrderGap-r.clock.earliest(now))
 	}
 	r.log.Info().Str("event", "maintenance_waits").Int("vms", len(a.Orders)).Int64("former_term", a.Term).
 		Dur("for", max(longest, r.first-now)).Err(err).Send()
@@ -117,7 +117,7 @@
 // binds tells whether another holder would have to keep its distance yet from an
 // order that is sent until a time of the table service's clock.
 func (r *Runner) binds(until, now time.Duration) bool {
-	return r.clock.earliest(now) < until+orderTransit+r.cfg.Pause
+	return r.clock.earliest(now) < until+orderTransit+r.cfg.OrderGap
 }
 
 // announce keeps that orders for some VMs may follow within the next moment.
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -166,7 +166,7 @@
 		},
 		Report: func(int, bool) (platform.Row, error) { return platform.Row{}, nil },
 		Waves:  s.requested, ZoneOut: s.evacuated,
-		Pause: pause, Sending: func() {}, OnOver: func(error) {},
+		OrderGap: pause, Sending: func() {}, OnOver: func(error) {},
 	}, shard.Seen{Version: seen.Version}, cat)
 }
 
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -42,7 +42,7 @@
 	ZoneOut func(zone string) bool
 	Report  func(wave int, completed bool) (platform.Row, error) // makes the row that tells the operator of a wave
 
-	Pause time.Duration // between orders of two holders for a VM
+	OrderGap time.Duration // between orders of two holders for a VM
 	MaintenanceTime time.Duration // the maintenance of one VM
 
 	Sending func()      // called before the takeover's transaction is sent
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -73,7 +73,7 @@
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Drain: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.has,
-		Pause: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
+		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
 		Sending: events.Sending, OnOver: events.Over,
 	}, seen, cat)
 	if err != nil {
