--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// trendAhead is how far ahead demand is foreseen: about what a move takes until the VM is at work.
-	trendAhead = 2 * time.Second
-	// trendWeight smooths the slope of demand over about a second.
-	trendWeight = 0.25
+	// forecastHorizon is about how long a move takes until the VM runs tasks in its new pool.
+	forecastHorizon = 2 * time.Second
+	// slopeSmoothing is the weight of the newest sample in the exponential average of the slope.
+	slopeSmoothing = 0.25
 )
 
-// trend is how a pool's demand has changed of late.
+// trend tracks how a pool's demand changes over time.
 type trend struct {
-	at     time.Duration
-	demand int
-	slope  float64 // thousandths of a core a second, smoothed
+	at     time.Duration // when demand was sampled
+	demand int           // thousandths of a core, used and waiting
+	slope  float64       // thousandths of a core per second, smoothed
 }
 
-// loads asks the owner of each shard how busy it is; pools whose owner does not answer are left out.
+// loads requests the load of each pool from its shard's owner and passes on quota grants. Pools
+// whose owner does not answer are left out.
 func (r *Runner) loads(ctx context.Context) map[string]shard.Load {
 	r.mu.Lock()
 	cat := r.catalog
@@ -55,7 +56,7 @@
 	return loads
 }
 
-// grantFor returns the shares that a pool's shard is to get, nil for none.
+// grantFor returns the quota grant to send to a pool's shard, or nil.
 func (r *Runner) grantFor(pool string, grants map[string]allowance.Grant) *allowance.Grant {
 	g, ok := grants[pool]
 	if !ok {
@@ -67,71 +68,71 @@
 	return &g
 }
 
-// rise is by how much a pool's demand will have grown when a VM that is moved now has arrived.
-func (r *Runner) rise(pool string, demand int) int {
+// forecastGrowth returns by how much a pool's demand is expected to grow within forecastHorizon,
+// in thousandths of a core.
+func (r *Runner) forecastGrowth(pool string, demand int) int {
 	now := r.now()
 	t := r.trends[pool]
 	if t.at > 0 && now > t.at {
 		slope := float64(demand-t.demand) / (now - t.at).Seconds()
-		t.slope += trendWeight * (slope - t.slope)
+		t.slope += slopeSmoothing * (slope - t.slope)
 	}
 	t.at, t.demand = now, demand
 	r.trends[pool] = t
-	return int(max(0, t.slope) * trendAhead.Seconds())
+	return int(max(0, t.slope) * forecastHorizon.Seconds())
 }
 
-// poolStates gathers what sizing decides on.
+// poolStates returns the input of PlanMoves.
 func (r *Runner) poolStates(machines map[string]platform.Machine, loads map[string]shard.Load) (pools []*PoolState) {
 	byName := r.loadedPools(machines, loads)
 	leaving := r.countMoves(byName, machines)
-	held := r.inWaves()
+	held := r.heldByWaves()
 	r.countMachines(byName, machines, held)
 	pools = slices.SortedFunc(maps.Values(byName), func(a, b *PoolState) int { return cmp.Compare(a.Name, b.Name) })
 	for _, s := range pools {
 		if s.Spare {
-			slices.Sort(s.Idle)
+			slices.Sort(s.Movable)
 		} else {
-			s.Idle = r.idle(s, machines, held, leaving[s.Name])
+			s.Movable = r.movableVMs(s, machines, held, leaving[s.Name])
 		}
-		s.Surely = r.countSurplus(s)
+		s.SurplusSteps = r.countSurplus(s)
 	}
 	return pools
 }
 
-// loadedPools returns the pools whose load is known, and the spare one, with
-// the workers that they have.
+// loadedPools returns the pools whose load is known, with their current workers, and the spare
+// pool.
 func (r *Runner) loadedPools(machines map[string]platform.Machine, loads map[string]shard.Load) map[string]*PoolState {
 	pools := map[string]*PoolState{}
 	for name, l := range loads {
 		s := &PoolState{Name: name, Load: l, Supply: l.Workers}
 		if s.Load.VMCapacity.CPU == 0 {
-			s.Load.VMCapacity = capacityFor(name, machines)
+			s.Load.VMCapacity = typicalCapacity(name, machines)
 		}
-		s.Load.Waiting.CPU += r.rise(name, l.Used.CPU+l.Waiting.CPU)
+		s.Load.Waiting.CPU += r.forecastGrowth(name, l.Used.CPU+l.Waiting.CPU)
 		pools[name] = s
 	}
-	if spare := r.spare(); spare != "" {
+	if spare := r.sparePool(); spare != "" {
 		pools[spare] = &PoolState{Name: spare, Spare: true}
 	}
 	return pools
 }
 
-// capacityFor is what a VM has that would come into a pool none of whose workers
-// can be used: as much as one of its own, or else as the largest there is. A pool
-// that was held to want none got none for the rest of the day, one day in 80.
-func capacityFor(pool string, machines map[string]platform.Machine) (c platform.Resources) {
+// typicalCapacity estimates the VM capacity for a pool without usable workers: that of the pool's
+// largest VM, or else of the largest VM in the fleet. Without it the pool would never get a VM.
+func typicalCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
 	own := false
 	for _, m := range machines {
-		its := m.Pool == pool
-		if its && !own || its == own && m.Capacity.CPU > c.CPU {
-			c, own = m.Capacity, its
+		inPool := m.Pool == pool
+		if inPool && !own || inPool == own && m.Capacity.CPU > c.CPU {
+			c, own = m.Capacity, inPool
 		}
 	}
 	return c
 }
 
-// countMoves adds the VMs on their way to the supply of pools, and returns how
-// many are leaving each.
+// countMoves adds VMs in transit to the supply of their new pools. It returns the number of VMs
+// leaving each pool.
 func (r *Runner) countMoves(pools map[string]*PoolState, machines map[string]platform.Machine) (leaving map[string]int) {
 	leaving = map[string]int{}
 	for vm, m := range r.moves {
@@ -145,47 +146,47 @@
 	return leaving
 }
 
-// countMachines adds the VMs that will be at work soon without a move of ours to
-// the supply of pools, and finds those of the spare pool that may be moved.
+// countMachines adds VMs that will soon run tasks without a move of ours to the supply of their
+// pools, and lists the movable VMs of the spare pool.
 func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, held map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
 		if s == nil || m.State == platform.MachineDown || r.moves[vm] != nil || r.cfg.ZoneOut(m.Zone) {
-			continue // nothing will start there
+			continue // no task can start there
 		}
 		if m.State == platform.MachineMoving {
-			s.Supply++ // by an order of a former holder
+			s.Supply++ // ordered by a former holder
 		}
 		if held[vm] == PhaseOrdered {
-			s.Supply++ // it is back in a moment
+			s.Supply++ // it returns shortly
 		}
 		if s.Spare && m.State == platform.MachineUp && held[vm] == "" && r.mayOrderFor(vm) {
-			s.Idle = append(s.Idle, vm)
+			s.Movable = append(s.Movable, vm)
 		}
 	}
 }
 
-// idle returns the VMs of a pool that may leave, those without any task first.
-func (r *Runner) idle(s *PoolState, machines map[string]platform.Machine, held map[string]Phase, leaving int) (idle []string) {
+// movableVMs returns the VMs that may leave a pool now, those without tasks first.
+func (r *Runner) movableVMs(s *PoolState, machines map[string]platform.Machine, held map[string]Phase, leaving int) (movable []string) {
 	for _, vm := range s.Load.Light {
 		m, ok := machines[vm]
 		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || held[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneOut(m.Zone) {
 			continue
 		}
-		if leaving+len(idle) >= r.policy.mayLeave(s.Supply) {
+		if leaving+len(movable) >= r.policy.maxDraining(s.Supply) {
 			break
 		}
-		idle = append(idle, vm)
+		movable = append(movable, vm)
 	}
-	return idle
+	return movable
 }
 
-// countSurplus counts the steps in a row in which a pool had VMs left over.
+// countSurplus returns for how many consecutive steps a pool had more VMs than its target size.
 func (r *Runner) countSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
 	}
-	if s.Supply > r.policy.Want(s.Load) {
+	if s.Supply > r.policy.TargetSize(s.Load) {
 		r.surplus[s.Name]++
 	} else {
 		r.surplus[s.Name] = 0
@@ -193,15 +194,15 @@
 	return r.surplus[s.Name]
 }
 
-// inWaves returns how far VMs are that must not be moved for the sake of a wave, by name: those
-// that are being emptied or maintained, and those that wait while the wave's time is nearly over.
-func (r *Runner) inWaves() map[string]Phase {
+// heldByWaves returns the phase of each VM that must not be moved because of a wave: those being
+// drained or maintained, and those still waiting shortly before the wave's deadline.
+func (r *Runner) heldByWaves() map[string]Phase {
 	held := map[string]Phase{}
 	for _, w := range r.openWaves() {
-		closing := w.closing(r.now() - w.begun)
+		closing := w.closing(r.now() - w.startedAt)
 		for _, v := range w.vms {
 			switch {
-			case v.Phase == PhaseEmptying, v.Phase == PhaseOrdered:
+			case v.Phase == PhaseDraining, v.Phase == PhaseOrdered:
 				held[v.Name] = v.Phase
 			case v.Phase == PhaseWaiting && closing && held[v.Name] == "":
 				held[v.Name] = v.Phase
--- a/pkg/fleetops/distance_test.go
+++ b/pkg/fleetops/distance_test.go
@@ -16,28 +16,28 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// distanceMachine draws what happens to entries that hold the fleet's work one
-// after the other, and at times together.
-type distanceMachine struct {
+// orderGapMachine plays random events on several holders of the fleet's work that follow each
+// other and sometimes overlap.
+type orderGapMachine struct {
 	t       *rapid.T
-	s       *site
+	s       *testFleet
 	since   time.Time
 	holders map[string]*Runner
-	names   []string // of the entries, in the order in which they took the work over
+	names   []string // of the entries, in the order of their takeovers
 
 	mu         sync.Mutex
-	thaws      map[string]time.Time  // when a frozen entry goes on
+	thaws      map[string]time.Time  // when a frozen entry resumes
 	rowFaults  map[string]fake.Fault // by entry, * for all
-	lostAnswer map[string]bool       // entries whose orders get no answer
+	lostAnswer map[string]bool       // entries whose orders are not answered
 }
 
-// distance plays one drawn course of events, and sees that the orders for one VM
-// by two holders keep their distance and come in the order of their tokens.
-func distance(plant func(m *distanceMachine)) func(*rapid.T) {
+// orderGapProperty checks that two holders' orders for one VM keep the minimum gap and come in the
+// order of their tokens. inject may break the services.
+func orderGapProperty(inject func(m *orderGapMachine)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newDistanceMachine(t)
-		if plant != nil {
-			plant(m)
+		m := newOrderGapMachine(t)
+		if inject != nil {
+			inject(m)
 		}
 		m.takeOver()
 		for range rapid.IntRange(4, 16).Draw(t, "steps") {
@@ -45,17 +45,17 @@
 			time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(t, "pause")) * time.Millisecond)
 		}
 		m.settle()
-		if broken := m.broken(); len(broken) > 0 {
+		if broken := m.violations(); len(broken) > 0 {
 			t.Fatalf("%s", strings.Join(broken, "\n"))
 		}
 	}
 }
 
-func newDistanceMachine(t *rapid.T) *distanceMachine {
-	m := &distanceMachine{
+func newOrderGapMachine(t *rapid.T) *orderGapMachine {
+	m := &orderGapMachine{
 		t: t, since: time.Now(), holders: map[string]*Runner{}, thaws: map[string]time.Time{},
 		rowFaults: map[string]fake.Fault{}, lostAnswer: map[string]bool{},
-		s: &site{rows: fake.NewRows(4*time.Millisecond, 2*time.Second), need: map[string]int{"a": 1, "b": 1}},
+		s: &testFleet{rows: fake.NewRows(4*time.Millisecond, 2*time.Second), need: map[string]int{"a": 1, "b": 1}},
 	}
 	for i := range 8 {
 		vm := fmt.Sprintf("v%d", i)
@@ -78,19 +78,19 @@
 	return m
 }
 
-func (m *distanceMachine) step() {
+func (m *orderGapMachine) step() {
 	kinds := []func(){m.demand, m.demand, m.demand, m.takeOver, m.takeOver, m.kill, m.release, m.freeze, m.rowFault, m.outage, m.loseAnswers, m.heal}
 	kinds[rapid.IntRange(0, len(kinds)-1).Draw(m.t, "kind")]()
 }
 
-func (m *distanceMachine) demand() {
+func (m *orderGapMachine) demand() {
 	for _, pool := range []string{"a", "b"} {
 		m.s.setNeed(pool, rapid.IntRange(0, 4).Draw(m.t, pool))
 	}
 }
 
-// takeOver lets a new entry take the work over while the former ones go on.
-func (m *distanceMachine) takeOver() {
+// takeOver has a new entry take over while former holders keep running.
+func (m *orderGapMachine) takeOver() {
 	name := fmt.Sprintf("e%d", len(m.names))
 	m.names = append(m.names, name)
 	if r, err := m.s.tryOpen(name, m.since); err == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *distanceMachine) last() (name string, r *Runner) {
+func (m *orderGapMachine) last() (name string, r *Runner) {
 	for _, n := range m.names {
 		if m.holders[n] != nil {
 			name = n
@@ -107,7 +107,7 @@
 	return name, m.holders[name]
 }
 
-func (m *distanceMachine) kill() {
+func (m *orderGapMachine) kill() {
 	if name, r := m.last(); r != nil {
 		r.Close()
 		delete(m.holders, name)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (m *distanceMachine) release() {
+func (m *orderGapMachine) release() {
 	if name, r := m.last(); r != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -125,33 +125,33 @@
 	}
 }
 
-func (m *distanceMachine) freeze() {
+func (m *orderGapMachine) freeze() {
 	name, _ := m.last()
 	d := time.Duration(rapid.IntRange(300, 6000).Draw(m.t, "frozen")) * time.Millisecond
 	m.locked(func() { m.thaws[name] = time.Now().Add(d) })
 }
 
-func (m *distanceMachine) rowFault() {
+func (m *orderGapMachine) rowFault() {
 	name, _ := m.last()
 	f := rapid.SampledFrom([]fake.Fault{fake.FaultDown, fake.FaultLostAfter, fake.FaultLate}).Draw(m.t, "fault")
 	m.locked(func() { m.rowFaults[name] = f })
 }
 
-func (m *distanceMachine) outage() { m.locked(func() { m.rowFaults["*"] = fake.FaultDown }) }
+func (m *orderGapMachine) outage() { m.locked(func() { m.rowFaults["*"] = fake.FaultDown }) }
 
-func (m *distanceMachine) loseAnswers() {
+func (m *orderGapMachine) loseAnswers() {
 	name, _ := m.last()
 	m.locked(func() { m.lostAnswer[name] = true })
 }
 
-func (m *distanceMachine) heal() {
+func (m *orderGapMachine) heal() {
 	m.locked(func() {
 		clear(m.rowFaults)
 		clear(m.lostAnswer)
 	})
 }
 
-func (m *distanceMachine) settle() {
+func (m *orderGapMachine) settle() {
 	m.heal()
 	m.takeOver()
 	m.demand()
@@ -161,21 +161,21 @@
 	}
 }
 
-func (m *distanceMachine) locked(f func()) {
+func (m *orderGapMachine) locked(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// await waits while an entry is frozen.
-func (m *distanceMachine) await(entry string) {
+// waitWhileFrozen blocks while an entry is frozen.
+func (m *orderGapMachine) waitWhileFrozen(entry string) {
 	var thaw time.Time
 	m.locked(func() { thaw = m.thaws[entry] })
 	time.Sleep(time.Until(thaw))
 }
 
-// broken tells which orders came too close to another holder's, or after a later holder's.
-func (m *distanceMachine) broken() (broken []string) {
+// violations returns the orders that came too soon after another holder's, or with an older token.
+func (m *orderGapMachine) violations() (broken []string) {
 	m.s.vms.mu.Lock()
 	defer m.s.vms.mu.Unlock()
 	before := map[string]order{}
@@ -186,44 +186,44 @@
 		case !ok || p.holder == o.holder:
 		case o.token <= p.token:
 			broken = append(broken, fmt.Sprintf("%s: order of %s (token %d) after one of %s (token %d)", o.vm, o.holder, o.token, p.holder, p.token))
-		case o.at.Sub(p.at) < pause:
+		case o.at.Sub(p.at) < orderGap:
 			broken = append(broken, fmt.Sprintf("%s: order of %s %v after one of %s", o.vm, o.holder, o.at.Sub(p.at), p.holder))
 		}
 	}
 	return broken
 }
 
-// frozenRows is the table service as an entry reaches it that may be frozen
-// before a call and before it sees the answer.
+// frozenRows is the table service as seen by an entry that may freeze before a call and before it
+// sees the answer.
 type frozenRows struct {
 	platform.Rows
-	m     *distanceMachine
+	m     *orderGapMachine
 	entry string
 }
 
 func (f frozenRows) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
-	f.m.await(f.entry)
+	f.m.waitWhileFrozen(f.entry)
 	version, err := f.Rows.CommitRows(ctx, txn)
-	f.m.await(f.entry)
+	f.m.waitWhileFrozen(f.entry)
 	return version, err
 }
 
 func (f frozenRows) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
-	f.m.await(f.entry)
+	f.m.waitWhileFrozen(f.entry)
 	page, err := f.Rows.ListRows(ctx, table, partition, from)
-	f.m.await(f.entry)
+	f.m.waitWhileFrozen(f.entry)
 	return page, err
 }
 
-// frozenVMs is the VM service as such an entry reaches it.
+// frozenVMs is the VM service as seen by such an entry.
 type frozenVMs struct {
 	platform.Machines
-	m     *distanceMachine
+	m     *orderGapMachine
 	entry string
 }
 
 func (f frozenVMs) ListMachines(ctx context.Context) ([]platform.Machine, error) {
-	f.m.await(f.entry)
+	f.m.waitWhileFrozen(f.entry)
 	return f.Machines.ListMachines(ctx)
 }
 
@@ -239,25 +239,25 @@
 	return err
 }
 
-// TestDistance holds orders of several holders for one VM apart over drawn courses
-// of takeovers, ends, freezes, outages of the table service, and late writes.
-func TestDistance(t *testing.T) { prop.Check(t, distance(nil)) }
+// Two holders' orders for one VM keep the minimum gap across takeovers, crashes, pauses, table
+// outages and delayed writes.
+func TestDistance(t *testing.T) { prop.Check(t, orderGapProperty(nil)) }
 
-// TestDistanceFindsPlanted shows that holders are found whose clocks differ, whose
-// announcements are not kept or have no preconditions, and that do not read them.
+// The property detects clocks that differ, announcements that are lost or unconditional, and
+// holders that do not read them.
 func TestDistanceFindsPlanted(t *testing.T) {
 	lead := time.Duration(0)
 	for name, breaks := range map[string]func(rows platform.Rows) platform.Rows{
 		"the next holder's clock is ahead": func(rows platform.Rows) platform.Rows {
 			lead += 2 * time.Second
-			return ahead{Rows: rows, by: lead}
+			return clockAhead{Rows: rows, by: lead}
 		},
-		"announcements are not kept":              func(rows platform.Rows) platform.Rows { return forgetful{rows} },
-		"announcements without preconditions":     func(rows platform.Rows) platform.Rows { return unconditional{rows} },
-		"what a former holder announced is empty": func(rows platform.Rows) platform.Rows { return blind{rows} },
+		"announcements are not kept":              func(rows platform.Rows) platform.Rows { return droppedAnnouncements{rows} },
+		"announcements without preconditions":     func(rows platform.Rows) platform.Rows { return noPreconditions{rows} },
+		"what a former holder announced is empty": func(rows platform.Rows) platform.Rows { return hiddenAnnouncements{rows} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := prop.Finds(t, distance(func(m *distanceMachine) {
+			found := prop.Finds(t, orderGapProperty(func(m *orderGapMachine) {
 				whole := m.s.rowsOf
 				m.s.rowsOf = func(entry string, rows platform.Rows) platform.Rows { return breaks(whole(entry, rows)) }
 			}))
@@ -266,22 +266,22 @@
 	}
 }
 
-// ahead is a table service that shows a clock that is ahead of its own.
-type ahead struct {
+// clockAhead shows a table service clock that runs ahead.
+type clockAhead struct {
 	platform.Rows
 	by time.Duration
 }
 
-func (a ahead) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+func (a clockAhead) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
 	page, err := a.Rows.ListRows(ctx, table, partition, from)
 	page.Now += a.by
 	return page, err
 }
 
-// forgetful keeps no announcements.
-type forgetful struct{ platform.Rows }
+// droppedAnnouncements does not store announcements.
+type droppedAnnouncements struct{ platform.Rows }
 
-func (f forgetful) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
+func (f droppedAnnouncements) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
 	if len(txn.Put) == 1 && txn.Put[0].RowKey == announcementKey {
 		txn.Put = nil
 		txn.Expect = txn.Expect[:1]
@@ -289,20 +289,20 @@
 	return f.Rows.CommitRows(ctx, txn)
 }
 
-// unconditional carries announcements out whoever owns the work.
-type unconditional struct{ platform.Rows }
+// noPreconditions commits announcements whoever owns the work.
+type noPreconditions struct{ platform.Rows }
 
-func (u unconditional) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
+func (u noPreconditions) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
 	if len(txn.Put) == 1 && txn.Put[0].RowKey == announcementKey {
 		txn.Expect = nil
 	}
 	return u.Rows.CommitRows(ctx, txn)
 }
 
-// blind shows no announcements.
-type blind struct{ platform.Rows }
+// hiddenAnnouncements returns no announcements.
+type hiddenAnnouncements struct{ platform.Rows }
 
-func (b blind) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+func (b hiddenAnnouncements) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
 	page, err := b.Rows.ListRows(ctx, table, partition, from)
 	if table == announcementKey.Table {
 		page.Rows = nil
--- a/pkg/fleetops/doc.go
+++ b/pkg/fleetops/doc.go
@@ -1,8 +1,11 @@
 // Package fleetops moves VMs between pools and takes them down for maintenance.
 //
-// One entry at a time owns this work, by an owner row of its own, so that
-// orders for one VM come from one holder. Before an order the owner of the VM's
-// shard empties the VM. What is done next is decided by pure functions of what
-// is known: [Next] for a wave of maintenance, [SizingPolicy.PlanMoves] for the sizes of
-// pools; [Runner] carries it out.
+// Exactly one entry at a time, the holder, does this work for the whole fleet. It owns a row like
+// that of a shard, so that its term is a fencing token for its orders to the VM service. Package
+// ownership decides which entry takes over; package node opens a [Runner] there.
+//
+// Before a VM is ordered away, the owner of its pool's shard drains it. The VMs are chosen by pure
+// functions: [SelectVMs] for a maintenance wave and [SizingPolicy.PlanMoves] for pool sizes.
+// Before sending an order the holder persists an announcement of it, so that the next holder can
+// leave enough time between two holders' orders for the same VM.
 package fleetops
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -14,44 +14,39 @@
 )
 
 const (
-	// orderWindow is how long after its announcement an order for a VM may be sent.
-	// It has to outlast a transaction of a slow table service, 0.3 s; each second
-	// more is one that a next holder waits. A wait of 4.5 s from the takeover on, for
-	// all VMs about to be ordered, cost 0.019 +- 0.007 of what callers get on days
-	// with trouble (80 pairs).
+	// orderWindow is how long after its announcement an order may be sent. It must exceed a slow
+	// table transaction, and it adds to the time that the next holder waits.
 	orderWindow = time.Second
-	// orderTransit is how long an order may take to the VM service beyond that, a
-	// few milliseconds on the users' networks.
+	// orderTransit is the maximum time that an order takes to reach the VM service.
 	orderTransit = 250 * time.Millisecond
 )
 
-// announcedBytes bounds the row that names all VMs for which orders bind, some 1,900 of them, below
-// the longest that the table service takes; orderBytes is what one takes beside its VM's name.
+// maxAnnouncementBytes keeps the announcement row below the size limit of the table service.
+// announcedOrderBytes is the encoded size of one order besides the VM's name.
 const (
-	announcedBytes = 60_000
-	orderBytes     = 24
+	maxAnnouncementBytes = 60_000
+	announcedOrderBytes  = 24
 )
 
-// announcement names the VMs for which this holder may have given orders of
-// late, or is about to, with the time until when. It is kept before the orders
-// are sent, under the condition that this entry still owns the work: what a new
-// holder reads after its takeover names all VMs for which it has to keep its
-// distance from orders of former ones.
+// announcement lists the VMs for which this holder may have sent orders recently or is about to,
+// each with the latest send time. It is persisted before the orders are sent, on condition that
+// the holder still owns the work. A new holder reads it after its takeover, and so knows every VM
+// whose orders it has to delay.
 type announcement struct {
 	Term   int64            `msgpack:"t"`
 	Orders []announcedOrder `msgpack:"o"`
 }
 
-// announcedOrder is the announcement of orders for one VM.
+// announcedOrder announces orders for one VM.
 type announcedOrder struct {
 	VM    string        `msgpack:"v"`
-	Until time.Duration `msgpack:"u"`           // no order for it is sent later, on the table service's clock
-	Wave  int           `msgpack:"w,omitempty"` // that it is maintained for, 0 for a move
+	Until time.Duration `msgpack:"u"`           // latest send time, on the table service's clock
+	Wave  int           `msgpack:"w,omitempty"` // ID of the maintenance wave, 0 for a move
 }
 
 var announcementKey = platform.RowKey{Table: tableProgress, Partition: Partition, Key: "orders"}
 
-// readAnnouncement reads what is announced, and the table service's clock with it.
+// readAnnouncement reads the announcement and, with it, the table service's clock.
 func (r *Runner) readAnnouncement(ctx context.Context) (a announcement, err error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -60,19 +55,19 @@
 	if err != nil {
 		return a, err
 	}
-	r.clock = storeClock{read: page.Now, sent: sent, received: r.now()}
+	r.clock = tableClock{read: page.Now, sent: sent, received: r.now()}
 	row := platform.Row{RowKey: announcementKey}
 	if len(page.Rows) > 0 && page.Rows[0].Key == announcementKey.Key {
 		row = page.Rows[0]
 	}
-	r.announcedAs = row.Version
+	r.announcedVersion = row.Version
 	return decodeAnnouncement(row)
 }
 
-// learnFormer finds out for which VMs orders have to wait; it reports whether that
-// is known. The holders before us send none later than they announced, however
-// long they were frozen or cut off.
-func (r *Runner) learnFormer(ctx context.Context) (known bool) {
+// loadFormerOrders reads once which VMs former holders may have sent orders for, and reports
+// whether that is known. Former holders send no order later than announced, however long they were
+// paused or partitioned.
+func (r *Runner) loadFormerOrders(ctx context.Context) (known bool) {
 	if r.formerKnown {
 		return true
 	}
@@ -81,7 +76,7 @@
 	var malformed errMalformed
 	switch {
 	case errors.As(err, &malformed):
-		r.first = now + orderWindow + orderTransit + r.cfg.OrderGap
+		r.noOrdersBefore = now + orderWindow + orderTransit + r.cfg.OrderGap
 	case err != nil:
 		r.log.Warn().Str("event", "former_orders_not_known").Err(err).Send()
 		return false
@@ -89,19 +84,19 @@
 	r.formerKnown = true
 	var longest time.Duration
 	for _, o := range a.Orders {
-		r.former[o.VM] = o.Until
+		r.formerOrders[o.VM] = o.Until
 		r.formerWaves[o.VM] = o.Wave
 		longest = max(longest, o.Until+orderTransit+r.cfg.OrderGap-r.clock.earliest(now))
 	}
 	r.log.Info().Str("event", "maintenance_waits").Int("vms", len(a.Orders)).Int64("former_term", a.Term).
-		Dur("for", max(longest, r.first-now)).Err(err).Send()
+		Dur("for", max(longest, r.noOrdersBefore-now)).Err(err).Send()
 	return true
 }
 
-// errMalformed reports an announcement that cannot be read.
+// errMalformed reports an announcement that cannot be decoded.
 type errMalformed struct{ cause error }
 
-// Error names the cause.
+// Error implements the error interface.
 func (e errMalformed) Error() string { return "decode announcement of orders: " + e.cause.Error() }
 
 func decodeAnnouncement(row platform.Row) (a announcement, err error) {
@@ -114,13 +109,13 @@
 	return a, nil
 }
 
-// binds tells whether another holder would have to keep its distance yet from an
-// order that is sent until a time of the table service's clock.
-func (r *Runner) binds(until, now time.Duration) bool {
+// inForce reports whether another holder would still have to wait because of an order sent until
+// the given time of the table service's clock.
+func (r *Runner) inForce(until, now time.Duration) bool {
 	return r.clock.earliest(now) < until+orderTransit+r.cfg.OrderGap
 }
 
-// announce keeps that orders for some VMs may follow within the next moment.
+// announce persists that orders for the VMs may be sent within orderWindow.
 func (r *Runner) announce(ctx context.Context, vms []string) {
 	if len(vms) == 0 {
 		return
@@ -131,47 +126,47 @@
 			return
 		}
 	}
-	next := r.announcedWith(vms)
+	next := r.mergedAnnouncement(vms)
 	txn, err := r.announcementTxn(next)
 	if err != nil {
 		r.log.Error().Str("event", "orders_not_announced").Err(err).Send()
 		return
 	}
-	// The row's own version keeps an announcement that is carried out late from
-	// taking the place of a newer one.
-	txn.Expect = []platform.Row{r.claim.Holds(Partition), {RowKey: announcementKey, Version: r.announcedAs}}
+	// Expecting the row's version prevents a delayed commit from overwriting a
+	// newer announcement.
+	txn.Expect = []platform.Row{r.claim.Holds(Partition), {RowKey: announcementKey, Version: r.announcedVersion}}
 	writeCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	version, err := r.cfg.Rows.CommitRows(writeCtx, txn)
 	var conflict platform.ErrConflict
 	switch {
 	case err == nil:
-		r.announced, r.announcedAs = next, version
+		r.announced, r.announcedVersion = next, version
 	case errors.As(err, &conflict):
-		r.announcedBefore(conflict)
+		r.resolveConflict(conflict)
 	default:
-		// The row may or may not have been replaced: what was announced before
-		// stands in either with the same time or a later one.
+		// The commit may have succeeded or not: either row contains the orders
+		// announced before, with the same or a later time.
 		r.log.Warn().Str("event", "orders_not_announced").Int("vms", len(vms)).Err(err).Send()
 	}
 }
 
-// announcedBefore takes a conflict: the work has another owner, or an announcement
-// of ours that had no answer was carried out. What that one names is announced;
-// the next step announces again what it lacks.
-func (r *Runner) announcedBefore(conflict platform.ErrConflict) {
+// resolveConflict handles a conflicting row: either the work has another owner, or an earlier
+// unanswered announcement of this holder was committed. The latter is taken as announced; the next
+// step announces what it lacks.
+func (r *Runner) resolveConflict(conflict platform.ErrConflict) {
 	held := r.claim.Holds(Partition)
 	for _, row := range conflict.Rows {
 		switch {
 		case row.RowKey == held.RowKey && row.Version != held.Version:
-			r.giveUp()
+			r.relinquish()
 			return
-		case row.RowKey == announcementKey && row.Version != r.announcedAs:
+		case row.RowKey == announcementKey && row.Version != r.announcedVersion:
 			a, err := decodeAnnouncement(row)
 			if err != nil {
 				r.log.Error().Str("event", "announcement_malformed").Err(err).Send()
 			}
-			r.announcedAs = row.Version
+			r.announcedVersion = row.Version
 			r.announced = map[string]time.Duration{}
 			for _, o := range a.Orders {
 				r.announced[o.VM] = o.Until
@@ -181,38 +176,38 @@
 	}
 }
 
-// announcedWith returns what is announced, by us or by a former holder, as far as
-// it still binds, with some VMs more.
-func (r *Runner) announcedWith(vms []string) map[string]time.Duration {
+// mergedAnnouncement returns the announced orders still in force, of this and former holders,
+// together with those for the given VMs as far as they fit.
+func (r *Runner) mergedAnnouncement(vms []string) map[string]time.Duration {
 	now := r.now()
 	next := map[string]time.Duration{}
-	for _, known := range []map[string]time.Duration{r.former, r.announced} {
+	for _, known := range []map[string]time.Duration{r.formerOrders, r.announced} {
 		for vm, until := range known {
-			if r.binds(until, now) {
+			if r.inForce(until, now) {
 				next[vm] = max(next[vm], until)
 			}
 		}
 	}
 	until := r.clock.latest(now) + orderWindow
-	room := announcedBytes
+	room := maxAnnouncementBytes
 	for vm := range next {
-		room -= len(vm) + orderBytes
+		room -= len(vm) + announcedOrderBytes
 	}
 	for _, vm := range vms {
-		if room -= len(vm) + orderBytes; room < 0 {
-			break // their turn comes with a later step
+		if room -= len(vm) + announcedOrderBytes; room < 0 {
+			break // announced in a later step
 		}
 		next[vm] = until
 	}
 	return next
 }
 
-// wavesUnderWay returns the waves for which VMs are being emptied or maintained, by VM.
-func (r *Runner) wavesUnderWay() map[string]int {
+// activeWaves returns, by VM, the wave for which it is being drained or maintained.
+func (r *Runner) activeWaves() map[string]int {
 	waves := map[string]int{}
 	for _, w := range r.openWaves() {
 		for _, v := range w.vms {
-			if v.Phase == PhaseEmptying || v.Phase == PhaseOrdered {
+			if v.Phase == PhaseDraining || v.Phase == PhaseOrdered {
 				waves[v.Name] = w.ID
 			}
 		}
@@ -220,11 +215,10 @@
 	return waves
 }
 
-// announcementTxn is the transaction that keeps an announcement; its
-// preconditions are the caller's to add.
+// announcementTxn returns the transaction that writes an announcement, without preconditions.
 func (r *Runner) announcementTxn(orders map[string]time.Duration) (txn platform.RowTxn, err error) {
 	a := announcement{Term: r.claim.Term}
-	waves := r.wavesUnderWay()
+	waves := r.activeWaves()
 	for _, vm := range slices.Sorted(maps.Keys(orders)) {
 		wave, ours := waves[vm]
 		if !ours && r.moves[vm] == nil {
@@ -239,22 +233,22 @@
 	return platform.RowTxn{Put: []platform.Row{{RowKey: announcementKey, Value: raw}}}, nil
 }
 
-// letGo releases the owner row and leaves the next holder what it has to know.
-// We send no more orders, so that it need not wait longer than for those sent.
-func (r *Runner) letGo(ctx context.Context, next string) error {
+// releaseOwnership releases the owner row and announces for the next holder only orders that were
+// actually sent, to shorten its wait.
+func (r *Runner) releaseOwnership(ctx context.Context, next string) error {
 	now := r.now()
-	if !r.formerKnown || now < r.first {
-		// We do not know a former holder's orders ourselves: the next one reads what we have read.
+	if !r.formerKnown || now < r.noOrdersBefore {
+		// The former holder's orders are unknown: leave its announcement to the next holder.
 		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next})
 	}
 	orders := map[string]time.Duration{}
-	for vm, until := range r.announcedWith(nil) {
+	for vm, until := range r.mergedAnnouncement(nil) {
 		if sent := r.lastOrderOf(vm); sent > 0 {
 			until = min(until, r.clock.latest(sent))
 		} else {
-			until = r.former[vm]
+			until = r.formerOrders[vm]
 		}
-		if until = max(until, r.former[vm]); r.binds(until, now) {
+		if until = max(until, r.formerOrders[vm]); r.inForce(until, now) {
 			orders[vm] = until
 		}
 	}
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -18,17 +18,17 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// pause is how long another holder has to wait after an order for a VM.
-const pause = 3 * time.Second
+// orderGap is the minimum time between orders of two holders for one VM.
+const orderGap = 3 * time.Second
 
-// vmService lists VMs and notes orders; it implements platform.Machines.
+// vmService lists VMs and records orders; it implements platform.Machines.
 type vmService struct {
 	mu     sync.Mutex
 	list   []platform.Machine
 	orders []order
 }
 
-// order is an order for a VM as the service has taken it.
+// order is an order as accepted by the VM service.
 type order struct {
 	vm     string
 	holder string
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// of returns the orders of a holder by VM.
-func (s *vmService) of(holder string) map[string]time.Time {
+// firstOrders returns when a holder first ordered each VM.
+func (s *vmService) firstOrders(holder string) map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := map[string]time.Time{}
@@ -74,8 +74,8 @@
 	return at
 }
 
-// lastOf returns the last orders of a holder by VM.
-func (s *vmService) lastOf(holder string) map[string]time.Time {
+// lastOrders returns when a holder last ordered each VM.
+func (s *vmService) lastOrders(holder string) map[string]time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at := map[string]time.Time{}
@@ -87,37 +87,37 @@
 	return at
 }
 
-// site is a deployment of two pools and a spare one whose demand a test sets.
-type site struct {
+// testFleet is a deployment of two pools and a spare one, whose demand the test sets.
+type testFleet struct {
 	vms  vmService
 	rows *fake.Rows
 
-	mu    sync.Mutex
-	need  map[string]int // VMs that a pool's tasks fill
-	dark  string         // pool none of whose workers can be used; its tasks wait
-	out   string         // zone that is out of use
-	waves []Wave
-	// rowsOf and vmsOf are how an entry reaches the services, nil for no faults.
+	mu            sync.Mutex
+	need          map[string]int // demand in VMs, by pool
+	unusablePool  string         // pool without usable workers, whose tasks wait
+	evacuatedZone string         // zone that is out of use
+	waves         []Wave
+	// rowsOf and vmsOf wrap the services as seen by an entry; nil for no faults.
 	rowsOf func(entry string, rows platform.Rows) platform.Rows
 	vmsOf  func(entry string, vms platform.Machines) platform.Machines
 }
 
-func (s *site) requested() []Wave {
+func (s *testFleet) requested() []Wave {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.waves
 }
 
-func (s *site) evacuated(zone string) bool {
+func (s *testFleet) evacuated(zone string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.out != "" && zone == s.out
+	return s.evacuatedZone != "" && zone == s.evacuatedZone
 }
 
-func (s *site) load(_ context.Context, pool string) (l shard.Load, ok bool) {
+func (s *testFleet) load(_ context.Context, pool string) (l shard.Load, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if pool == s.dark {
+	if pool == s.unusablePool {
 		l.Waiting = platform.Resources{CPU: 1000 * s.need[pool]}
 		return l, true
 	}
@@ -126,7 +126,7 @@
 	s.vms.mu.Lock()
 	defer s.vms.mu.Unlock()
 	for _, m := range s.vms.list {
-		if m.Pool != pool || s.out != "" && m.Zone == s.out {
+		if m.Pool != pool || s.evacuatedZone != "" && m.Zone == s.evacuatedZone {
 			continue
 		}
 		if l.Workers++; l.Workers > s.need[pool] {
@@ -136,20 +136,20 @@
 	return l, true
 }
 
-func (s *site) setNeed(pool string, vms int) {
+func (s *testFleet) setNeed(pool string, vms int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.need[pool] = vms
 }
 
-func (s *site) open(c *qt.C, entry string, since time.Time) *Runner {
+func (s *testFleet) open(c *qt.C, entry string, since time.Time) *Runner {
 	r, err := s.tryOpen(entry, since)
 	c.Assert(err, qt.IsNil)
 	return r
 }
 
-// tryOpen lets an entry take the work over, whoever holds it.
-func (s *site) tryOpen(entry string, since time.Time) (*Runner, error) {
+// tryOpen has an entry take over, whoever is the holder.
+func (s *testFleet) tryOpen(entry string, since time.Time) (*Runner, error) {
 	rows, vms := s.rows.As(entry), platform.Machines(&s.vms)
 	if s.rowsOf != nil {
 		rows, vms = s.rowsOf(entry, rows), s.vmsOf(entry, vms)
@@ -166,24 +166,24 @@
 		},
 		Report: func(int, bool) (platform.Row, error) { return platform.Row{}, nil },
 		Waves:  s.requested, ZoneOut: s.evacuated,
-		OrderGap: pause, Sending: func() {}, OnOver: func(error) {},
+		OrderGap: orderGap, Sending: func() {}, OnOver: func(error) {},
 	}, shard.Seen{Version: seen.Version}, cat)
 }
 
-// TestHandover has a holder end, by plan or not, after orders for some VMs: the
-// next one keeps its distance for those, and gives orders for others at once.
+// After a planned or unplanned handover, the next holder delays orders for the VMs ordered last,
+// and only those.
 func TestHandover(t *testing.T) {
 	for _, planned := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 1, "b": 1}}
+			s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 1, "b": 1}}
 			for _, vm := range []string{"v1", "v2", "v3", "v4", "v5", "v6", "v7", "v8", "v9"} {
 				s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Pool: "off", State: platform.MachineUp, Worker: vm})
 			}
 			since := time.Now()
 			first := s.open(c, "first", since)
 			time.Sleep(time.Second)
-			ordered := s.vms.of("first")
+			ordered := s.vms.firstOrders("first")
 			c.Assert(ordered, qt.Not(qt.HasLen), 0)
 			if planned {
 				first.Release(context.Background(), "")
@@ -193,15 +193,15 @@
 			second := s.open(c, "second", since)
 			s.setNeed("b", 4)
 			time.Sleep(time.Second)
-			at := s.vms.of("second")
+			at := s.vms.firstOrders("second")
 			c.Check(at, qt.Not(qt.HasLen), 0, qt.Commentf("no order within a second of the takeover, planned %v", planned))
 			s.setNeed("b", 0)
 			s.setNeed("a", 5)
 			time.Sleep(30 * time.Second)
-			last := s.vms.lastOf("first")
-			for vm, when := range s.vms.of("second") {
+			last := s.vms.lastOrders("first")
+			for vm, when := range s.vms.firstOrders("second") {
 				if before, ok := last[vm]; ok {
-					c.Check(when.Sub(before) >= pause, qt.IsTrue, qt.Commentf("%s ordered %v after the former holder's order", vm, when.Sub(before)))
+					c.Check(when.Sub(before) >= orderGap, qt.IsTrue, qt.Commentf("%s ordered %v after the former holder's order", vm, when.Sub(before)))
 				}
 			}
 			second.Close()
@@ -209,38 +209,34 @@
 	}
 }
 
-// TestWaveAfterTakeover has a wave requested when a holder has just taken the work
-// over: it is begun all the same.
+// A wave that is requested right after a takeover is started.
 func TestWaveAfterTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{}}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{}}
 		s.vms.list = []platform.Machine{{VM: "v1", Pool: "off", State: platform.MachineUp, Worker: "v1"}}
 		r := s.open(c, "e", time.Now())
 		s.mu.Lock()
 		s.waves = []Wave{{ID: 1, VMs: []string{"v1"}, Within: time.Minute, MaxDown: 1}}
 		s.mu.Unlock()
 		time.Sleep(time.Second)
-		c.Check(s.vms.of("e"), qt.HasLen, 1)
+		c.Check(s.vms.firstOrders("e"), qt.HasLen, 1)
 		r.Close()
 	})
 }
 
-// TestWaitAfterTakeover has a holder end without a word and another follow 1.5 s
-// later, as long as silence takes to be noticed: the VMs of the last orders wait for
-// 2.75 s after the takeover, as long as orders may have followed the announcement
-// and a lease; 4.5 s when the wait was counted from the takeover.
+// The next holder's wait counts from the last announcement, not from its takeover.
 func TestWaitAfterTakeover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 3}}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 3}}
 		for _, vm := range []string{"v1", "v2", "v3", "v4"} {
 			s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Pool: "off", State: platform.MachineUp, Worker: vm})
 		}
 		since := time.Now()
 		first := s.open(c, "first", since)
 		time.Sleep(100 * time.Millisecond)
-		c.Assert(s.vms.of("first"), qt.HasLen, 4)
+		c.Assert(s.vms.firstOrders("first"), qt.HasLen, 4)
 		first.Close()
 		time.Sleep(1500 * time.Millisecond)
 		s.setNeed("a", 0)
@@ -248,21 +244,19 @@
 		taken := time.Now()
 		second := s.open(c, "second", since)
 		time.Sleep(10 * time.Second)
-		for vm, at := range s.vms.of("second") {
+		for vm, at := range s.vms.firstOrders("second") {
 			c.Check(at.Sub(taken) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%s ordered %v after the takeover", vm, at.Sub(taken)))
 		}
-		c.Check(s.vms.of("second"), qt.Not(qt.HasLen), 0)
+		c.Check(s.vms.firstOrders("second"), qt.Not(qt.HasLen), 0)
 		second.Close()
 	})
 }
 
-// TestPoolWithoutWorkers has all workers of a pool unusable, since they are being
-// emptied or do not answer: it gets others all the same. Of the kinds of jobs of a
-// day with such a pool none was served.
+// A pool without usable workers gets VMs.
 func TestPoolWithoutWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 2}, dark: "a"}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 2}, unusablePool: "a"}
 		for _, vm := range []string{"v1", "v2", "v3", "v4"} {
 			s.vms.list = append(s.vms.list, platform.Machine{
 				VM: vm, Pool: "off", State: platform.MachineUp, Worker: vm, Capacity: platform.Resources{CPU: 1000},
@@ -270,7 +264,7 @@
 		}
 		r := s.open(c, "e", time.Now())
 		time.Sleep(time.Second)
-		c.Check(s.vms.of("e"), qt.HasLen, 4)
+		c.Check(s.vms.firstOrders("e"), qt.HasLen, 4)
 		r.Close()
 	})
 }
--- a/pkg/fleetops/large_test.go
+++ b/pkg/fleetops/large_test.go
@@ -16,16 +16,15 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// largeFleet is the VMs of twice the largest fleet that is known.
+// largeFleet is the number of VMs in TestLargeFleet.
 const largeFleet = 12_000
 
-// TestLargeFleet has all VMs of a large fleet off and wanted at once, and then all maintained by one
-// wave that changes hands, against a table service that refuses rows that are too long. The names of
-// 8,000 VMs that are done, or of some 1,900 that may be ordered, were more than a row takes.
+// Announcements and wave progress of a large fleet fit into table rows, including across a
+// handover.
 func TestLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": largeFleet}}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": largeFleet}}
 		wave := Wave{ID: 1, Within: 100 * time.Minute, MaxDown: largeFleet}
 		for i := range largeFleet {
 			vm := fmt.Sprintf("m-%05x", i)
@@ -35,7 +34,7 @@
 		since := time.Now()
 		first := s.open(c, "first", since)
 		time.Sleep(35 * time.Second)
-		c.Check(s.vms.of("first"), qt.HasLen, largeFleet)
+		c.Check(s.vms.firstOrders("first"), qt.HasLen, largeFleet)
 		s.setNeed("a", 0)
 		s.mu.Lock()
 		s.waves = []Wave{wave}
@@ -47,9 +46,9 @@
 		time.Sleep(35 * time.Second)
 		page, err := s.rows.As("second").ListRows(context.Background(), tableProgress, Partition, "1")
 		c.Assert(err, qt.IsNil)
-		var k kept
+		var k waveProgress
 		c.Assert(msgpack.Unmarshal(page.Rows[0].Value, &k), qt.IsNil)
-		done, count := k.done(wave.list()), 0
+		done, count := k.done(wave.requestHash()), 0
 		for at, vm := range wave.VMs {
 			if done(vm, at) {
 				count++
@@ -59,8 +58,7 @@
 	})
 }
 
-// TestProgressOfEarlierVersion reads what an earlier version has kept of a wave, by names, and does
-// not take the bits of another list for those of this one.
+// Progress stored by name is read, and a bitmap of another VM list is ignored.
 func TestProgressOfEarlierVersion(t *testing.T) {
 	c := qt.New(t)
 	w := Wave{VMs: []string{"v1", "v2", "v3"}}
@@ -68,14 +66,14 @@
 		Done []string `msgpack:"d"`
 	}{[]string{"v2"}})
 	c.Assert(err, qt.IsNil)
-	var k kept
+	var k waveProgress
 	c.Assert(msgpack.Unmarshal(raw, &k), qt.IsNil)
-	done := k.done(w.list())
+	done := k.done(w.requestHash())
 	c.Check(done("v2", 1), qt.IsTrue)
 	c.Check(done("v1", 0), qt.IsFalse)
 
-	other := kept{Bits: []byte{7}, List: w.list()}
+	other := waveProgress{Bits: []byte{7}, List: w.requestHash()}
 	longer := Wave{VMs: []string{"v0", "v1", "v2", "v3"}}
-	c.Check(other.done(longer.list())("v0", 0), qt.IsFalse)
-	c.Check(other.done(w.list())("v1", 0), qt.IsTrue)
+	c.Check(other.done(longer.requestHash())("v0", 0), qt.IsFalse)
+	c.Check(other.done(w.requestHash())("v1", 0), qt.IsTrue)
 }
--- a/pkg/fleetops/late_test.go
+++ b/pkg/fleetops/late_test.go
@@ -11,12 +11,11 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// TestLateAnnouncement has an announcement without an answer carried out late, after
-// a newer one: it must not take the newer one's place.
+// An unanswered announcement that is committed late must not replace a newer one.
 func TestLateAnnouncement(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, 3*time.Second), need: map[string]int{}}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, 3*time.Second), need: map[string]int{}}
 		since := time.Now()
 		first := s.open(c, "first", since)
 		s.rows.SetFault(func(op fake.RowOp, entry string) fake.Fault {
@@ -30,8 +29,8 @@
 		first.announce(context.Background(), []string{"v2"})
 		time.Sleep(10 * time.Millisecond)
 		c.Assert(first.maySend("v2"), qt.IsTrue)
-		time.Sleep(2 * time.Second) // the late write lands
-		first.noteOrder("v2")
+		time.Sleep(2 * time.Second) // the late commit takes effect
+		first.recordOrder("v2")
 		first.Close()
 		second := s.open(c, "second", since)
 		c.Check(second.mayOrderFor("v2"), qt.IsFalse)
--- a/pkg/fleetops/maintain.go
+++ b/pkg/fleetops/maintain.go
@@ -8,21 +8,20 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// wave is a wave under way.
+// wave is the execution state of a requested wave.
 type wave struct {
 	Wave
-	vms   []*VM
-	begun time.Duration // when this entry saw the request first, or half of its time before that
+	vms       []*VM
+	startedAt time.Duration // when this entry first saw the request; half the wave's time earlier if a former holder started it
 
-	loaded    bool // what was done before was read
-	changed   bool // what is done differs from what is kept
-	reported  bool // the operator was told of the wave
-	completed bool // all is done, and the operator was told
+	loaded        bool // the progress of former holders was read
+	changed       bool // the progress differs from what is stored
+	startReported bool // the operator was told that the wave started
+	completed     bool // all VMs are done and the operator was told
 }
 
-// takeWaves takes the requests for maintenance that have come since the last
-// step, also those that came while this entry was taking the work over.
-func (r *Runner) takeWaves() {
+// acceptWaves adds newly requested waves, including those requested during the takeover.
+func (r *Runner) acceptWaves() {
 	requested := r.cfg.Waves()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -30,7 +29,7 @@
 		if r.waves[w.ID] != nil {
 			continue
 		}
-		state := &wave{Wave: w, begun: r.now()}
+		state := &wave{Wave: w, startedAt: r.now()}
 		for _, vm := range w.VMs {
 			state.vms = append(state.vms, &VM{Name: vm, Phase: PhaseWaiting})
 		}
@@ -51,11 +50,11 @@
 	return open
 }
 
-// loadedWaves returns the open waves whose progress is known.
+// loadedWaves returns the open waves whose progress was read.
 func (r *Runner) loadedWaves(ctx context.Context) (known []*wave) {
 	for _, w := range r.openWaves() {
 		err := r.loadProgress(ctx, w)
-		r.noteFailure(ctx, w, err)
+		r.logWaveFailure(ctx, w, err)
 		if err == nil && !w.completed {
 			known = append(known, w)
 		}
@@ -63,50 +62,50 @@
 	return known
 }
 
-// choose takes the list of VMs into account, and begins with the next VMs of a wave.
-func (r *Runner) choose(w *wave, machines map[string]platform.Machine, mayOrder bool) {
-	r.observe(w, machines)
+// drainNext updates a wave's phases and starts draining its next VMs.
+func (r *Runner) drainNext(w *wave, machines map[string]platform.Machine, mayOrder bool) {
+	r.updatePhases(w, machines)
 	if !mayOrder {
 		return
 	}
-	for _, v := range Next(w.Wave, w.vms, r.view(w, machines)) {
+	for _, v := range SelectVMs(w.Wave, w.vms, r.newView(w, machines)) {
 		if r.moves[v.Name] == nil {
-			r.setPhase(w, v, PhaseEmptying, "a place in the wave is free")
+			r.setPhase(w, v, PhaseDraining, "the wave's limits allow it")
 		}
 	}
 }
 
-// observe takes the list of VMs into account.
-func (r *Runner) observe(w *wave, machines map[string]platform.Machine) {
+// updatePhases updates the phases of a wave's VMs from the VM list.
+func (r *Runner) updatePhases(w *wave, machines map[string]platform.Machine) {
 	for _, v := range w.vms {
 		m, ok := machines[v.Name]
 		switch {
 		case v.Phase == PhaseDone || v.Phase == PhaseGone:
 		case !ok:
 			r.setPhase(w, v, PhaseGone, "the VM is no longer listed")
-		case v.Phase == PhaseOrdered && v.back(m, r.now(), r.cfg.MaintenanceTime):
-			r.setPhase(w, v, PhaseDone, "it is up again")
+		case v.Phase == PhaseOrdered && v.returned(m, r.now(), r.cfg.MaintenanceTime):
+			r.setPhase(w, v, PhaseDone, "the VM is up again")
 		case v.Phase != PhaseOrdered && m.State == platform.MachineMaintenance && w.ID != 0 && r.formerWaves[v.Name] == w.ID:
 			v.Worker, v.confirmedAt = m.Worker, r.now()
-			r.setPhase(w, v, PhaseOrdered, "a former holder has ordered it")
+			r.setPhase(w, v, PhaseOrdered, "a former holder ordered the maintenance")
 		}
 	}
 }
 
-func (r *Runner) setPhase(w *wave, v *VM, p Phase, why string) {
-	r.log.Info().Str("event", "maintenance").Int("wave", w.ID).Str("vm", v.Name).Str("from", string(v.Phase)).Str("to", string(p)).Str("why", why).Send()
+func (r *Runner) setPhase(w *wave, v *VM, p Phase, reason string) {
+	r.log.Info().Str("event", "maintenance").Int("wave", w.ID).Str("vm", v.Name).Str("from", string(v.Phase)).Str("to", string(p)).Str("why", reason).Send()
 	v.Phase = p
 	if p == PhaseDone || p == PhaseGone {
 		w.changed = true
 	}
 }
 
-// waveOrders returns the orders for the VMs of a wave that are to be maintained.
+// waveOrders returns the maintenance orders to send for a wave.
 func (r *Runner) waveOrders(w *wave, machines map[string]platform.Machine) (due []vmOrder) {
 	for _, v := range w.vms {
 		m := machines[v.Name]
 		unanswered := v.Phase == PhaseOrdered && v.confirmedAt == 0 && m.State == platform.MachineUp && m.Worker == v.Worker
-		if v.Phase == PhaseEmptying || unanswered { // an order without an answer may not have arrived
+		if v.Phase == PhaseDraining || unanswered { // an unanswered order may be lost
 			due = append(due, vmOrder{vm: v.Name, pool: m.Pool, send: func(ctx context.Context) { r.sendMaintenance(ctx, w, v, m) }})
 		}
 	}
@@ -127,14 +126,14 @@
 	default:
 		v.confirmedAt = r.now()
 	}
-	if v.Phase == PhaseEmptying {
+	if v.Phase == PhaseDraining {
 		v.Worker = m.Worker
-		r.setPhase(w, v, PhaseOrdered, "it is empty")
+		r.setPhase(w, v, PhaseOrdered, "the VM is drained")
 	}
 }
 
-// named returns the VMs that loads name, as list tells.
-func named(loads map[string]shard.Load, list func(shard.Load) []string) map[string]bool {
+// vmSet returns the union of a VM list over all loads.
+func vmSet(loads map[string]shard.Load, list func(shard.Load) []string) map[string]bool {
 	vms := map[string]bool{}
 	for _, l := range loads {
 		for _, vm := range list(l) {
@@ -144,13 +143,13 @@
 	return vms
 }
 
-// view gathers what the next VMs of a wave are chosen by.
-func (r *Runner) view(w *wave, machines map[string]platform.Machine) View {
+// newView returns the input of SelectVMs.
+func (r *Runner) newView(w *wave, machines map[string]platform.Machine) View {
 	recent, former := map[string]bool{}, map[string]bool{}
-	for vm := range r.former {
+	for vm := range r.formerOrders {
 		recent[vm], former[vm] = !r.mayOrderFor(vm), true
 	}
-	light := named(r.lastLoads, func(l shard.Load) []string { return l.Light })
-	tight := named(r.lastLoads, func(l shard.Load) []string { return l.Tight })
-	return View{Machines: machines, Spare: r.spare(), Light: light, Tight: tight, Recent: recent, Former: former, Since: r.now() - w.begun}
+	light := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Light })
+	tight := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Tight })
+	return View{Machines: machines, Spare: r.sparePool(), Light: light, SlowToDrain: tight, RecentlyOrdered: recent, OrderedByFormer: former, Since: r.now() - w.startedAt}
 }
--- a/pkg/fleetops/moves.go
+++ b/pkg/fleetops/moves.go
@@ -8,68 +8,68 @@
 )
 
 const (
-	// moveGiveUp is how long a VM may take to become empty before its move is given up.
-	moveGiveUp = 3 * time.Second
-	// moveSettles is how long after its order a VM may take to come up in its new pool.
-	moveSettles = 8 * time.Second
-	// moveKnown is how long a VM that is up in its new pool may take until the pool's
-	// owner counts it.
-	moveKnown = 600 * time.Millisecond
+	// drainTimeout is how long a VM may take to drain before its move is abandoned.
+	drainTimeout = 3 * time.Second
+	// moveTimeout is how long after its order a VM may take to come up in its new pool.
+	moveTimeout = 8 * time.Second
+	// loadReportLag is how long after a VM came up its new pool's reported load may not include
+	// it.
+	loadReportLag = 600 * time.Millisecond
 )
 
-// move is a VM's change of pool under way.
+// move is the execution state of a planned move.
 type move struct {
 	Move
-	since   time.Duration // when it was planned
-	ordered time.Duration // 0 while the VM is being emptied
-	up      time.Duration // when it was first seen up in its new pool
+	plannedAt time.Duration
+	orderedAt time.Duration // 0 while the VM is being drained
+	upAt      time.Duration // when the VM was first seen up in its new pool
 }
 
-// planMoves decides which VMs go where they are needed.
+// planMoves adds the moves that pool sizing calls for.
 func (r *Runner) planMoves(machines map[string]platform.Machine) {
 	for _, m := range r.policy.PlanMoves(r.poolStates(machines, r.lastLoads)) {
-		r.moves[m.VM] = &move{Move: m, since: r.now()}
-		r.log.Info().Str("event", "move_planned").Str("vm", m.VM).Str("from", m.From).Str("to", m.To).Str("why", m.Why).Send()
+		r.moves[m.VM] = &move{Move: m, plannedAt: r.now()}
+		r.log.Info().Str("event", "move_planned").Str("vm", m.VM).Str("from", m.From).Str("to", m.To).Str("why", m.Reason).Send()
 	}
 }
 
-// moveOrders returns the orders for the moves that were decided.
+// moveOrders returns the orders of moves that were not sent yet.
 func (r *Runner) moveOrders(mayOrder bool) (due []vmOrder) {
 	if !mayOrder {
 		return nil
 	}
 	for vm, m := range r.moves {
-		if m.ordered == 0 {
+		if m.orderedAt == 0 {
 			due = append(due, vmOrder{vm: vm, pool: m.From, send: func(ctx context.Context) { r.sendMove(ctx, m) }})
 		}
 	}
 	return due
 }
 
-// settleMoves forgets moves that are over.
-func (r *Runner) settleMoves(machines map[string]platform.Machine) {
+// finishMoves removes moves that succeeded, failed or timed out.
+func (r *Runner) finishMoves(machines map[string]platform.Machine) {
 	now := r.now()
 	for vm, m := range r.moves {
 		listed, ok := machines[vm]
-		why := ""
+		reason := ""
 		switch {
 		case !ok:
-			why = "the VM is no longer listed"
-		case m.up > 0 && now-m.up > moveKnown:
-			why = "the VM is up in its new pool"
-		case m.up > 0:
-		case m.ordered > 0 && listed.Pool == m.To && listed.State == platform.MachineUp:
-			m.up = now
-		case m.ordered > 0 && now-m.ordered > moveSettles:
-			why = "it has taken too long"
-		case m.ordered == 0 && r.cfg.ZoneOut(listed.Zone):
-			why = "its zone is out of use"
-		case m.ordered == 0 && now-m.since > moveGiveUp:
-			why = "the VM did not become empty in time"
+			reason = "the VM is no longer listed"
+		case m.upAt > 0 && now-m.upAt > loadReportLag:
+			reason = "the VM is up in its new pool"
+		case m.upAt > 0:
+		case m.orderedAt > 0 && listed.Pool == m.To && listed.State == platform.MachineUp:
+			m.upAt = now
+		case m.orderedAt > 0 && now-m.orderedAt > moveTimeout:
+			reason = "the move timed out"
+		case m.orderedAt == 0 && r.cfg.ZoneOut(listed.Zone):
+			reason = "the VM's zone is out of use"
+		case m.orderedAt == 0 && now-m.plannedAt > drainTimeout:
+			reason = "the VM was not drained in time"
 		}
-		if why != "" {
+		if reason != "" {
 			delete(r.moves, vm)
-			r.log.Info().Str("event", "move_over").Str("vm", vm).Str("to", m.To).Str("why", why).Dur("after", now-m.since).Send()
+			r.log.Info().Str("event", "move_over").Str("vm", vm).Str("to", m.To).Str("why", reason).Dur("after", now-m.plannedAt).Send()
 		}
 	}
 }
@@ -81,5 +81,5 @@
 	if platform.IsRefused(err) || platform.IsNotDone(err) {
 		return
 	}
-	m.ordered = r.now()
+	m.orderedAt = r.now()
 }
--- a/pkg/fleetops/orders.go
+++ b/pkg/fleetops/orders.go
@@ -10,19 +10,16 @@
 )
 
 const (
-	// callTimeout bounds a call to the VM service or the table service, which
-	// answer in milliseconds and up to 60 times slower in trouble.
+	// callTimeout limits a call to the VM service or the table service.
 	callTimeout = 1500 * time.Millisecond
-	// gatherOrders is how long a VM that is empty waits for others, so that one
-	// announcement does for all; a VM becomes empty within some milliseconds.
-	gatherOrders = 15 * time.Millisecond
+	// batchWindow is how long a drained VM waits for others to share one announcement.
+	batchWindow = 15 * time.Millisecond
 )
 
-// mayOrder tells whether this entry is probably the owner and knows for which VMs
-// it has to wait. That an order keeps its distance from other holders' does not
-// rest on it: a stale owner must not have VMs emptied.
+// mayOrder reports whether this entry is probably still the holder and knows former holders'
+// orders. It avoids draining VMs for a stale holder; the gap between orders does not depend on it.
 func (r *Runner) mayOrder(ctx context.Context) bool {
-	if !r.learnFormer(ctx) || r.now() < r.first {
+	if !r.loadFormerOrders(ctx) || r.now() < r.noOrdersBefore {
 		return false
 	}
 	now := r.now()
@@ -39,49 +36,48 @@
 		return false
 	}
 	if !stands {
-		r.giveUp()
+		r.relinquish()
 		return false
 	}
 	r.Confirm(now)
 	return r.now()-now < shard.ConfirmedFor
 }
 
-// holder names this entry to the VM service.
+// holder returns this entry's identity and fencing token for the VM service.
 func (r *Runner) holder() platform.Holder {
 	return platform.Holder{Name: r.cfg.Self.Entry, Token: r.claim.Term}
 }
 
-// vmOrder is an order for a VM that is to be sent once the VM is empty.
+// vmOrder is an order to send once its VM is drained.
 type vmOrder struct {
 	vm   string
-	pool string // that the VM is in
+	pool string // current pool of the VM
 	send func(ctx context.Context)
 }
 
-// orderAll has VMs emptied, and announces and sends the orders for those that
-// are. Only VMs that are empty are announced: one that is still being emptied
-// when the work changes hands may be ordered by the next holder at once.
-func (r *Runner) orderAll(ctx context.Context, orders []vmOrder) {
-	empty := make(chan vmOrder)
-	var emptying, sending sync.WaitGroup
+// sendOrders drains VMs, then announces and sends their orders. Only drained VMs are announced, so
+// that the next holder can order the others without delay.
+func (r *Runner) sendOrders(ctx context.Context, orders []vmOrder) {
+	drained := make(chan vmOrder)
+	var draining, sending sync.WaitGroup
 	for _, o := range orders {
-		emptying.Go(func() {
-			if o.pool == r.spare() || r.cfg.Drain(ctx, o.pool, o.vm) {
-				empty <- o
+		draining.Go(func() {
+			if o.pool == r.sparePool() || r.cfg.Drain(ctx, o.pool, o.vm) {
+				drained <- o
 			}
 		})
 	}
 	go func() {
-		emptying.Wait()
-		close(empty)
+		draining.Wait()
+		close(drained)
 	}()
-	for batch := nextBatch(empty); len(batch) > 0; batch = nextBatch(empty) {
-		r.announceAll(ctx, batch)
+	for batch := nextBatch(drained); len(batch) > 0; batch = nextBatch(drained) {
+		r.announceBatch(ctx, batch)
 		for _, o := range batch {
 			if !r.maySend(o.vm) {
 				continue
 			}
-			r.noteOrder(o.vm)
+			r.recordOrder(o.vm)
 			sending.Go(func() {
 				callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 				defer cancel()
@@ -92,15 +88,15 @@
 	sending.Wait()
 }
 
-// nextBatch takes the next order and those that come within a moment of it; it
-// returns none when the channel is closed.
+// nextBatch returns the next order and those that follow within batchWindow, or none when the
+// channel is closed.
 func nextBatch(orders <-chan vmOrder) (batch []vmOrder) {
 	o, ok := <-orders
 	if !ok {
 		return nil
 	}
 	batch = append(batch, o)
-	t := time.NewTimer(gatherOrders)
+	t := time.NewTimer(batchWindow)
 	defer t.Stop()
 	for {
 		select {
@@ -115,7 +111,7 @@
 	}
 }
 
-func (r *Runner) announceAll(ctx context.Context, orders []vmOrder) {
+func (r *Runner) announceBatch(ctx context.Context, orders []vmOrder) {
 	var vms []string
 	for _, o := range orders {
 		if r.mayOrderFor(o.vm) {
@@ -125,27 +121,27 @@
 	r.announce(ctx, vms)
 }
 
-// maySend tells whether an order for a VM may be sent at this moment: it keeps its
-// distance from former holders' orders, and is announced to the next holder.
+// maySend reports whether an order may be sent now: it is far enough from former holders' orders
+// and announced to the next holder.
 func (r *Runner) maySend(vm string) bool {
 	return r.mayOrderFor(vm) && r.clock.latest(r.now()) < r.announced[vm]
 }
 
-// mayOrderFor tells whether an order for a VM keeps its distance from former holders'.
+// mayOrderFor reports whether an order for a VM is far enough from former holders' orders.
 func (r *Runner) mayOrderFor(vm string) bool {
 	now := r.now()
-	until, ok := r.former[vm]
-	return now >= r.first && (!ok || !r.binds(until, now))
+	until, ok := r.formerOrders[vm]
+	return now >= r.noOrdersBefore && (!ok || !r.inForce(until, now))
 }
 
-// noteOrder remembers that an order for a VM is about to be sent.
-func (r *Runner) noteOrder(vm string) {
+// recordOrder records that an order for a VM is about to be sent.
+func (r *Runner) recordOrder(vm string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastOrder[vm] = r.now()
 }
 
-// lastOrderOf is when our last order for a VM was sent, 0 for never.
+// lastOrderOf returns when the last order for a VM was sent, or 0.
 func (r *Runner) lastOrderOf(vm string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/fleetops/plan_test.go
+++ b/pkg/fleetops/plan_test.go
@@ -13,7 +13,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// TestPlans plays the files of testdata: sizes of pools and the order of a wave.
+// Runs the planning scripts in testdata: pool sizes and the order of a wave.
 func TestPlans(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -34,7 +34,7 @@
 	})
 }
 
-// fields reads "key=value" pairs behind the first word of a line.
+// fields parses the "key=value" pairs after the first word of a line.
 func fields(line string) (name string, values map[string]string) {
 	words := strings.Fields(line)
 	values = map[string]string{}
@@ -54,10 +54,10 @@
 	var pools []*PoolState
 	for _, line := range strings.Split(input, "\n") {
 		name, v := fields(line)
-		s := &PoolState{Name: name, Supply: number(v["supply"]), Surely: number(v["surely"])}
+		s := &PoolState{Name: name, Supply: number(v["supply"]), SurplusSteps: number(v["surely"])}
 		_, s.Spare = v["spare"]
 		if v["idle"] != "" {
-			s.Idle = strings.Split(v["idle"], ",")
+			s.Movable = strings.Split(v["idle"], ",")
 		}
 		_, atLimit := v["atlimit"]
 		s.Load = shard.Load{
@@ -97,7 +97,7 @@
 		}
 	}
 	var out strings.Builder
-	for _, v := range Next(w, vms, View{Machines: machines, Spare: "spare", Light: light, Recent: recent, Tight: tight, Former: former, Since: since}) {
+	for _, v := range SelectVMs(w, vms, View{Machines: machines, Spare: "spare", Light: light, RecentlyOrdered: recent, SlowToDrain: tight, OrderedByFormer: former, Since: since}) {
 		fmt.Fprintf(&out, "%s\n", v.Name)
 	}
 	return out.String()
--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -12,31 +12,32 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// tableProgress holds what is done of each wave, and the announcement of orders.
+// tableProgress stores the progress of waves and the announcement of orders.
 const tableProgress = "maintenance"
 
-// kept is what lasts of a wave: the VMs that are done or gone.
-type kept struct {
-	Names []string `msgpack:"d,omitempty"` // as earlier versions keep them
-	// Bits are a bit for each VM in the order of the request, whose VMs List is a hash of. Names of
-	// 8,000 VMs were more than a row takes.
+// waveProgress is the persisted progress of a wave: the VMs that are done or gone.
+type waveProgress struct {
+	Names []string `msgpack:"d,omitempty"` // as stored by earlier versions
+	// Bits is a bitmap over the VMs of the request. List is the hash of that VM list, to detect
+	// that it changed.
 	Bits []byte `msgpack:"b,omitempty"`
 	List uint64 `msgpack:"l,omitempty"`
 }
 
-// done tells whether a VM of the wave is done or gone, by its name and place in the request.
-func (k *kept) done(list uint64) func(name string, at int) bool {
-	names := make(map[string]bool, len(k.Names))
-	for _, name := range k.Names {
+// done returns a function that reports whether a VM is done or gone, by its name and its index in
+// the request.
+func (p *waveProgress) done(list uint64) func(name string, at int) bool {
+	names := make(map[string]bool, len(p.Names))
+	for _, name := range p.Names {
 		names[name] = true
 	}
 	return func(name string, at int) bool {
-		return names[name] || k.List == list && at/8 < len(k.Bits) && k.Bits[at/8]&(1<<(at%8)) != 0
+		return names[name] || p.List == list && at/8 < len(p.Bits) && p.Bits[at/8]&(1<<(at%8)) != 0
 	}
 }
 
-// list is a hash of the VMs that a wave is requested for.
-func (w *Wave) list() uint64 {
+// requestHash returns a hash of the VMs that the wave was requested for.
+func (w *Wave) requestHash() uint64 {
 	h := xxhash.New()
 	for _, vm := range w.VMs {
 		_, _ = h.WriteString(vm + "\n") // never fails
@@ -48,7 +49,7 @@
 	return platform.RowKey{Table: tableProgress, Partition: Partition, Key: strconv.Itoa(id)}
 }
 
-// loadProgress reads what a former owner has done of a wave, once.
+// loadProgress reads once what former holders have done of a wave.
 func (r *Runner) loadProgress(ctx context.Context, w *wave) error {
 	if w.loaded {
 		return nil
@@ -59,65 +60,65 @@
 	if err != nil {
 		return err
 	}
-	var k kept
+	var p waveProgress
 	if row.Version > 0 {
-		if err := msgpack.Unmarshal(row.Value, &k); err != nil {
+		if err := msgpack.Unmarshal(row.Value, &p); err != nil {
 			return errors.Wrap(err, "decode progress of wave")
 		}
 	}
-	done, begun := k.done(w.list()), false
+	done, begun := p.done(w.requestHash()), false
 	for at, v := range w.vms {
 		if done(v.Name, at) {
 			v.Phase, begun = PhaseDone, true
 		}
 	}
 	if begun {
-		w.begun -= w.Within / 2 // a former owner began it, it is not known when
+		w.startedAt -= w.Within / 2 // started by a former holder at an unknown time
 	}
 	w.loaded, w.changed = true, true
 	return nil
 }
 
-// progress returns what lasts of a wave, and whether the wave is finished.
-func (w *wave) progress() (k kept, finished bool) {
+// progress returns the progress to persist, and whether the wave is finished.
+func (w *wave) progress() (p waveProgress, finished bool) {
 	finished = true
-	k.Bits, k.List = make([]byte, (len(w.vms)+7)/8), w.list()
+	p.Bits, p.List = make([]byte, (len(w.vms)+7)/8), w.requestHash()
 	for at, v := range w.vms {
 		if v.Phase == PhaseDone || v.Phase == PhaseGone {
-			k.Bits[at/8] |= 1 << (at % 8)
+			p.Bits[at/8] |= 1 << (at % 8)
 		} else {
 			finished = false
 		}
 	}
-	return k, finished
+	return p, finished
 }
 
-// keepProgress writes what is done, and reports to the operator.
-func (r *Runner) keepProgress(ctx context.Context, w *wave) error {
+// saveProgress persists a wave's progress and reports its start and end to the operator.
+func (r *Runner) saveProgress(ctx context.Context, w *wave) error {
 	if !w.changed {
 		return nil
 	}
-	k, finished := w.progress()
-	raw, err := msgpack.Marshal(k)
+	p, finished := w.progress()
+	raw, err := msgpack.Marshal(p)
 	if err != nil {
 		return errors.Wrap(err, "encode progress of wave")
 	}
 	writeCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := r.cfg.Rows.CommitRows(writeCtx, platform.RowTxn{
-		Expect: []platform.Row{r.claim.Holds(Partition)}, // a late write must not replace a next owner's
+		Expect: []platform.Row{r.claim.Holds(Partition)}, // a delayed write must not overwrite the next holder's
 		Put:    []platform.Row{{RowKey: progressKey(w.ID), Value: raw}},
 	}); err != nil {
 		return err
 	}
 	w.changed = false
-	if w.reported && !finished {
+	if w.startReported && !finished {
 		return nil
 	}
 	return r.reportWave(writeCtx, w, finished)
 }
 
-// reportWave tells the operator how far a wave has come.
+// reportWave writes the row that reports a wave's state to the operator.
 func (r *Runner) reportWave(ctx context.Context, w *wave, finished bool) error {
 	row, err := r.cfg.Report(w.ID, finished)
 	if err != nil {
@@ -128,7 +129,7 @@
 		w.changed = true
 		return err
 	}
-	w.reported = true
+	w.startReported = true
 	if finished {
 		r.mu.Lock()
 		w.completed = true
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -14,42 +14,43 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// stepInterval is the time between two steps; pools change their demand within a second.
+// stepInterval is the time between two steps.
 const stepInterval = 250 * time.Millisecond
 
-// Partition names the partition and the shard of this work; no pool is called so.
+// Partition is the partition and shard name of this work. It is never the name of a pool.
 const Partition = "~maintenance"
 
-// Emptier has the owner of a pool's shard move the tasks away from a VM and keep
-// it empty for some seconds; it reports whether nothing is left there.
-type Emptier func(ctx context.Context, pool, vm string) (empty bool)
+// Drainer has the owner of a pool's shard move the tasks off a VM and keep new ones away for some
+// seconds. It reports whether the VM is drained.
+type Drainer func(ctx context.Context, pool, vm string) (drained bool)
 
-// Loader asks for the load of a pool's shard; grant goes with the question if it is not nil.
+// Loader requests the load of a pool's shard. If grant is not nil, it is sent with the request.
 type Loader func(ctx context.Context, pool string, grant *allowance.Grant) (l shard.Load, ok bool)
 
-// Config is what a Runner works with.
+// Config holds the settings and dependencies of a Runner.
 type Config struct {
 	Self  shard.Identity
 	Log   zerolog.Logger
-	Clock *elapsed.Clock // of the entry, by which rights and beliefs expire
+	Clock *elapsed.Clock // of the entry, measures leases and timeouts
 
 	Rows     platform.Rows
 	Machines platform.Machines
-	Drain    Emptier
+	Drain    Drainer
 	Load     Loader
-	Waves    func() []Wave // all requests for maintenance that are known by now
-	// ZoneOut tells whether the operator has taken an availability zone out of use; nil for none.
+	Waves    func() []Wave // all maintenance requests known so far
+	// ZoneOut reports whether the operator has taken an availability zone out of use; nil for
+	// none.
 	ZoneOut func(zone string) bool
-	Report  func(wave int, completed bool) (platform.Row, error) // makes the row that tells the operator of a wave
+	Report  func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
 
-	OrderGap time.Duration // between orders of two holders for a VM
-	MaintenanceTime time.Duration // the maintenance of one VM
+	OrderGap        time.Duration // minimum time between orders of two holders for a VM
+	MaintenanceTime time.Duration // of one VM
 
 	Sending func()      // called before the takeover's transaction is sent
-	OnOver  func(error) // called once when the work is given up
+	OnOver  func(error) // called once when ownership is lost
 }
 
-// Runner maintains VMs and sizes pools while this entry owns that work.
+// Runner maintains VMs and sizes pools while this entry is the holder.
 type Runner struct {
 	cfg    Config
 	policy SizingPolicy
@@ -59,29 +60,29 @@
 	done   chan struct{}
 
 	// Used by the run loop only.
-	clock       storeClock
-	formerKnown bool                     // what former holders announced was read
-	first       time.Duration            // no orders before, 0 unless that was malformed
-	former      map[string]time.Duration // until when former holders may have sent orders for a VM, on the table service's clock
-	formerWaves map[string]int           // the waves that they maintained those VMs for, 0 for moves
-	lastLoads   map[string]shard.Load    // by pool
-	trends      map[string]trend         // of demand, by pool
-	limits      *allowance.Holder        // divides accounts' limits among shards
-	surplus     map[string]int           // steps in a row with VMs left over, by pool
-	moves       map[string]*move         // by VM
-	announced   map[string]time.Duration // until when orders for a VM may be sent, as is kept, on the table service's clock
-
-	announcedAs int64 // version of the row that names them, as last read or written; 0 for none
-
-	mu          sync.Mutex
-	confirmedAt time.Duration // when this entry certainly was the owner
-	over        bool
-	catalog     *catalog.Catalog
-	waves       map[int]*wave            // by ID
-	lastOrder   map[string]time.Duration // of ours for a VM
+	clock          tableClock
+	formerKnown    bool                     // the former holders' announcement was read
+	noOrdersBefore time.Duration            // set if that announcement was malformed
+	formerOrders   map[string]time.Duration // by VM: until when former holders may have sent orders, on the table service's clock
+	formerWaves    map[string]int           // by VM: the wave of those orders, 0 for a move
+	lastLoads      map[string]shard.Load    // by pool
+	trends         map[string]trend         // of demand, by pool
+	limits         *allowance.Holder        // divides account quotas among shards
+	surplus        map[string]int           // consecutive steps with surplus VMs, by pool
+	moves          map[string]*move         // by VM
+	announced      map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
+
+	announcedVersion int64 // version of the announcement row as last read or written, 0 for none
+
+	mu           sync.Mutex
+	confirmedAt  time.Duration // when this entry was last known to be the owner
+	relinquished bool
+	catalog      *catalog.Catalog
+	waves        map[int]*wave            // by ID
+	lastOrder    map[string]time.Duration // when this holder last sent an order, by VM
 }
 
-// Open takes the work over, if its owner row still has the version seen.
+// Open takes over the work if its owner row still has the version seen.
 func Open(ctx context.Context, cfg Config, seen shard.Seen, cat *catalog.Catalog) (r *Runner, err error) {
 	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.Sending)
 	if err != nil {
@@ -95,9 +96,9 @@
 		cfg: cfg, claim: c, log: cfg.Log.With().Str("pool", Partition).Int64("term", c.Term).Logger(),
 		limits: allowance.NewHolder(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
 		policy: DefaultSizing, moves: map[string]*move{}, surplus: map[string]int{}, trends: map[string]trend{},
-		formerKnown: c.Term == 1, former: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
+		formerKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
 	}
-	r.learnFormer(ctx)
+	r.loadFormerOrders(ctx)
 	runCtx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	go r.run(runCtx)
@@ -105,39 +106,39 @@
 	return r, nil
 }
 
-// Term is the term of ownership.
+// Term returns the ownership term.
 func (r *Runner) Term() int64 { return r.claim.Term }
 
-// RowVersion is the version of the owner row that was written.
+// RowVersion returns the version of the owner row that the takeover wrote.
 func (r *Runner) RowVersion() int64 { return r.claim.OwnerVersion }
 
-// SetCatalog takes a configuration.
+// SetCatalog sets the current configuration.
 func (r *Runner) SetCatalog(c *catalog.Catalog) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.catalog = c
 }
 
-// SetWorkers is of no use here.
+// SetWorkers does nothing: the VM list comes from the VM service.
 func (r *Runner) SetWorkers([]platform.Worker) {}
 
-// Confirm notes that this entry was the owner at a time.
+// Confirm records that this entry was the owner at the given time.
 func (r *Runner) Confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmedAt = max(r.confirmedAt, at)
 }
 
-// Close ends the work without letting go of the owner row.
+// Close stops the work without releasing the owner row.
 func (r *Runner) Close() {
 	r.cancel()
 	<-r.done
 }
 
-// Release ends the work and lets go of the owner row.
+// Release stops the work and releases the owner row to the next entry, which may be empty.
 func (r *Runner) Release(ctx context.Context, next string) {
 	r.Close()
-	err := r.letGo(ctx, next)
+	err := r.releaseOwnership(ctx, next)
 	r.log.Info().Str("event", "maintenance_released").Err(err).Send()
 }
 
@@ -155,47 +156,46 @@
 	}
 }
 
-// step carries each wave on and sizes the pools.
+// step advances all waves and sizes the pools.
 func (r *Runner) step(ctx context.Context) {
 	machines, err := r.listMachines(ctx)
 	if err != nil {
 		if ctx.Err() == nil {
 			r.log.Warn().Str("event", "machines_not_listed").Err(err).Send()
 		}
-		r.loads(ctx) // accounts' limits go on being divided
+		r.loads(ctx) // quotas are still divided
 		return
 	}
 	r.lastLoads = r.loads(ctx)
-	r.takeWaves()
+	r.acceptWaves()
 	mayOrder := r.mayOrder(ctx)
-	// Waves choose before moves do: a VM that has just become idle is maintained rather than
-	// moved to where it is in use again.
+	// Waves go first, so that a VM that just became idle is maintained rather than moved.
 	waves := r.loadedWaves(ctx)
 	for _, w := range waves {
-		r.choose(w, machines, mayOrder)
+		r.drainNext(w, machines, mayOrder)
 	}
-	r.settleMoves(machines)
+	r.finishMoves(machines)
 	if mayOrder {
 		r.planMoves(machines)
 	}
-	due := r.moveOrders(mayOrder)
+	orders := r.moveOrders(mayOrder)
 	for _, w := range waves {
-		due = append(due, r.waveOrders(w, machines)...)
+		orders = append(orders, r.waveOrders(w, machines)...)
 	}
-	r.orderAll(ctx, due)
+	r.sendOrders(ctx, orders)
 	for _, w := range waves {
-		r.noteFailure(ctx, w, r.keepProgress(ctx, w))
+		r.logWaveFailure(ctx, w, r.saveProgress(ctx, w))
 	}
 }
 
-// noteFailure says that something of a wave has to be done again.
-func (r *Runner) noteFailure(ctx context.Context, w *wave, err error) {
+// logWaveFailure logs that a step of a wave failed and will be retried.
+func (r *Runner) logWaveFailure(ctx context.Context, w *wave, err error) {
 	if err != nil && ctx.Err() == nil {
 		r.log.Warn().Str("event", "wave_step_failed").Int("wave", w.ID).Err(err).Send()
 	}
 }
 
-// listMachines returns the VMs by name.
+// listMachines returns all VMs by name.
 func (r *Runner) listMachines(ctx context.Context) (machines map[string]platform.Machine, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -210,19 +210,19 @@
 	return machines, nil
 }
 
-func (r *Runner) spare() string {
+func (r *Runner) sparePool() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.catalog.Spare()
 }
 
-func (r *Runner) giveUp() {
+func (r *Runner) relinquish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.relinquished {
 		return
 	}
-	r.over = true
+	r.relinquished = true
 	r.log.Warn().Str("event", "maintenance_given_up").Send()
 	r.cancel()
 	go r.cfg.OnOver(nil)
--- a/pkg/fleetops/sizing.go
+++ b/pkg/fleetops/sizing.go
@@ -9,72 +9,70 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// SizingPolicy is how generously pools are sized.
+// SizingPolicy holds the parameters of pool sizing.
 type SizingPolicy struct {
-	Headroom float64 // part of the demand that a pool has beyond it
-	Reserve  int     // VMs that a pool has beyond its demand
-	// KeepSteps is for how many steps in a row a VM must not be needed before it is switched off.
+	Headroom float64 // extra capacity, as a fraction of the demand
+	Reserve  int     // extra VMs on top of the headroom
+	// KeepSteps is for how many consecutive steps a pool must have surplus VMs before they are
+	// switched off.
 	KeepSteps int
-	// MaxLeaving bounds the VMs that are emptied for a move at the same time in
-	// one pool; in a pool of many VMs LeavingShare of them is the bound.
-	MaxLeaving   int
-	LeavingShare float64
-	// SwitchOffShare is the part of what a pool has left over that is switched off in one step.
+	// MaxDraining limits the VMs of one pool that are drained for a move at the same time; in a
+	// large pool the limit is the fraction DrainingShare of its VMs.
+	MaxDraining   int
+	DrainingShare float64
+	// SwitchOffShare is the fraction of a pool's surplus that is switched off in one step.
 	SwitchOffShare float64
 }
 
-// DefaultSizing was measured on the users' standard days: a VM-second costs
-// little against late jobs, and a move costs about one VM-second, so that a VM
-// which nothing needs for 1.5 s (six steps) is better off. The shares
-// let a pool of 200 VMs follow a change of demand as fast as one of 20.
+// DefaultSizing favors jobs finishing in time over VM time. The fractions let large pools follow a
+// change of demand as fast as small ones.
 var DefaultSizing = SizingPolicy{
-	Headroom: 0.15, Reserve: 1, KeepSteps: 6, MaxLeaving: 6, LeavingShare: 0.3, SwitchOffShare: 0.3,
+	Headroom: 0.15, Reserve: 1, KeepSteps: 6, MaxDraining: 6, DrainingShare: 0.3, SwitchOffShare: 0.3,
 }
 
-// fullUse is the part of a pool's processors in use from which an owner at its own
-// limit counts as filling the VMs it has. A pool that was held to the VMs it had sank
-// from 58 to 36 while a wave took some of them.
-const fullUse = 0.85
+// fullUtilization is the fraction of used CPU from which a pool counts as using all its VMs. Below
+// it, an owner at its own throughput limit would not use more VMs.
+const fullUtilization = 0.85
 
-// mayLeave is how many VMs of a pool may be emptied for a move at the same time.
-func (p SizingPolicy) mayLeave(supply int) int {
-	return max(p.MaxLeaving, int(p.LeavingShare*float64(supply)))
+// maxDraining returns how many VMs of a pool may be drained for moves at the same time.
+func (p SizingPolicy) maxDraining(supply int) int {
+	return max(p.MaxDraining, int(p.DrainingShare*float64(supply)))
 }
 
-// PoolState is what sizing knows of one pool.
+// PoolState is the input of sizing for one pool.
 type PoolState struct {
-	Name   string
-	Spare  bool
-	Load   shard.Load // zero for the spare pool
-	Supply int        // VMs that are in the pool or on their way into it
-	Idle   []string   // VMs that may leave at once, best first
-	Surely int        // steps in a row in which VMs were left over
+	Name         string
+	Spare        bool       // its VMs are switched off
+	Load         shard.Load // zero for the spare pool
+	Supply       int        // VMs in the pool or on their way to it
+	Movable      []string   // VMs that may leave now, best first
+	SurplusSteps int        // consecutive steps with surplus VMs
 }
 
-// Move is a VM's change of pool.
+// Move moves a VM to another pool.
 type Move struct {
-	VM   string
-	From string
-	To   string
-	Why  string
+	VM     string
+	From   string
+	To     string
+	Reason string
 }
 
-// Want is how many VMs a pool should have.
-func (p SizingPolicy) Want(l shard.Load) int {
+// TargetSize returns the number of VMs that a pool should have.
+func (p SizingPolicy) TargetSize(l shard.Load) int {
 	if l.VMCapacity.CPU == 0 {
 		return l.Floor
 	}
-	// Tasks wait only once there are too few VMs; the flow of jobs tells sooner.
-	need := max(share(l.Used, l.Waiting, l.VMCapacity), share(l.Arriving, platform.Resources{}, l.VMCapacity))
+	// The arrival rate rises before tasks begin to wait.
+	need := max(demandInVMs(l.Used, l.Waiting, l.VMCapacity), demandInVMs(l.Arriving, platform.Resources{}, l.VMCapacity))
 	want := int(math.Ceil(need*(1+p.Headroom))) + p.Reserve
-	if l.AtLimit && l.Used.CPU < int(fullUse*float64(l.Capacity.CPU)) {
-		want = min(want, l.Workers) // its owner does not fill those it has
+	if l.AtLimit && l.Used.CPU < int(fullUtilization*float64(l.Capacity.CPU)) {
+		want = min(want, l.Workers) // its owner could not use more VMs
 	}
 	return max(want, l.Floor)
 }
 
-// share is the demand in VMs, by the resource that binds.
-func share(used, waiting, one platform.Resources) float64 {
+// demandInVMs returns the demand in VMs, by the scarcest resource.
+func demandInVMs(used, waiting, one platform.Resources) float64 {
 	part := func(u, w, c int) float64 {
 		if c == 0 {
 			return 0
@@ -84,20 +82,20 @@
 	return max(part(used.CPU, waiting.CPU, one.CPU), part(used.MemoryMB, waiting.MemoryMB, one.MemoryMB), part(used.GPU, waiting.GPU, one.GPU))
 }
 
-// PlanMoves returns the moves that bring pools nearer to what they should have:
-// to those that lack most, from the spare pool first and then from pools with
-// VMs left over; VMs that no pool needs go to the spare pool after a while.
+// PlanMoves returns the moves that bring pools closer to their target sizes. Pools with the
+// largest deficit come first; they get VMs from the spare pool, then from pools with a surplus. If
+// no pool is short, a lasting surplus moves to the spare pool.
 func (p SizingPolicy) PlanMoves(pools []*PoolState) (moves []Move) {
-	pl := plan{surplus: map[string]int{}}
+	pl := movePlan{surplus: map[string]int{}}
 	var short []*PoolState
 	spare := ""
 	for _, s := range pools {
 		if s.Spare {
 			spare = s.Name
-			pl.surplus[s.Name] = len(s.Idle)
+			pl.surplus[s.Name] = len(s.Movable)
 			continue
 		}
-		pl.surplus[s.Name] = s.Supply - p.Want(s.Load)
+		pl.surplus[s.Name] = s.Supply - p.TargetSize(s.Load)
 		if pl.surplus[s.Name] < 0 {
 			short = append(short, s)
 		}
@@ -107,50 +105,51 @@
 		return pl.moves
 	}
 	for _, s := range pools {
-		if s.Spare || s.Surely < p.KeepSteps {
+		if s.Spare || s.SurplusSteps < p.KeepSteps {
 			continue
 		}
 		for range int(math.Ceil(p.SwitchOffShare * float64(pl.surplus[s.Name]))) {
-			pl.take(s, spare, "the pool has had more than its demand for a while")
+			pl.addMove(s, spare, "the pool's surplus has lasted")
 		}
 	}
 	return pl.moves
 }
 
-// plan is the moves found so far.
-type plan struct {
+// movePlan accumulates moves.
+type movePlan struct {
 	moves   []Move
-	surplus map[string]int // VMs beyond what a pool should have after the moves, by pool
+	surplus map[string]int // by pool: VMs above the target size after the planned moves
 }
 
-// fill plans moves to the pools that are short, those that lack most first.
-func (pl *plan) fill(short, pools []*PoolState) {
+// fill plans moves to the pools that are short, largest deficit first.
+func (pl *movePlan) fill(short, pools []*PoolState) {
 	slices.SortStableFunc(short, func(a, b *PoolState) int { return cmp.Compare(pl.surplus[a.Name], pl.surplus[b.Name]) })
 	donors := slices.Clone(pools)
 	for _, s := range short {
 		slices.SortStableFunc(donors, func(a, b *PoolState) int {
-			return cmp.Or(cmp.Compare(notSpare(a), notSpare(b)), cmp.Compare(pl.surplus[b.Name], pl.surplus[a.Name]))
+			return cmp.Or(cmp.Compare(spareRank(a), spareRank(b)), cmp.Compare(pl.surplus[b.Name], pl.surplus[a.Name]))
 		})
 		for _, d := range donors {
-			for pl.surplus[s.Name] < 0 && d != s && pl.take(d, s.Name, "demand is above what the pool has") {
+			for pl.surplus[s.Name] < 0 && d != s && pl.addMove(d, s.Name, "the pool is below its target size") {
 				pl.surplus[s.Name]++
 			}
 		}
 	}
 }
 
-// take plans the move of a pool's best idle VM, if the pool can spare one.
-func (pl *plan) take(from *PoolState, to, why string) bool {
-	if pl.surplus[from.Name] <= 0 || len(from.Idle) == 0 {
+// addMove plans the move of a pool's best movable VM, if the pool has a surplus.
+func (pl *movePlan) addMove(from *PoolState, to, reason string) bool {
+	if pl.surplus[from.Name] <= 0 || len(from.Movable) == 0 {
 		return false
 	}
-	pl.moves = append(pl.moves, Move{VM: from.Idle[0], From: from.Name, To: to, Why: why})
-	from.Idle = from.Idle[1:]
+	pl.moves = append(pl.moves, Move{VM: from.Movable[0], From: from.Name, To: to, Reason: reason})
+	from.Movable = from.Movable[1:]
 	pl.surplus[from.Name]--
 	return true
 }
 
-func notSpare(s *PoolState) int {
+// spareRank orders the spare pool first.
+func spareRank(s *PoolState) int {
 	if s.Spare {
 		return 0
 	}
--- a/pkg/fleetops/storeclock.go
+++ b/pkg/fleetops/storeclock.go
@@ -2,26 +2,24 @@
 
 import "time"
 
-// storeClock is what this entry knows of the table service's steady clock: the
-// time in an answer lies between the call's sending and the answer's arrival.
-type storeClock struct {
+// tableClock estimates the table service's monotonic clock from one answer: the time in the answer
+// lies between sending the request and receiving the answer.
+type tableClock struct {
 	read     time.Duration // the service's time in the answer
-	sent     time.Duration // on our clock
-	received time.Duration // on our clock
+	sent     time.Duration // on the local clock
+	received time.Duration // on the local clock
 }
 
-// latest is the greatest time that the service's clock may show at a moment of ours.
-func (c storeClock) latest(now time.Duration) time.Duration { return c.read + now - c.sent }
+// latest returns the upper bound of the service's clock at a local time.
+func (c tableClock) latest(now time.Duration) time.Duration { return c.read + now - c.sent }
 
-// earliest is the least time that it may show.
-func (c storeClock) earliest(now time.Duration) time.Duration { return c.read + now - c.received }
+// earliest returns the lower bound of the service's clock at a local time.
+func (c tableClock) earliest(now time.Duration) time.Duration { return c.read + now - c.received }
 
-// fresh tells whether the bounds are near enough to each other and young enough
-// for two clocks not to have drifted apart.
-func (c storeClock) fresh(now time.Duration) bool {
-	return c.received > 0 && now-c.received < clockFresh && c.received-c.sent < orderWindow/2
+// fresh reports whether the bounds are close together and recent enough to ignore clock drift.
+func (c tableClock) fresh(now time.Duration) bool {
+	return c.received > 0 && now-c.received < maxClockAge && c.received-c.sent < orderWindow/2
 }
 
-// clockFresh is for how long the service's clock is computed from one answer:
-// clocks that differ by 100 parts in a million part by a millisecond in that time.
-const clockFresh = 10 * time.Second
+// maxClockAge limits the drift between the clocks: at 100 ppm it is 1 ms.
+const maxClockAge = 10 * time.Second
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -8,36 +8,37 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// maxShare is the part of a pool that may be emptied or down for a wave at
-// once; a pool that loses more has no room for the tasks that move.
-const maxShare = 0.3
+// maxPoolShare is the fraction of a pool that waves may drain or take down at once, so that the
+// rest has room for the tasks that move.
+const maxPoolShare = 0.3
 
-// minAtOnce is how many VMs of a small pool may be emptied or down at once all the same.
-const minAtOnce = 2
+// minConcurrent is the number of VMs of a small pool that may be drained or down at once
+// regardless of maxPoolShare.
+const minConcurrent = 2
 
-// listLag is how far the list of VMs may lag behind, with room to spare.
-const listLag = 1500 * time.Millisecond
+// maxListLag is how far the VM list may lag behind.
+const maxListLag = 1500 * time.Millisecond
 
-// roundTime is about how long a VM with work takes to be emptied and maintained.
-const roundTime = 5 * time.Second
+// maintenanceRound is about how long draining and maintaining a busy VM takes.
+const maintenanceRound = 5 * time.Second
 
 // Wave is a request to maintain VMs.
 type Wave struct {
 	ID      int
 	VMs     []string
-	Within  time.Duration // from the request
+	Within  time.Duration // time allowed, from the request on
 	MaxDown int           // VMs of the wave that may be down at once
 }
 
-// Phase is how far the maintenance of one VM has come.
+// Phase is the state of one VM's maintenance.
 type Phase string
 
 // The phases of a VM's maintenance.
 const (
 	PhaseWaiting  Phase = "waiting"
-	PhaseEmptying Phase = "emptying" // its shard's owner moves its tasks away
-	PhaseOrdered  Phase = "ordered"  // down, or the order got no answer
-	PhaseDone     Phase = "done"     // another boot is up
+	PhaseDraining Phase = "emptying" // its shard's owner moves its tasks away
+	PhaseOrdered  Phase = "ordered"  // down, or the order was not answered
+	PhaseDone     Phase = "done"     // up again after its maintenance
 	PhaseGone     Phase = "gone"     // the VM no longer exists
 )
 
@@ -45,101 +46,99 @@
 type VM struct {
 	Name   string
 	Phase  Phase
-	Worker string // ID of the worker that was to end, while it is ordered
+	Worker string // ID of the worker before maintenance, set once ordered
 
-	confirmedAt time.Duration // when the VM service took the order, 0 before
+	confirmedAt time.Duration // when the VM service accepted the order, 0 before
 }
 
-// back tells whether the VM has come up again since its maintenance was ordered.
-// A VM that is switched off has no worker by which to see it, and the next boot may
-// have the ID of the last one: it is back when the order was taken and the maintenance
-// must be over.
-func (v *VM) back(m platform.Machine, now, takes time.Duration) bool {
+// returned reports whether the VM is up again after its maintenance. A switched-off VM shows no
+// new worker ID, so it counts as returned once the maintenance must be over.
+func (v *VM) returned(m platform.Machine, now, takes time.Duration) bool {
 	if m.State != platform.MachineUp {
 		return false
 	}
 	if m.Worker != v.Worker {
 		return true
 	}
-	return v.confirmedAt > 0 && now-v.confirmedAt > takes+listLag
+	return v.confirmedAt > 0 && now-v.confirmedAt > takes+maxListLag
 }
 
-// presses tells whether VMs with work have to be emptied for the wave to end in
-// time: half of it is over, or what is left takes about as long as there is.
-func (w *Wave) presses(vms int, since time.Duration) bool {
+// urgent reports whether busy VMs have to be drained for the wave to end in time: half of its time
+// is over, or the rest is needed for the remaining rounds.
+func (w *Wave) urgent(vms int, since time.Duration) bool {
 	rounds := (vms + max(w.MaxDown, 1) - 1) / max(w.MaxDown, 1)
-	needs := time.Duration(rounds) * roundTime
+	needs := time.Duration(rounds) * maintenanceRound
 	return since >= w.Within/2 || since+2*needs >= w.Within
 }
 
-// closing tells whether a VM that is moved now would be maintained too late.
-func (w *Wave) closing(since time.Duration) bool { return since+roundTime >= w.Within }
+// closing reports whether a VM that is moved now would be maintained after the deadline.
+func (w *Wave) closing(since time.Duration) bool { return since+maintenanceRound >= w.Within }
 
-// The weights of VMs, by how much their maintenance disturbs.
+// How much the maintenance of a VM disrupts running tasks.
 const (
-	weightOff = iota
-	weightLight
-	weightBusy
+	disruptionNone = iota
+	disruptionLow
+	disruptionHigh
 )
 
-func weight(m platform.Machine, spare string, light map[string]bool) int {
+func disruption(m platform.Machine, spare string, light map[string]bool) int {
 	switch {
 	case m.Pool == spare:
-		return weightOff
+		return disruptionNone
 	case light[m.VM]:
-		return weightLight
+		return disruptionLow
 	default:
-		return weightBusy
+		return disruptionHigh
 	}
 }
 
-// View is what the next VMs of a wave are chosen by.
+// View is the fleet state by which SelectVMs chooses.
 type View struct {
-	Machines map[string]platform.Machine // by name
-	Spare    string                      // pool of VMs that are switched off
-	Light    map[string]bool             // VMs with little work
-	Tight    map[string]bool             // VMs that take longest to empty
-	Recent   map[string]bool             // VMs that a former holder may have ordered down a moment ago
-	Former   map[string]bool             // VMs that a former holder ordered last, some of which are done and not known to be
-	Since    time.Duration               // since the wave was requested
+	Machines        map[string]platform.Machine // by name
+	Spare           string                      // pool of switched-off VMs
+	Light           map[string]bool             // VMs with little work
+	SlowToDrain     map[string]bool             // VMs that take longest to drain
+	RecentlyOrdered map[string]bool             // VMs that a former holder may have ordered down very recently
+	OrderedByFormer map[string]bool             // VMs that a former holder ordered last and that may be done
+	Since           time.Duration               // time since the wave was requested
 }
 
-// tally counts VMs for the limits on a wave.
-type tally struct {
-	busy   int            // VMs of the wave that are being emptied or are down
-	inPool map[string]int // those of them in each pool
-	tight  map[string]int // those of these that take longest to empty
-	left   map[string]int // VMs of the wave that wait, by pool
-	size   map[string]int // all VMs of each pool
+// waveCounts counts VMs for the limits on a wave.
+type waveCounts struct {
+	active       int            // VMs of the wave that are being drained or down
+	activeInPool map[string]int // the same by pool
+	slowDrains   map[string]int // VMs being drained that take longest, by pool
+	waiting      map[string]int // VMs of the wave that wait, by pool
+	poolSize     map[string]int // all VMs, by pool
 }
 
-func tallyOf(vms []*VM, view View) tally {
-	t := tally{inPool: map[string]int{}, tight: map[string]int{}, left: map[string]int{}, size: map[string]int{}}
+func countVMs(vms []*VM, view View) waveCounts {
+	t := waveCounts{activeInPool: map[string]int{}, slowDrains: map[string]int{}, waiting: map[string]int{}, poolSize: map[string]int{}}
 	for _, m := range view.Machines {
-		t.size[m.Pool]++
+		t.poolSize[m.Pool]++
 	}
 	for _, v := range vms {
 		m := view.Machines[v.Name]
 		switch v.Phase {
-		case PhaseEmptying, PhaseOrdered:
-			t.busy++
-			t.inPool[m.Pool]++
-			if v.Phase == PhaseEmptying && view.Tight[v.Name] {
-				t.tight[m.Pool]++
+		case PhaseDraining, PhaseOrdered:
+			t.active++
+			t.activeInPool[m.Pool]++
+			if v.Phase == PhaseDraining && view.SlowToDrain[v.Name] {
+				t.slowDrains[m.Pool]++
 			}
 		case PhaseWaiting:
-			t.left[m.Pool]++
-			if m.State == platform.MachineMaintenance || view.Recent[v.Name] {
-				t.busy++ // by an order of a former holder
-				t.inPool[m.Pool]++
+			t.waiting[m.Pool]++
+			if m.State == platform.MachineMaintenance || view.RecentlyOrdered[v.Name] {
+				t.active++ // ordered by a former holder
+				t.activeInPool[m.Pool]++
 			}
 		}
 	}
 	return t
 }
 
-// last puts those for which it holds behind the others.
-func last(a, b bool) int {
+// compareLast orders false before true.
+func compareLast(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -150,42 +149,41 @@
 	}
 }
 
-// Next returns the VMs to empty next, so that neither the wave's limit nor the
-// share of a pool is exceeded: first those that are switched off, then those
-// with little work, and the others once the time since the request presses. In a
-// deployment whose VMs move with demand most are without work at some moment. One in each
-// pool that takes longest to empty is begun with at once, since it may take a whole wave.
-func Next(w Wave, vms []*VM, view View) (next []*VM) {
+// SelectVMs returns the VMs of a wave to drain next, within the wave's limit and the share of each
+// pool. Switched-off VMs go first, then VMs with little work, and busy VMs only when the wave is
+// urgent. One VM per pool among those that take longest to drain starts right away, since it may
+// need the whole wave.
+func SelectVMs(w Wave, vms []*VM, view View) (next []*VM) {
 	machines, spare, light := view.Machines, view.Spare, view.Light
-	t := tallyOf(vms, view)
-	pressing := w.presses(len(vms), view.Since)
+	t := countVMs(vms, view)
+	isUrgent := w.urgent(len(vms), view.Since)
 	waiting := slices.DeleteFunc(slices.Clone(vms), func(v *VM) bool { return v.Phase != PhaseWaiting })
 	slices.SortStableFunc(waiting, func(a, b *VM) int {
 		return cmp.Or(
-			cmp.Compare(weight(machines[a.Name], spare, light), weight(machines[b.Name], spare, light)),
-			last(view.Former[a.Name], view.Former[b.Name]),
-			last(!view.Tight[a.Name], !view.Tight[b.Name]),
-			cmp.Compare(t.left[machines[b.Name].Pool], t.left[machines[a.Name].Pool]),
+			cmp.Compare(disruption(machines[a.Name], spare, light), disruption(machines[b.Name], spare, light)),
+			compareLast(view.OrderedByFormer[a.Name], view.OrderedByFormer[b.Name]),
+			compareLast(!view.SlowToDrain[a.Name], !view.SlowToDrain[b.Name]),
+			cmp.Compare(t.waiting[machines[b.Name].Pool], t.waiting[machines[a.Name].Pool]),
 		)
 	})
 	for _, v := range waiting {
 		m, ok := machines[v.Name]
-		if t.busy >= w.MaxDown {
+		if t.active >= w.MaxDown {
 			break
 		}
-		if !ok || m.State != platform.MachineUp || view.Recent[v.Name] {
+		if !ok || m.State != platform.MachineUp || view.RecentlyOrdered[v.Name] {
 			continue
 		}
-		if !pressing && weight(m, spare, light) == weightBusy && (!view.Tight[v.Name] || t.tight[m.Pool] > 0) {
+		if !isUrgent && disruption(m, spare, light) == disruptionHigh && (!view.SlowToDrain[v.Name] || t.slowDrains[m.Pool] > 0) {
 			continue
 		}
-		if m.Pool != spare && t.inPool[m.Pool] >= max(minAtOnce, int(maxShare*float64(t.size[m.Pool]))) {
+		if m.Pool != spare && t.activeInPool[m.Pool] >= max(minConcurrent, int(maxPoolShare*float64(t.poolSize[m.Pool]))) {
 			continue
 		}
-		t.busy++
-		t.inPool[m.Pool]++
-		if view.Tight[v.Name] {
-			t.tight[m.Pool]++
+		t.active++
+		t.activeInPool[m.Pool]++
+		if view.SlowToDrain[v.Name] {
+			t.slowDrains[m.Pool]++
 		}
 		next = append(next, v)
 	}
--- a/pkg/fleetops/wave_test.go
+++ b/pkg/fleetops/wave_test.go
@@ -12,13 +12,11 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// TestWaveBeforeMove has a VM become idle for which a wave has a place, in a pool that has more
-// VMs than it wants: it is maintained, not moved. Idle at 23.5 s and moved twice, one was maintained
-// at 28.5 s by a wave that was due at 26.7 s.
+// A VM that becomes idle is maintained for a waiting wave rather than moved to another pool.
 func TestWaveBeforeMove(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 2}}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 2}}
 		for _, vm := range []string{"v1", "v2"} {
 			s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Pool: "a", State: platform.MachineUp, Worker: vm})
 		}
@@ -26,7 +24,7 @@
 		r := s.open(c, "e", time.Now())
 		defer r.Close()
 		time.Sleep(time.Second)
-		c.Assert(s.vms.of("e"), qt.HasLen, 0, qt.Commentf("a busy VM was ordered"))
+		c.Assert(s.vms.firstOrders("e"), qt.HasLen, 0, qt.Commentf("a busy VM was ordered"))
 		s.setNeed("a", 0)
 		s.setNeed("b", 5)
 		time.Sleep(time.Second)
@@ -37,14 +35,13 @@
 	})
 }
 
-// TestMaintainedByFormer has a VM down for a wave by the order of a holder that goes before it has kept
-// anything of it: the next holder sees it down, and does not have it maintained again. One that is
-// down for another cause is maintained once it is up.
+// A VM that is down by a former holder's order is not maintained again, even if that holder stored
+// no progress. A VM that is down for another reason is maintained once it is up.
 func TestMaintainedByFormer(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
-			s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{}}
+			s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{}}
 			for vm, pool := range map[string]string{"v1": "off", "v2": "a", "v3": "b"} { // neither pool wants more
 				s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Pool: pool, State: platform.MachineUp, Worker: vm})
 			}
@@ -55,7 +52,7 @@
 				s.waves = []Wave{{ID: 1, VMs: []string{"v1"}, Within: 20 * time.Second, MaxDown: 1}}
 				s.mu.Unlock()
 				time.Sleep(300 * time.Millisecond)
-				c.Assert(s.vms.of("first"), qt.HasLen, 1)
+				c.Assert(s.vms.firstOrders("first"), qt.HasLen, 1)
 			}
 			first.Close()
 			s.vms.mu.Lock()
@@ -76,7 +73,7 @@
 			if announced {
 				want = 0
 			}
-			c.Check(s.vms.of("second"), qt.HasLen, want)
+			c.Check(s.vms.firstOrders("second"), qt.HasLen, want)
 		})
 	}
 }
--- a/pkg/fleetops/zone_test.go
+++ b/pkg/fleetops/zone_test.go
@@ -11,12 +11,12 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// TestZoneOutOfUse takes a zone out of use: its pool gets VMs of other zones at once, none of the
-// zone's VMs is moved, and a wave goes on there.
+// When a zone is out of use, its pools get VMs of other zones, its VMs are not moved, and waves
+// still maintain them.
 func TestZoneOutOfUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := &site{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 2}, out: "north"}
+		s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{"a": 2}, evacuatedZone: "north"}
 		for vm, zone := range map[string]string{"v1": "north", "v2": "south"} {
 			s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Zone: zone, Pool: "a", State: platform.MachineUp, Worker: vm})
 		}
@@ -26,7 +26,7 @@
 		s.waves = []Wave{{ID: 1, VMs: []string{"v4"}, Within: time.Minute, MaxDown: 1}}
 		r := s.open(c, "e", time.Now())
 		time.Sleep(2 * time.Second)
-		ordered := s.vms.of("e")
+		ordered := s.vms.firstOrders("e")
 		for _, vm := range []string{"v5", "v6", "v7"} {
 			c.Check(ordered[vm].IsZero(), qt.IsFalse, qt.Commentf("%s was not moved", vm))
 		}
