--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -16,8 +16,8 @@
 	Shares map[string]float64 `msgpack:"a"`
 }
 
-// Use is what a shard says of an account, in parts of the account's limit.
-type Use struct {
+// Usage is what a shard says of an account, in parts of the account's limit.
+type Usage struct {
 	Account string  `msgpack:"n"`
 	Running float64 `msgpack:"r"` // what runs or may run
 	Wanted  float64 `msgpack:"w"` // that, and what waits
@@ -31,5 +31,5 @@
 	Seq      int64 `msgpack:"s"` // of the last grant of that term that is kept
 	Bound    bool  `msgpack:"b"`
 	Full     bool  `msgpack:"f"` // all accounts are there, not only those with work
-	Accounts []Use `msgpack:"a"`
+	Accounts []Usage `msgpack:"a"`
 }
--- a/pkg/allowance/divide.go
+++ b/pkg/allowance/divide.go
@@ -10,7 +10,7 @@
 // so that what comes next waits for nobody. Otherwise those that want little get it, and
 // the others as much as each other; what runs is left to run. Parts that are too small
 // for a start are put together for the shard that has least running.
-func Divide(uses []Use) []float64 {
+func Divide(uses []Usage) []float64 {
 	n := float64(len(uses))
 	wanted := 0.0
 	for i := range uses {
@@ -28,11 +28,11 @@
 	return shares
 }
 
-func (u *Use) want() float64 { return max(u.Running, u.Wanted) }
+func (u *Usage) want() float64 { return max(u.Running, u.Wanted) }
 
 // level fills shares up to one level, each to what is wanted at the most and to what
 // runs at the least.
-func level(uses []Use, shares []float64) {
+func level(uses []Usage, shares []float64) {
 	low, high := 0.0, 1.0
 	const rounds = 40 // halves of the whole limit, down to less than a thousandth of a core
 	for range rounds {
@@ -47,7 +47,7 @@
 }
 
 // fill sets the shares of a level and returns their sum.
-func fill(uses []Use, shares []float64, at float64) (sum float64) {
+func fill(uses []Usage, shares []float64, at float64) (sum float64) {
 	for i := range uses {
 		shares[i] = max(uses[i].Running, min(uses[i].want(), at))
 		sum += shares[i]
@@ -57,7 +57,7 @@
 
 // gatherParts takes what is too small for a start from the shards and gives it to those
 // for which it is enough together.
-func gatherParts(uses []Use, shares []float64) {
+func gatherParts(uses []Usage, shares []float64) {
 	left := 1.0
 	var short []int
 	for i := range uses {
--- a/pkg/allowance/divide_test.go
+++ b/pkg/allowance/divide_test.go
@@ -14,7 +14,7 @@
 // least step, and the shares that come of it.
 func TestDivide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/divide", func(t *testing.T, d *datadriven.TestData) string {
-		var uses []Use
+		var uses []Usage
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 			var v [3]float64
 			for i, f := range strings.Fields(line) {
@@ -24,7 +24,7 @@
 				}
 				v[i] = x
 			}
-			uses = append(uses, Use{Running: v[0], Wanted: v[1], Step: v[2]})
+			uses = append(uses, Usage{Running: v[0], Wanted: v[1], Step: v[2]})
 		}
 		var out strings.Builder
 		for _, share := range Divide(uses) {
@@ -39,10 +39,10 @@
 // it could have while another has more than it wants.
 func TestDivideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var uses []Use
+		var uses []Usage
 		running := 0.0
 		for range rapid.IntRange(1, 8).Draw(t, "shards") {
-			u := Use{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
+			u := Usage{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
 			if rapid.Bool().Draw(t, "waits") {
 				u.Step = rapid.Float64Range(0.0001, 0.5).Draw(t, "step")
 				u.Wanted = u.Running + u.Step*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -30,7 +30,7 @@
 	taken int64 // of the last grant that the shard has reported as kept
 	known bool  // the shard keeps this holder's term, and has reported all accounts since
 	bound bool
-	uses  map[string]Use    // as reported last
+	uses  map[string]Usage    // as reported last
 	sent  map[string][]sent // by account, shares that are not known to be kept, oldest first
 }
 
@@ -46,7 +46,7 @@
 func (h *Holder) book(shard string) *book {
 	b := h.books[shard]
 	if b == nil {
-		b = &book{uses: map[string]Use{}, sent: map[string][]sent{}}
+		b = &book{uses: map[string]Usage{}, sent: map[string][]sent{}}
 		h.books[shard] = b
 	}
 	return b
@@ -67,7 +67,7 @@
 		return
 	}
 	for account, u := range b.uses {
-		b.uses[account] = Use{Account: account, Share: u.Share} // without work unless reported
+		b.uses[account] = Usage{Account: account, Share: u.Share} // without work unless reported
 	}
 	for _, u := range r.Accounts {
 		b.uses[u.Account] = u
@@ -179,7 +179,7 @@
 
 // planAccount divides one account's limit, as far as what is outstanding leaves room.
 func (h *Holder) planAccount(account string, shards []string, set func(shard string, share float64)) {
-	uses := make([]Use, len(shards))
+	uses := make([]Usage, len(shards))
 	held := make([]float64, len(shards))
 	free := 1.0
 	unbound := false
@@ -214,7 +214,7 @@
 
 // worthwhile tells whether shares that are held are so far from those that should be
 // that some shard may soon have to wait.
-func worthwhile(uses []Use, held, shares []float64) bool {
+func worthwhile(uses []Usage, held, shares []float64) bool {
 	for i := range uses {
 		u := &uses[i]
 		room := shares[i] - u.want()
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -38,12 +38,12 @@
 	r := o.accounts.shares.Report()
 	r.Full = full
 	besides := o.besides()
-	uses := map[string]*allowance.Use{}
-	use := func(account string) *allowance.Use {
+	uses := map[string]*allowance.Usage{}
+	use := func(account string) *allowance.Usage {
 		u := uses[account]
 		if u == nil {
 			running := placement.PartOf(o.book.Allocated(account).Add(besides[account]), o.limitOf(account))
-			u = &allowance.Use{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
+			u = &allowance.Usage{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
 			uses[account] = u
 		}
 		return u
@@ -75,7 +75,7 @@
 }
 
 // addWaiting adds n tasks that wait to what an account wants.
-func addWaiting(u *allowance.Use, st *jobs.Step, n int, limit platform.Resources) {
+func addWaiting(u *allowance.Usage, st *jobs.Step, n int, limit platform.Resources) {
 	part := func(tasks int) float64 {
 		return placement.PartOf(placement.Binding(st.Needs, limit, tasks), limit)
 	}
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -245,7 +245,7 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "holder %d, grant %d, bound %v\n", l.Accounts.Term, l.Accounts.Seq, l.Accounts.Bound)
-	slices.SortFunc(l.Accounts.Accounts, func(a, b allowance.Use) int { return strings.Compare(a.Account, b.Account) })
+	slices.SortFunc(l.Accounts.Accounts, func(a, b allowance.Usage) int { return strings.Compare(a.Account, b.Account) })
 	for _, u := range l.Accounts.Accounts {
 		fmt.Fprintf(&out, "%s: running %.2f, wanted %.2f, step %.2f, share %.2f\n", u.Account, u.Running, u.Wanted, u.Step, u.Share)
 	}
