--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -20,7 +20,7 @@
 type Usage struct {
 	Account string  `msgpack:"n"`
 	Running float64 `msgpack:"r"` // what runs or may run
-	Wanted  float64 `msgpack:"w"` // that, and what waits
+	Demand  float64 `msgpack:"w"` // that, and what waits
 	Step    float64 `msgpack:"p"` // the least by which a start would raise Running, 0 if nothing waits
 	Share   float64 `msgpack:"h"` // the higher of what is kept and what was granted
 }
--- a/pkg/allowance/divide.go
+++ b/pkg/allowance/divide.go
@@ -28,7 +28,7 @@
 	return shares
 }
 
-func (u *Usage) want() float64 { return max(u.Running, u.Wanted) }
+func (u *Usage) want() float64 { return max(u.Running, u.Demand) }
 
 // level fills shares up to one level, each to what is wanted at the most and to what
 // runs at the least.
--- a/pkg/allowance/divide_test.go
+++ b/pkg/allowance/divide_test.go
@@ -24,7 +24,7 @@
 				}
 				v[i] = x
 			}
-			uses = append(uses, Usage{Running: v[0], Wanted: v[1], Step: v[2]})
+			uses = append(uses, Usage{Running: v[0], Demand: v[1], Step: v[2]})
 		}
 		var out strings.Builder
 		for _, share := range Divide(uses) {
@@ -45,7 +45,7 @@
 			u := Usage{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
 			if rapid.Bool().Draw(t, "waits") {
 				u.Step = rapid.Float64Range(0.0001, 0.5).Draw(t, "step")
-				u.Wanted = u.Running + u.Step*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
+				u.Demand = u.Running + u.Step*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
 			}
 			running += u.Running
 			uses = append(uses, u)
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -43,7 +43,7 @@
 		u := uses[account]
 		if u == nil {
 			running := placement.PartOf(o.book.Allocated(account).Add(besides[account]), o.limitOf(account))
-			u = &allowance.Usage{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
+			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.Outstanding(account)}
 			uses[account] = u
 		}
 		return u
@@ -79,7 +79,7 @@
 	part := func(tasks int) float64 {
 		return placement.PartOf(placement.Binding(st.Needs, limit, tasks), limit)
 	}
-	u.Wanted += float64(n) * part(1)
+	u.Demand += float64(n) * part(1)
 	step := part(1)
 	if st.Gang {
 		step = part(n)
