--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -21,7 +21,7 @@
 	Account string  `msgpack:"n"`
 	Running float64 `msgpack:"r"` // what runs or may run
 	Demand  float64 `msgpack:"w"` // that, and what waits
-	Step    float64 `msgpack:"p"` // the least by which a start would raise Running, 0 if nothing waits
+	MinStart    float64 `msgpack:"p"` // the least by which a start would raise Running, 0 if nothing waits
 	Share   float64 `msgpack:"h"` // the higher of what is kept and what was granted
 }
 
--- a/pkg/allowance/divide.go
+++ b/pkg/allowance/divide.go
@@ -61,7 +61,7 @@
 	left := 1.0
 	var short []int
 	for i := range uses {
-		if u := &uses[i]; u.Step > 0 && shares[i] < u.Running+u.Step {
+		if u := &uses[i]; u.MinStart > 0 && shares[i] < u.Running+u.MinStart {
 			shares[i] = u.Running
 			short = append(short, i)
 		}
@@ -69,7 +69,7 @@
 	}
 	slices.SortStableFunc(short, func(a, b int) int { return cmp.Compare(uses[a].Running, uses[b].Running) })
 	for _, i := range short {
-		if step := uses[i].Step; step <= left {
+		if step := uses[i].MinStart; step <= left {
 			shares[i] += step
 			left -= step
 		}
--- a/pkg/allowance/divide_test.go
+++ b/pkg/allowance/divide_test.go
@@ -24,7 +24,7 @@
 				}
 				v[i] = x
 			}
-			uses = append(uses, Usage{Running: v[0], Demand: v[1], Step: v[2]})
+			uses = append(uses, Usage{Running: v[0], Demand: v[1], MinStart: v[2]})
 		}
 		var out strings.Builder
 		for _, share := range Divide(uses) {
@@ -44,8 +44,8 @@
 		for range rapid.IntRange(1, 8).Draw(t, "shards") {
 			u := Usage{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
 			if rapid.Bool().Draw(t, "waits") {
-				u.Step = rapid.Float64Range(0.0001, 0.5).Draw(t, "step")
-				u.Demand = u.Running + u.Step*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
+				u.MinStart = rapid.Float64Range(0.0001, 0.5).Draw(t, "step")
+				u.Demand = u.Running + u.MinStart*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
 			}
 			running += u.Running
 			uses = append(uses, u)
@@ -58,8 +58,8 @@
 				t.Fatalf("shard %d gets %f, and %f runs there", i, share, u.Running)
 			}
 			spare = max(spare, share-u.want())
-			if u.Step > 0 && share < u.Running+u.Step-rounding {
-				short = max(short, 1/u.Step)
+			if u.MinStart > 0 && share < u.Running+u.MinStart-rounding {
+				short = max(short, 1/u.MinStart)
 			}
 		}
 		if sum > max(1, running)+rounding {
--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -219,7 +219,7 @@
 		u := &uses[i]
 		room := shares[i] - u.want()
 		switch {
-		case u.Step > 0 && held[i] < u.Running+u.Step && shares[i] >= u.Running+u.Step:
+		case u.MinStart > 0 && held[i] < u.Running+u.MinStart && shares[i] >= u.Running+u.MinStart:
 			return true
 		case room > 0 && held[i]-u.want() < leastRoom*room:
 			return true
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -188,7 +188,7 @@
 	if m.f.runningHidden {
 		running = min(running, share)
 	}
-	r.Accounts = []Usage{{Account: "a", Running: running, Demand: wanted, Step: tenth, Share: share}}
+	r.Accounts = []Usage{{Account: "a", Running: running, Demand: wanted, MinStart: tenth, Share: share}}
 	m.reports = append(m.reports, mail[Report]{pool: pool, holder: holder, what: r})
 }
 
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -84,7 +84,7 @@
 	if st.Gang {
 		step = part(n)
 	}
-	if u.Step == 0 || step < u.Step {
-		u.Step = step
+	if u.MinStart == 0 || step < u.MinStart {
+		u.MinStart = step
 	}
 }
