--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -12,7 +12,7 @@
 type Row struct {
 	Term   int64              `msgpack:"t"`
 	Seq    int64              `msgpack:"s"`
-	Bound  bool               `msgpack:"b"` // a holder has granted shares; before, no limit binds
+	Enforced  bool               `msgpack:"b"` // a holder has granted shares; before, no limit binds
 	Shares map[string]float64 `msgpack:"a"`
 }
 
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -24,7 +24,7 @@
 	if len(g.Shares) == 0 {
 		return claims
 	}
-	s.next.Bound = true
+	s.next.Enforced = true
 	s.next.Shares = maps.Clone(s.next.Shares)
 	if s.next.Shares == nil {
 		s.next.Shares = map[string]float64{}
@@ -40,7 +40,7 @@
 func (s *Shard) Keep(r Row) { s.kept = r }
 
 // Bound tells whether limits bind here: some holder has granted shares.
-func (s *Shard) Bound() bool { return s.next.Bound }
+func (s *Shard) Bound() bool { return s.next.Enforced }
 
 // Share is the part of an account's limit that may run here. One that was raised is
 // used before it is kept: whoever follows counts what runs, and the holder the higher
@@ -61,5 +61,5 @@
 
 // Report is what the holder is told, but for the accounts.
 func (s *Shard) Report() Report {
-	return Report{Term: s.kept.Term, Seq: s.kept.Seq, Bound: s.next.Bound}
+	return Report{Term: s.kept.Term, Seq: s.kept.Seq, Bound: s.next.Enforced}
 }
