--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -29,7 +29,7 @@
 type Report struct {
 	Term     int64 `msgpack:"t"` // of the holder that is kept
 	Seq      int64 `msgpack:"s"` // of the last grant of that term that is kept
-	Bound    bool  `msgpack:"b"`
+	Enforced    bool  `msgpack:"b"`
 	Full     bool  `msgpack:"f"` // all accounts are there, not only those with work
 	Accounts []Usage `msgpack:"a"`
 }
--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -58,7 +58,7 @@
 	if r.Term != h.term || r.Seq < b.taken {
 		return // it does not know this holder yet, or speaks of what has passed
 	}
-	b.taken, b.bound = r.Seq, r.Bound
+	b.taken, b.bound = r.Seq, r.Enforced
 	if r.Full {
 		b.known = true
 		clear(b.uses)
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -61,5 +61,5 @@
 
 // Report is what the holder is told, but for the accounts.
 func (s *Shard) Report() Report {
-	return Report{Term: s.kept.Term, Seq: s.kept.Seq, Bound: s.next.Enforced}
+	return Report{Term: s.kept.Term, Seq: s.kept.Seq, Enforced: s.next.Enforced}
 }
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -244,7 +244,7 @@
 		return "not known\n"
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "holder %d, grant %d, bound %v\n", l.Accounts.Term, l.Accounts.Seq, l.Accounts.Bound)
+	fmt.Fprintf(&out, "holder %d, grant %d, bound %v\n", l.Accounts.Term, l.Accounts.Seq, l.Accounts.Enforced)
 	slices.SortFunc(l.Accounts.Accounts, func(a, b allowance.Usage) int { return strings.Compare(a.Account, b.Account) })
 	for _, u := range l.Accounts.Accounts {
 		fmt.Fprintf(&out, "%s: running %.2f, wanted %.2f, step %.2f, share %.2f\n", u.Account, u.Running, u.Demand, u.MinStart, u.Share)
