--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -111,7 +111,7 @@
 func (m *model) start(pool string) {
 	o := m.owners[pool]
 	share := o.shares.Share("a")
-	if !o.shares.Bound() || m.counted(o)+tenth > share+rounding {
+	if !o.shares.Enforced() || m.counted(o)+tenth > share+rounding {
 		return
 	}
 	o.seen++
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -39,8 +39,8 @@
 // Keep notes that the table service holds a row that Next has returned.
 func (s *Shard) Keep(r Row) { s.kept = r }
 
-// Bound tells whether limits bind here: some holder has granted shares.
-func (s *Shard) Bound() bool { return s.next.Enforced }
+// Enforced tells whether limits bind here: some holder has granted shares.
+func (s *Shard) Enforced() bool { return s.next.Enforced }
 
 // Share is the part of an account's limit that may run here. One that was raised is
 // used before it is kept: whoever follows counts what runs, and the holder the higher
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -21,7 +21,7 @@
 func (d *demand) startable(s *jobs.StepRun, n int) int {
 	account := s.Job.Account
 	limit := d.o.limitOf(account)
-	if limit == (platform.Resources{}) || !d.o.accounts.shares.Bound() {
+	if limit == (platform.Resources{}) || !d.o.accounts.shares.Enforced() {
 		return n
 	}
 	b := d.left[account]
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -126,7 +126,7 @@
 	}
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
-	if limit != (platform.Resources{}) && b.o.accounts.shares.Bound() {
+	if limit != (platform.Resources{}) && b.o.accounts.shares.Enforced() {
 		running := b.o.book.Allocated(account).Add(b.besides[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
