--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -14,7 +14,7 @@
 		for _, name := range names {
 			s := shards[name]
 			if g, ok := grants[name]; ok {
-				s.Take(g)
+				s.Apply(g)
 				s.Keep(s.Next())
 			}
 			r := s.Report()
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -203,7 +203,7 @@
 			}
 			return
 		}
-		o.shares.Take(g.what)
+		o.shares.Apply(g.what)
 		return
 	}
 	r := m.reports[at]
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -13,9 +13,9 @@
 	return &Shard{kept: kept, next: kept}
 }
 
-// Take takes a grant; it reports whether a row is to be kept. A share may fall below
+// Apply takes a grant; it reports whether a row is to be kept. A share may fall below
 // what runs, which goes on: the holder counts it until it has ended.
-func (s *Shard) Take(g Grant) (changed bool) {
+func (s *Shard) Apply(g Grant) (changed bool) {
 	if g.Term < s.next.Term || g.Term == s.next.Term && g.Seq <= s.next.Seq {
 		return false // of a former holder, or late
 	}
