--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -154,7 +154,7 @@
 	r := o.shares.Next()
 	r.Shares = maps.Clone(r.Shares)
 	m.kept[pool] = r
-	o.shares.Keep(r)
+	o.shares.MarkPersisted(r)
 }
 
 // poll has a holder, perhaps a former one, ask a shard.
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -36,8 +36,8 @@
 // Next is the row to be kept.
 func (s *Shard) Next() Row { return s.next }
 
-// Keep notes that the table service holds a row that Next has returned.
-func (s *Shard) Keep(r Row) { s.kept = r }
+// MarkPersisted notes that the table service holds a row that Next has returned.
+func (s *Shard) MarkPersisted(r Row) { s.kept = r }
 
 // Enforced tells whether limits bind here: some holder has granted shares.
 func (s *Shard) Enforced() bool { return s.next.Enforced }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -33,7 +33,7 @@
 		s.kick()
 	}
 	if b.shares != nil {
-		o.accounts.shares.Keep(*b.shares)
+		o.accounts.shares.MarkPersisted(*b.shares)
 	}
 	o.acknowledge(b)
 	o.failSetApart()
