--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -15,7 +15,7 @@
 			s := shards[name]
 			if g, ok := grants[name]; ok {
 				s.Apply(g)
-				s.MarkPersisted(s.Next())
+				s.MarkPersisted(s.Pending())
 			}
 			r := s.Report()
 			r.Full = true
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -151,7 +151,7 @@
 // keepRow writes an owner's row, as a transaction of the present owner does.
 func (m *model) keepRow(pool string) {
 	o := m.owners[pool]
-	r := o.shares.Next()
+	r := o.shares.Pending()
 	r.Shares = maps.Clone(r.Shares)
 	m.kept[pool] = r
 	o.shares.MarkPersisted(r)
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -33,8 +33,8 @@
 	return true
 }
 
-// Next is the row to be kept.
-func (s *Shard) Next() Row { return s.next }
+// Pending is the row to be kept.
+func (s *Shard) Pending() Row { return s.next }
 
 // MarkPersisted notes that the table service holds a row that Next has returned.
 func (s *Shard) MarkPersisted(r Row) { s.kept = r }
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -68,7 +68,7 @@
 	if !o.accounts.changed || !b.room() {
 		return nil
 	}
-	row := o.accounts.shares.Next()
+	row := o.accounts.shares.Pending()
 	raw, err := encode(row)
 	if err != nil {
 		return err
