--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -19,7 +19,7 @@
 			}
 			r := s.Report()
 			r.Full = true
-			r.Accounts = []Usage{{Account: "a", Demand: wanted[name], MinStart: wanted[name] / 2, Share: s.Outstanding("a")}}
+			r.Accounts = []Usage{{Account: "a", Demand: wanted[name], MinStart: wanted[name] / 2, Share: s.MaxShare("a")}}
 			h.Take(name, r)
 		}
 	}
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -180,7 +180,7 @@
 	if rapid.Bool().Draw(m.t, "waits") {
 		wanted += 0.8
 	}
-	share := o.shares.Outstanding("a")
+	share := o.shares.MaxShare("a")
 	if m.f.reportsLower {
 		r.Seq, share = o.shares.next.Seq, o.shares.Share("a")
 	}
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -47,8 +47,8 @@
 // of that and the share.
 func (s *Shard) Share(account string) float64 { return s.next.Shares[account] }
 
-// Outstanding is the part that the shard may turn out to hold, whoever owns it next.
-func (s *Shard) Outstanding(account string) float64 {
+// MaxShare is the part that the shard may turn out to hold, whoever owns it next.
+func (s *Shard) MaxShare(account string) float64 {
 	return max(s.kept.Shares[account], s.next.Shares[account])
 }
 
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -43,7 +43,7 @@
 		u := uses[account]
 		if u == nil {
 			running := placement.PartOf(o.book.Allocated(account).Add(besides[account]), o.limitOf(account))
-			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.Outstanding(account)}
+			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
 		return u
