--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -52,8 +52,8 @@
 	return max(s.kept.Shares[account], s.next.Shares[account])
 }
 
-// Accounts calls f for each account that has a share here.
-func (s *Shard) Accounts(f func(account string)) {
+// EachAccount calls f for each account that has a share here.
+func (s *Shard) EachAccount(f func(account string)) {
 	for account := range s.next.Shares {
 		f(account)
 	}
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -66,7 +66,7 @@
 		}
 	}
 	if full {
-		o.accounts.shares.Accounts(func(account string) { use(account) })
+		o.accounts.shares.EachAccount(func(account string) { use(account) })
 	}
 	for _, u := range uses {
 		r.Accounts = append(r.Accounts, *u)
