--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -7,7 +7,7 @@
 )
 
 // settleAll has shards take what a holder grants and report it, until it grants nothing more.
-func settleAll(h *Holder, shards map[string]*Shard, wanted map[string]float64, accounts []string) {
+func settleAll(h *Holder, shards map[string]*ShardShares, wanted map[string]float64, accounts []string) {
 	names := []string{"p0", "p1"}
 	for range 10 {
 		grants := h.Plan(names, accounts)
@@ -30,7 +30,7 @@
 func TestDeparted(t *testing.T) {
 	c := qt.New(t)
 	h := NewHolder(1)
-	shards := map[string]*Shard{"p0": NewShard(Row{}), "p1": NewShard(Row{})}
+	shards := map[string]*ShardShares{"p0": NewShard(Row{}), "p1": NewShard(Row{})}
 	settleAll(h, shards, map[string]float64{"p0": 0.9}, []string{"a"})
 	c.Assert(shards["p0"].Share("a") >= 0.9, qt.IsTrue)
 	settleAll(h, shards, map[string]float64{"p1": 0.9}, nil)
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -42,7 +42,7 @@
 
 // owner is the present owner of a shard.
 type owner struct {
-	shares   *Shard
+	shares   *ShardShares
 	seen     int // of what runs: what it started and what it has found
 	hidden   int // what it cannot rule out
 	stopping int // of seen: what is being stopped
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -15,7 +15,7 @@
 
 // accounts is what an owner knows of client accounts, beside the catalog.
 type accounts struct {
-	shares   *allowance.Shard
+	shares   *allowance.ShardShares
 	changed  bool                          // the shares are to be written
 	departed map[string]platform.Resources // limits of accounts that have left the configuration
 	logged   map[string]time.Duration      // when an account was last said to be at its limit
