--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -30,7 +30,7 @@
 func TestDeparted(t *testing.T) {
 	c := qt.New(t)
 	h := NewHolder(1)
-	shards := map[string]*ShardShares{"p0": NewShard(Row{}), "p1": NewShard(Row{})}
+	shards := map[string]*ShardShares{"p0": NewShardShares(Row{}), "p1": NewShardShares(Row{})}
 	settleAll(h, shards, map[string]float64{"p0": 0.9}, []string{"a"})
 	c.Assert(shards["p0"].Share("a") >= 0.9, qt.IsTrue)
 	settleAll(h, shards, map[string]float64{"p1": 0.9}, nil)
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -81,7 +81,7 @@
 
 // follow has a new owner take a shard over. What runs is hidden from it until it is found.
 func (m *model) follow(pool string) {
-	o := &owner{shares: NewShard(m.kept[pool])}
+	o := &owner{shares: NewShardShares(m.kept[pool])}
 	if !m.f.unseen {
 		o.hidden = m.running[pool]
 	}
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -8,8 +8,8 @@
 	next Row // what it is to hold
 }
 
-// NewShard returns the shares of a shard whose row is kept; the zero row is that of a new shard.
-func NewShard(kept Row) *ShardShares {
+// NewShardShares returns the shares of a shard whose row is kept; the zero row is that of a new shard.
+func NewShardShares(kept Row) *ShardShares {
 	return &ShardShares{kept: kept, next: kept}
 }
 
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -24,7 +24,7 @@
 
 func newAccounts(kept allowance.Row) accounts {
 	return accounts{
-		shares: allowance.NewShard(kept), departed: map[string]platform.Resources{}, logged: map[string]time.Duration{},
+		shares: allowance.NewShardShares(kept), departed: map[string]platform.Resources{}, logged: map[string]time.Duration{},
 		promised: map[string]*promise{},
 	}
 }
