--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -18,8 +18,8 @@
 	rounding = 1e-9
 )
 
-// Holder divides the limits of accounts among shards. It is not safe for concurrent use.
-type Holder struct {
+// Allocator divides the limits of accounts among shards. It is not safe for concurrent use.
+type Allocator struct {
 	term  int64
 	books map[string]*book // by shard
 }
@@ -41,9 +41,9 @@
 }
 
 // NewHolder returns the holder of a term of ownership; it knows nothing yet.
-func NewHolder(term int64) *Holder { return &Holder{term: term, books: map[string]*book{}} }
+func NewHolder(term int64) *Allocator { return &Allocator{term: term, books: map[string]*book{}} }
 
-func (h *Holder) book(shard string) *book {
+func (h *Allocator) book(shard string) *book {
 	b := h.books[shard]
 	if b == nil {
 		b = &book{uses: map[string]Usage{}, sent: map[string][]sent{}}
@@ -53,7 +53,7 @@
 }
 
 // Take takes a shard's report.
-func (h *Holder) Take(shard string, r Report) {
+func (h *Allocator) Take(shard string, r Report) {
 	b := h.book(shard)
 	if r.Term != h.term || r.Seq < b.taken {
 		return // it does not know this holder yet, or speaks of what has passed
@@ -115,7 +115,7 @@
 // Plan returns the grants that shards are to get; accounts are those that have a limit.
 // One that has left the configuration is divided for as long as it has work: its shares
 // would else stay where its last work was, and tasks that wait elsewhere would wait for good.
-func (h *Holder) Plan(shards, accounts []string) map[string]Grant {
+func (h *Allocator) Plan(shards, accounts []string) map[string]Grant {
 	grants := map[string]Grant{}
 	if !h.allKnown(shards) {
 		for _, s := range shards {
@@ -144,7 +144,7 @@
 }
 
 // withWork returns the accounts, and others that shards report work of.
-func (h *Holder) withWork(shards, accounts []string) []string {
+func (h *Allocator) withWork(shards, accounts []string) []string {
 	named := make(map[string]bool, len(accounts))
 	for _, account := range accounts {
 		named[account] = true
@@ -161,13 +161,13 @@
 	return all
 }
 
-func (h *Holder) allKnown(shards []string) bool {
+func (h *Allocator) allKnown(shards []string) bool {
 	return !slices.ContainsFunc(shards, func(s string) bool { return !h.book(s).known })
 }
 
 // grant makes the next grant to a shard, with all that is not known to be kept there,
 // and counts it as taken from now on. Without news it is the last one again.
-func (h *Holder) grant(b *book, shares map[string]float64) Grant {
+func (h *Allocator) grant(b *book, shares map[string]float64) Grant {
 	if len(shares) > 0 {
 		b.seq++
 	}
@@ -178,7 +178,7 @@
 }
 
 // planAccount divides one account's limit, as far as what is outstanding leaves room.
-func (h *Holder) planAccount(account string, shards []string, set func(shard string, share float64)) {
+func (h *Allocator) planAccount(account string, shards []string, set func(shard string, share float64)) {
 	uses := make([]Usage, len(shards))
 	held := make([]float64, len(shards))
 	free := 1.0
--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -7,7 +7,7 @@
 )
 
 // settleAll has shards take what a holder grants and report it, until it grants nothing more.
-func settleAll(h *Holder, shards map[string]*ShardShares, wanted map[string]float64, accounts []string) {
+func settleAll(h *Allocator, shards map[string]*ShardShares, wanted map[string]float64, accounts []string) {
 	names := []string{"p0", "p1"}
 	for range 10 {
 		grants := h.Plan(names, accounts)
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -31,7 +31,7 @@
 	pools   []string
 	kept    map[string]Row
 	owners  map[string]*owner
-	holders []*Holder
+	holders []*Allocator
 	grants  []mail[Grant]
 	reports []mail[Report]
 	running map[string]int // tasks at workers, in tenths of the limit
