--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -40,8 +40,8 @@
 	share float64
 }
 
-// NewHolder returns the holder of a term of ownership; it knows nothing yet.
-func NewHolder(term int64) *Allocator { return &Allocator{term: term, books: map[string]*book{}} }
+// NewAllocator returns the holder of a term of ownership; it knows nothing yet.
+func NewAllocator(term int64) *Allocator { return &Allocator{term: term, books: map[string]*book{}} }
 
 func (h *Allocator) book(shard string) *book {
 	b := h.books[shard]
--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -29,7 +29,7 @@
 // and want more than the share there: its limit is still divided by what is wanted.
 func TestDeparted(t *testing.T) {
 	c := qt.New(t)
-	h := NewHolder(1)
+	h := NewAllocator(1)
 	shards := map[string]*ShardShares{"p0": NewShardShares(Row{}), "p1": NewShardShares(Row{})}
 	settleAll(h, shards, map[string]float64{"p0": 0.9}, []string{"a"})
 	c.Assert(shards["p0"].Share("a") >= 0.9, qt.IsTrue)
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -89,7 +89,7 @@
 }
 
 func (m *model) newHolder() {
-	h := NewHolder(int64(len(m.holders) + 1))
+	h := NewAllocator(int64(len(m.holders) + 1))
 	if m.f.forgotten && len(m.holders) > 0 {
 		for _, p := range m.pools {
 			h.book(p).known, h.book(p).bound = true, true
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -94,7 +94,7 @@
 	now := cfg.Clock.Now()
 	r = &Runner{
 		cfg: cfg, claim: c, log: cfg.Log.With().Str("pool", Partition).Int64("term", c.Term).Logger(),
-		limits: allowance.NewHolder(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
+		limits: allowance.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
 		policy: DefaultSizing, moves: map[string]*move{}, surplus: map[string]int{}, trends: map[string]trend{},
 		formerKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
 	}
