--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -52,8 +52,8 @@
 	return b
 }
 
-// Take takes a shard's report.
-func (h *Allocator) Take(shard string, r Report) {
+// HandleReport takes a shard's report.
+func (h *Allocator) HandleReport(shard string, r Report) {
 	b := h.book(shard)
 	if r.Term != h.term || r.Seq < b.taken {
 		return // it does not know this holder yet, or speaks of what has passed
--- a/pkg/allowance/holder_test.go
+++ b/pkg/allowance/holder_test.go
@@ -20,7 +20,7 @@
 			r := s.Report()
 			r.Full = true
 			r.Accounts = []Usage{{Account: "a", Demand: wanted[name], MinStart: wanted[name] / 2, Share: s.MaxShare("a")}}
-			h.Take(name, r)
+			h.HandleReport(name, r)
 		}
 	}
 }
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -207,7 +207,7 @@
 		return
 	}
 	r := m.reports[at]
-	m.holders[r.holder].Take(r.pool, r.what)
+	m.holders[r.holder].HandleReport(r.pool, r.what)
 }
 
 // deliverAll brings everything once, in order.
--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -51,7 +51,7 @@
 	}
 	wg.Wait()
 	for pool, l := range loads {
-		r.limits.Take(pool, l.Accounts)
+		r.limits.HandleReport(pool, l.Accounts)
 	}
 	return loads
 }
