--- a/pkg/allowance/allowance.go
+++ b/pkg/allowance/allowance.go
@@ -2,34 +2,34 @@
 
 // Grant sets the shares of some accounts at one shard.
 type Grant struct {
-	Term   int64              `msgpack:"t"`           // of the holder's ownership
-	Seq    int64              `msgpack:"s"`           // counts the grants of the term to the shard
+	Term   int64              `msgpack:"t"`           // ownership term of the allocator
+	Seq    int64              `msgpack:"s"`           // sequence number of the grant to this shard within the term
 	Full   bool               `msgpack:"f,omitempty"` // the shard is to report all its accounts
-	Shares map[string]float64 `msgpack:"a,omitempty"` // of the accounts' limits, 1 for all of it; those of others stay
+	Shares map[string]float64 `msgpack:"a,omitempty"` // fractions of the limits, by account; others are unchanged
 }
 
-// Row is what a shard keeps in the table service.
+// Row is the state that a shard persists in the table service.
 type Row struct {
-	Term   int64              `msgpack:"t"`
-	Seq    int64              `msgpack:"s"`
-	Enforced  bool               `msgpack:"b"` // a holder has granted shares; before, no limit binds
-	Shares map[string]float64 `msgpack:"a"`
+	Term     int64              `msgpack:"t"`
+	Seq      int64              `msgpack:"s"`
+	Enforced bool               `msgpack:"b"` // shares were granted; before, limits are not enforced
+	Shares   map[string]float64 `msgpack:"a"`
 }
 
-// Usage is what a shard says of an account, in parts of the account's limit.
+// Usage is a shard's report on one account, in fractions of the account's limit.
 type Usage struct {
-	Account string  `msgpack:"n"`
-	Running float64 `msgpack:"r"` // what runs or may run
-	Demand  float64 `msgpack:"w"` // that, and what waits
-	MinStart    float64 `msgpack:"p"` // the least by which a start would raise Running, 0 if nothing waits
-	Share   float64 `msgpack:"h"` // the higher of what is kept and what was granted
+	Account  string  `msgpack:"n"`
+	Running  float64 `msgpack:"r"` // used or possibly used by running tasks
+	Demand   float64 `msgpack:"w"` // Running plus waiting tasks
+	MinStart float64 `msgpack:"p"` // smallest increase of Running by starting a task, 0 if none waits
+	Share    float64 `msgpack:"h"` // the higher of the persisted and the granted share
 }
 
-// Report is what a shard says of its accounts.
+// Report is a shard's report on its accounts.
 type Report struct {
-	Term     int64 `msgpack:"t"` // of the holder that is kept
-	Seq      int64 `msgpack:"s"` // of the last grant of that term that is kept
-	Enforced    bool  `msgpack:"b"`
-	Full     bool  `msgpack:"f"` // all accounts are there, not only those with work
+	Term     int64   `msgpack:"t"` // allocator term that the shard persisted
+	Seq      int64   `msgpack:"s"` // last grant of that term that the shard persisted
+	Enforced bool    `msgpack:"b"`
+	Full     bool    `msgpack:"f"` // all accounts are listed, not only those with work
 	Accounts []Usage `msgpack:"a"`
 }
--- a/pkg/allowance/divide_test.go
+++ b/pkg/allowance/divide_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDivide plays testdata/divide: a line a shard with what runs, is wanted and the
-// least step, and the shares that come of it.
+// Runs testdata/divide: one line per shard with its running work, demand and smallest start, and
+// the resulting shares.
 func TestDivide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/divide", func(t *testing.T, d *datadriven.TestData) string {
 		var uses []Usage
@@ -34,9 +34,8 @@
 	})
 }
 
-// TestDivideProperties divides among any shards: never more than the whole limit unless
-// more runs already, never less than what runs, and no shard that wants gets less than
-// it could have while another has more than it wants.
+// Shares never exceed the limit unless more runs already, never fall below what runs, and leave no
+// shard waiting for what another has to spare.
 func TestDivideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var uses []Usage
@@ -54,18 +53,18 @@
 		for i, share := range Divide(uses) {
 			u := &uses[i]
 			sum += share
-			if share < u.Running-rounding {
-				t.Fatalf("shard %d gets %f, and %f runs there", i, share, u.Running)
+			if share < u.Running-epsilon {
+				t.Fatalf("shard %d gets %f, but %f runs there", i, share, u.Running)
 			}
-			spare = max(spare, share-u.want())
-			if u.MinStart > 0 && share < u.Running+u.MinStart-rounding {
+			spare = max(spare, share-u.demand())
+			if u.MinStart > 0 && share < u.Running+u.MinStart-epsilon {
 				short = max(short, 1/u.MinStart)
 			}
 		}
-		if sum > max(1, running)+rounding {
-			t.Fatalf("shares sum to %f, %f runs: %+v", sum, running, uses)
+		if sum > max(1, running)+epsilon {
+			t.Fatalf("shares sum to %f while %f runs: %+v", sum, running, uses)
 		}
-		if short > 0 && spare > 1/short+rounding {
+		if short > 0 && spare > 1/short+epsilon {
 			t.Fatalf("a shard has %f to spare while another cannot start a task of %f: %+v", spare, 1/short, uses)
 		}
 	})
--- a/pkg/allowance/doc.go
+++ b/pkg/allowance/doc.go
@@ -1,20 +1,21 @@
-// Package allowance divides what a client account may have running among shards.
+// Package allowance divides client accounts' quotas among shards.
 //
-// An account's limit holds over the workers of all pools, and each pool's owner places
-// tasks by itself. So each shard holds a share of each limit, and what runs in a shard
-// never goes above its share. One holder divides: it asks the shards what runs and what
-// waits, and moves shares to where they are of use. The shares of an account sum up to
-// the whole limit at most, whatever is lost on the way:
+// An account's limit covers what it runs on the workers of all pools, but each pool's shard owner
+// schedules on its own. So every shard has a share of each limit, and what runs in a shard never
+// exceeds its share. One [Allocator], run by the holder of the fleet's work (package fleetops),
+// collects usage reports and grants shares; each shard owner (package shard) keeps its shares in a
+// [ShardShares]. The shares of an account never sum to more than its limit, whatever messages are
+// lost:
 //
-//   - a shard uses the share that it was granted last, and reports the higher of that and
-//     the one that it keeps in the table service;
-//   - the holder counts the highest of what a shard has reported, what runs there and what
-//     it has granted since, and raises shares only out of what is left;
-//   - a new holder first has every shard keep its term, by which grants of former holders
-//     are refused, and raises nothing before;
-//   - a new owner of a shard begins with the share that is kept, and counts as running
-//     what it cannot rule out.
+//   - a shard uses the share that it was granted last, and reports the higher of that and the
+//     persisted one;
+//   - the allocator counts the maximum of a shard's reported share, its running work and the
+//     shares granted since, and raises shares only by what remains;
+//   - a new allocator first has every shard persist its term, so that shards reject grants of
+//     former allocators, and raises no share before;
+//   - a new shard owner starts with the persisted shares and counts as running whatever it cannot
+//     rule out.
 //
-// Shares are parts of the limit rather than amounts, so that a limit that is changed
-// needs no word between shards. No argument rests on a clock. The package does no I/O.
+// Shares are fractions of the limit, so that a changed limit needs no coordination. Correctness
+// does not depend on clocks. The package does no I/O.
 package allowance
--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -6,128 +6,128 @@
 )
 
 const (
-	// leastRoom is the part of the room that each shard should have above what is
-	// wanted below which shares are divided anew: at a half, the shares of an account
-	// that is far below its limit are moved a few times while demand passes from one
-	// pool to another, and stand still else.
-	leastRoom = 0.5
-	// leastChange is by how much of the limit a share has to be off to be changed while
-	// an account is at its limit, unless a start hangs on less.
-	leastChange = 0.02
-	// rounding covers the rounding of sums.
-	rounding = 1e-9
+	// minHeadroom triggers a rebalance when a shard has less than this fraction of the headroom it
+	// should have. It limits how often shares move while an account is far below its limit.
+	minHeadroom = 0.5
+	// minChange is the smallest change of a share, as a fraction of the limit, that is made for an
+	// account at its limit, unless it allows a task to start.
+	minChange = 0.02
+	// epsilon absorbs floating-point rounding errors.
+	epsilon = 1e-9
 )
 
 // Allocator divides the limits of accounts among shards. It is not safe for concurrent use.
 type Allocator struct {
-	term  int64
-	books map[string]*book // by shard
+	term   int64
+	shards map[string]*shardState // by name
 }
 
-// book is what the holder knows of one shard.
-type book struct {
-	seq   int64 // of the last grant
-	taken int64 // of the last grant that the shard has reported as kept
-	known bool  // the shard keeps this holder's term, and has reported all accounts since
-	bound bool
-	uses  map[string]Usage    // as reported last
-	sent  map[string][]sent // by account, shares that are not known to be kept, oldest first
+// shardState is what the allocator knows of one shard.
+type shardState struct {
+	lastSeq  int64 // of the last grant
+	ackedSeq int64 // of the last grant that the shard reported as persisted
+	synced   bool  // the shard persisted this allocator's term and then reported all accounts
+	enforced bool
+	usage    map[string]Usage          // as last reported, by account
+	unacked  map[string][]grantedShare // by account: granted shares not known to be persisted, oldest first
 }
 
-// sent is a share that was granted.
-type sent struct {
+// grantedShare is a share granted to a shard.
+type grantedShare struct {
 	seq   int64
 	share float64
 }
 
-// NewAllocator returns the holder of a term of ownership; it knows nothing yet.
-func NewAllocator(term int64) *Allocator { return &Allocator{term: term, books: map[string]*book{}} }
+// NewAllocator returns the allocator of an ownership term, which knows no shard yet.
+func NewAllocator(term int64) *Allocator {
+	return &Allocator{term: term, shards: map[string]*shardState{}}
+}
 
-func (h *Allocator) book(shard string) *book {
-	b := h.books[shard]
-	if b == nil {
-		b = &book{uses: map[string]Usage{}, sent: map[string][]sent{}}
-		h.books[shard] = b
+func (a *Allocator) state(shard string) *shardState {
+	st := a.shards[shard]
+	if st == nil {
+		st = &shardState{usage: map[string]Usage{}, unacked: map[string][]grantedShare{}}
+		a.shards[shard] = st
 	}
-	return b
+	return st
 }
 
-// HandleReport takes a shard's report.
-func (h *Allocator) HandleReport(shard string, r Report) {
-	b := h.book(shard)
-	if r.Term != h.term || r.Seq < b.taken {
-		return // it does not know this holder yet, or speaks of what has passed
+// HandleReport processes a shard's report.
+func (a *Allocator) HandleReport(shard string, r Report) {
+	st := a.state(shard)
+	if r.Term != a.term || r.Seq < st.ackedSeq {
+		return // from before this allocator's term, or out of date
 	}
-	b.taken, b.bound = r.Seq, r.Enforced
+	st.ackedSeq, st.enforced = r.Seq, r.Enforced
 	if r.Full {
-		b.known = true
-		clear(b.uses)
+		st.synced = true
+		clear(st.usage)
 	}
-	if !b.known {
+	if !st.synced {
 		return
 	}
-	for account, u := range b.uses {
-		b.uses[account] = Usage{Account: account, Share: u.Share} // without work unless reported
+	for account, u := range st.usage {
+		st.usage[account] = Usage{Account: account, Share: u.Share} // idle unless reported
 	}
 	for _, u := range r.Accounts {
-		b.uses[u.Account] = u
+		st.usage[u.Account] = u
 	}
 	if r.Full {
-		b.settle(r.Seq)
+		st.dropAcked(r.Seq)
 	}
 }
 
-// settle forgets shares of grants that are kept, since the report names what follows from them.
-func (b *book) settle(kept int64) {
-	for account, all := range b.sent {
-		all = slices.DeleteFunc(all, func(s sent) bool { return s.seq <= kept })
+// dropAcked removes granted shares that are persisted, since reports include them.
+func (st *shardState) dropAcked(acked int64) {
+	for account, all := range st.unacked {
+		all = slices.DeleteFunc(all, func(s grantedShare) bool { return s.seq <= acked })
 		if len(all) == 0 {
-			delete(b.sent, account)
+			delete(st.unacked, account)
 			continue
 		}
-		b.sent[account] = all
+		st.unacked[account] = all
 	}
 }
 
-// outstanding is the part of an account's limit that the shard may hold. What runs may
-// be more than its share: a former owner may have used one that was not kept.
-func (b *book) outstanding(account string) float64 {
-	u := b.uses[account]
+// maxShare returns the greatest share of an account that the shard may have. What runs may exceed
+// the reported share: a former owner may have used one that was not persisted.
+func (st *shardState) maxShare(account string) float64 {
+	u := st.usage[account]
 	most := max(u.Share, u.Running)
-	for _, s := range b.sent[account] {
+	for _, s := range st.unacked[account] {
 		most = max(most, s.share)
 	}
 	return most
 }
 
-// unsettled are the shares that are not known to be kept, as granted last.
-func (b *book) unsettled() map[string]float64 {
-	if len(b.sent) == 0 {
+// unackedShares returns the last granted shares that are not known to be persisted.
+func (st *shardState) unackedShares() map[string]float64 {
+	if len(st.unacked) == 0 {
 		return nil
 	}
-	shares := make(map[string]float64, len(b.sent))
-	for account, all := range b.sent {
+	shares := make(map[string]float64, len(st.unacked))
+	for account, all := range st.unacked {
 		shares[account] = all[len(all)-1].share
 	}
 	return shares
 }
 
-// Plan returns the grants that shards are to get; accounts are those that have a limit.
-// One that has left the configuration is divided for as long as it has work: its shares
-// would else stay where its last work was, and tasks that wait elsewhere would wait for good.
-func (h *Allocator) Plan(shards, accounts []string) map[string]Grant {
+// Plan returns the next grants, by shard. The accounts are those with a limit. Accounts removed
+// from the configuration are included while they have work, since tasks waiting in a shard without
+// a share would otherwise never start.
+func (a *Allocator) Plan(shards, accounts []string) map[string]Grant {
 	grants := map[string]Grant{}
-	if !h.allKnown(shards) {
+	if !a.allSynced(shards) {
 		for _, s := range shards {
-			if b := h.book(s); !b.known {
-				grants[s] = h.grant(b, nil)
+			if st := a.state(s); !st.synced {
+				grants[s] = a.grant(st, nil)
 			}
 		}
 		return grants
 	}
 	shares := map[string]map[string]float64{}
-	for _, account := range h.withWork(shards, accounts) {
-		h.planAccount(account, shards, func(shard string, share float64) {
+	for _, account := range a.activeAccounts(shards, accounts) {
+		a.planAccount(account, shards, func(shard string, share float64) {
 			if shares[shard] == nil {
 				shares[shard] = map[string]float64{}
 			}
@@ -135,24 +135,24 @@
 		})
 	}
 	for _, s := range shards {
-		b := h.book(s)
-		if len(shares[s]) > 0 || len(b.sent) > 0 {
-			grants[s] = h.grant(b, shares[s])
+		st := a.state(s)
+		if len(shares[s]) > 0 || len(st.unacked) > 0 {
+			grants[s] = a.grant(st, shares[s])
 		}
 	}
 	return grants
 }
 
-// withWork returns the accounts, and others that shards report work of.
-func (h *Allocator) withWork(shards, accounts []string) []string {
+// activeAccounts returns the given accounts and all others that shards report work for.
+func (a *Allocator) activeAccounts(shards, accounts []string) []string {
 	named := make(map[string]bool, len(accounts))
 	for _, account := range accounts {
 		named[account] = true
 	}
 	all := slices.Clone(accounts)
 	for _, s := range shards {
-		for account, u := range h.book(s).uses {
-			if !named[account] && u.want() > 0 {
+		for account, u := range a.state(s).usage {
+			if !named[account] && u.demand() > 0 {
 				named[account] = true
 				all = append(all, account)
 			}
@@ -161,69 +161,69 @@
 	return all
 }
 
-func (h *Allocator) allKnown(shards []string) bool {
-	return !slices.ContainsFunc(shards, func(s string) bool { return !h.book(s).known })
+func (a *Allocator) allSynced(shards []string) bool {
+	return !slices.ContainsFunc(shards, func(s string) bool { return !a.state(s).synced })
 }
 
-// grant makes the next grant to a shard, with all that is not known to be kept there,
-// and counts it as taken from now on. Without news it is the last one again.
-func (h *Allocator) grant(b *book, shares map[string]float64) Grant {
+// grant returns the next grant to a shard and records it as unacknowledged. It repeats all shares
+// not known to be persisted; without new shares it equals the last grant.
+func (a *Allocator) grant(st *shardState, shares map[string]float64) Grant {
 	if len(shares) > 0 {
-		b.seq++
+		st.lastSeq++
 	}
 	for account, share := range shares {
-		b.sent[account] = append(b.sent[account], sent{seq: b.seq, share: share})
+		st.unacked[account] = append(st.unacked[account], grantedShare{seq: st.lastSeq, share: share})
 	}
-	return Grant{Term: h.term, Seq: b.seq, Full: true, Shares: b.unsettled()}
+	return Grant{Term: a.term, Seq: st.lastSeq, Full: true, Shares: st.unackedShares()}
 }
 
-// planAccount divides one account's limit, as far as what is outstanding leaves room.
-func (h *Allocator) planAccount(account string, shards []string, set func(shard string, share float64)) {
-	uses := make([]Usage, len(shards))
+// planAccount divides one account's limit. Shares are raised only by what no shard may hold.
+func (a *Allocator) planAccount(account string, shards []string, set func(shard string, share float64)) {
+	usage := make([]Usage, len(shards))
 	held := make([]float64, len(shards))
 	free := 1.0
-	unbound := false
+	notEnforced := false
 	for i, s := range shards {
-		b := h.book(s)
-		uses[i] = b.uses[account]
-		held[i] = b.outstanding(account)
+		st := a.state(s)
+		usage[i] = st.usage[account]
+		held[i] = st.maxShare(account)
 		free -= held[i]
-		unbound = unbound || !b.bound
+		notEnforced = notEnforced || !st.enforced
 	}
-	shares := Divide(uses)
-	if !unbound && !worthwhile(uses, held, shares) {
+	shares := Divide(usage)
+	if !notEnforced && !needsRebalance(usage, held, shares) {
 		return
 	}
-	rise := 0.0
+	increase := 0.0
 	for i := range shares {
-		rise += max(0, shares[i]-held[i])
+		increase += max(0, shares[i]-held[i])
 	}
-	part := 0.0
-	if free > rounding {
-		part = min(1, (free-rounding)/max(rise, rounding))
+	fraction := 0.0
+	if free > epsilon {
+		fraction = min(1, (free-epsilon)/max(increase, epsilon))
 	}
 	for i, s := range shards {
 		switch {
 		case shares[i] < held[i]:
 			set(s, shares[i])
-		case part > 0 || unbound:
-			set(s, held[i]+part*(shares[i]-held[i]))
+		case fraction > 0 || notEnforced:
+			set(s, held[i]+fraction*(shares[i]-held[i]))
 		}
 	}
 }
 
-// worthwhile tells whether shares that are held are so far from those that should be
-// that some shard may soon have to wait.
-func worthwhile(uses []Usage, held, shares []float64) bool {
-	for i := range uses {
-		u := &uses[i]
-		room := shares[i] - u.want()
+// needsRebalance reports whether the held shares differ so much from the target that tasks may
+// soon wait.
+func needsRebalance(usage []Usage, held, shares []float64) bool {
+	for i := range usage {
+		u := &usage[i]
+		room := shares[i] - u.demand()
 		switch {
 		case u.MinStart > 0 && held[i] < u.Running+u.MinStart && shares[i] >= u.Running+u.MinStart:
 			return true
-		case room > 0 && held[i]-u.want() < leastRoom*room:
+		case room > 0 && held[i]-u.demand() < minHeadroom*room:
 			return true
-		case math.Abs(shares[i]-held[i]) > leastChange && held[i] < u.want():
+		case math.Abs(shares[i]-held[i]) > minChange && held[i] < u.demand():
 			return true
 		}
 	}
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -11,64 +11,64 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// faults are planted in the model, to show that they are found.
+// faults are injected into the model to check that it detects them.
 type faults struct {
-	givenTwice      bool // the holder does not count grants that are on their way
-	forgotten       bool // a new holder raises shares before all shards keep its term
-	formerHolder    bool // a shard takes grants of former holders
-	unseen          bool // a new owner of a shard does not count what it cannot see
-	runningHidden   bool // a shard does not report what runs above its share
-	reportsLower    bool // a shard reports a lower share before that is kept
-	lateTaken       bool // a shard takes late grants
-	ignoresStopping bool // what is being stopped does not count
+	ignoresUnacked     bool // the allocator does not count grants in flight
+	skipsSync          bool // a new allocator raises shares before all shards persisted its term
+	acceptsFormerTerm  bool // a shard accepts grants of former allocators
+	ignoresUnseen      bool // a new shard owner does not count tasks that it has not discovered
+	capsRunning        bool // a shard does not report what runs above its share
+	reportsUnpersisted bool // a shard reports a lower share before it is persisted
+	acceptsStaleSeq    bool // a shard accepts out-of-date grants
+	ignoresStopping    bool // tasks being stopped do not count
 }
 
-// model is some shards and holders of one account, with every message on its way for
-// any time, any number of times or never.
+// model is a set of shards and allocators of one account, with messages that are delayed, repeated
+// or lost.
 type model struct {
-	t       *rapid.T
-	f       faults
-	pools   []string
-	kept    map[string]Row
-	owners  map[string]*owner
-	holders []*Allocator
-	grants  []mail[Grant]
-	reports []mail[Report]
-	running map[string]int // tasks at workers, in tenths of the limit
+	t          *rapid.T
+	f          faults
+	pools      []string
+	rows       map[string]Row
+	owners     map[string]*owner
+	allocators []*Allocator
+	grants     []message[Grant]
+	reports    []message[Report]
+	running    map[string]int // tasks at workers, by pool
 
-	delivered [2]int // grants and reports that deliverAll has brought
-	unkept    string // shard whose row is not written by deliverAll
+	delivered   [2]int // grants and reports that deliverAll has delivered
+	unpersisted string // shard whose row deliverAll does not persist
 }
 
 // owner is the present owner of a shard.
 type owner struct {
 	shares   *ShardShares
-	seen     int // of what runs: what it started and what it has found
-	hidden   int // what it cannot rule out
-	stopping int // of seen: what is being stopped
+	seen     int // running tasks that it started or discovered
+	hidden   int // tasks that it cannot rule out
+	stopping int // of seen: tasks being stopped
 }
 
-type mail[T any] struct {
-	pool   string
-	holder int // of a report: whom it is for
-	what   T
+type message[T any] struct {
+	pool      string
+	allocator int // of a report: its receiver
+	body      T
 }
 
-// tenth is the size of a task, as a part of the limit.
-const tenth = 0.1
+// taskSize is the size of a task, as a fraction of the limit.
+const taskSize = 0.1
 
 func newModel(t *rapid.T, f faults) *model {
-	m := &model{t: t, f: f, kept: map[string]Row{}, owners: map[string]*owner{}, running: map[string]int{}}
+	m := &model{t: t, f: f, rows: map[string]Row{}, owners: map[string]*owner{}, running: map[string]int{}}
 	for i := range rapid.IntRange(2, 4).Draw(t, "shards") {
 		pool := fmt.Sprintf("p%d", i)
 		m.pools = append(m.pools, pool)
-		m.follow(pool)
+		m.takeOver(pool)
 	}
-	m.newHolder()
-	for range 3 { // a calm beginning, after which all shards hold shares
+	m.newAllocator()
+	for range 3 { // initial exchange that gives every shard a share
 		for at := range m.pools {
-			m.poll(len(m.holders)-1, at)
-			m.keepRow(m.pools[at])
+			m.poll(len(m.allocators)-1, at)
+			m.persistRow(m.pools[at])
 		}
 		m.deliverAll()
 	}
@@ -79,39 +79,39 @@
 	return m.pools[rapid.IntRange(0, len(m.pools)-1).Draw(m.t, "pool")]
 }
 
-// follow has a new owner take a shard over. What runs is hidden from it until it is found.
-func (m *model) follow(pool string) {
-	o := &owner{shares: NewShardShares(m.kept[pool])}
-	if !m.f.unseen {
+// takeOver has a new owner take over a shard. Running tasks are hidden from it until discovered.
+func (m *model) takeOver(pool string) {
+	o := &owner{shares: NewShardShares(m.rows[pool])}
+	if !m.f.ignoresUnseen {
 		o.hidden = m.running[pool]
 	}
 	m.owners[pool] = o
 }
 
-func (m *model) newHolder() {
-	h := NewAllocator(int64(len(m.holders) + 1))
-	if m.f.forgotten && len(m.holders) > 0 {
+func (m *model) newAllocator() {
+	a := NewAllocator(int64(len(m.allocators) + 1))
+	if m.f.skipsSync && len(m.allocators) > 0 {
 		for _, p := range m.pools {
-			h.book(p).known, h.book(p).bound = true, true
+			a.state(p).synced, a.state(p).enforced = true, true
 		}
 	}
-	m.holders = append(m.holders, h)
+	m.allocators = append(m.allocators, a)
 }
 
-// counted is what an owner counts as running, in parts of the limit.
+// counted returns what an owner counts as running, as a fraction of the limit.
 func (m *model) counted(o *owner) float64 {
 	n := o.seen + o.hidden
 	if m.f.ignoresStopping {
 		n -= o.stopping
 	}
-	return tenth * float64(n)
+	return taskSize * float64(n)
 }
 
 // start starts a task if the shard's share allows it.
 func (m *model) start(pool string) {
 	o := m.owners[pool]
 	share := o.shares.Share("a")
-	if !o.shares.Enforced() || m.counted(o)+tenth > share+rounding {
+	if !o.shares.Enforced() || m.counted(o)+taskSize > share+epsilon {
 		return
 	}
 	o.seen++
@@ -121,11 +121,11 @@
 		sum += n
 	}
 	if sum > 10 {
-		m.t.Fatalf("%d tenths of the limit run: %v", sum, m.running)
+		m.t.Fatalf("%d tasks run, the limit is 10: %v", sum, m.running)
 	}
 }
 
-// end ends a task that the owner sees.
+// end ends a task known to the owner.
 func (m *model) end(pool string) {
 	o := m.owners[pool]
 	if o.seen == 0 {
@@ -136,8 +136,8 @@
 	m.running[pool]--
 }
 
-// find has an owner find what runs, all at once.
-func (m *model) find(pool string) {
+// discover has an owner discover all running tasks.
+func (m *model) discover(pool string) {
 	o := m.owners[pool]
 	o.seen, o.hidden = m.running[pool], 0
 }
@@ -148,31 +148,31 @@
 	}
 }
 
-// keepRow writes an owner's row, as a transaction of the present owner does.
-func (m *model) keepRow(pool string) {
+// persistRow persists an owner's row, as a transaction of the present owner does.
+func (m *model) persistRow(pool string) {
 	o := m.owners[pool]
 	r := o.shares.Pending()
 	r.Shares = maps.Clone(r.Shares)
-	m.kept[pool] = r
+	m.rows[pool] = r
 	o.shares.MarkPersisted(r)
 }
 
-// poll has a holder, perhaps a former one, ask a shard.
+// poll has an allocator, possibly a former one, send its grants and ask a shard for a report.
 func (m *model) poll(at, pool int) {
-	h := m.holders[at]
-	for p, g := range h.Plan(m.pools, []string{"a"}) {
-		if m.f.givenTwice {
-			clear(h.book(p).sent)
+	a := m.allocators[at]
+	for p, g := range a.Plan(m.pools, []string{"a"}) {
+		if m.f.ignoresUnacked {
+			clear(a.state(p).unacked)
 		}
 		if p == m.pools[pool] || len(g.Shares) > 0 {
-			m.grants = append(m.grants, mail[Grant]{pool: p, holder: at, what: g})
+			m.grants = append(m.grants, message[Grant]{pool: p, allocator: at, body: g})
 		}
 	}
 	m.report(m.pools[pool], at)
 }
 
-// report sends a holder what a shard has.
-func (m *model) report(pool string, holder int) {
+// report sends an allocator a shard's report.
+func (m *model) report(pool string, allocator int) {
 	o := m.owners[pool]
 	r := o.shares.Report()
 	r.Full = true
@@ -181,45 +181,45 @@
 		wanted += 0.8
 	}
 	share := o.shares.MaxShare("a")
-	if m.f.reportsLower {
-		r.Seq, share = o.shares.next.Seq, o.shares.Share("a")
+	if m.f.reportsUnpersisted {
+		r.Seq, share = o.shares.pending.Seq, o.shares.Share("a")
 	}
 	running := m.counted(o)
-	if m.f.runningHidden {
+	if m.f.capsRunning {
 		running = min(running, share)
 	}
-	r.Accounts = []Usage{{Account: "a", Running: running, Demand: wanted, MinStart: tenth, Share: share}}
-	m.reports = append(m.reports, mail[Report]{pool: pool, holder: holder, what: r})
+	r.Accounts = []Usage{{Account: "a", Running: running, Demand: wanted, MinStart: taskSize, Share: share}}
+	m.reports = append(m.reports, message[Report]{pool: pool, allocator: allocator, body: r})
 }
 
-// deliver brings a grant or a report, which may come again.
+// deliver delivers a grant or a report, which may be delivered again.
 func (m *model) deliver(grant bool, at int) {
 	if grant {
 		g := m.grants[at]
 		o := m.owners[g.pool]
-		if m.f.formerHolder && g.what.Term < o.shares.next.Term || m.f.lateTaken && g.what.Term == o.shares.next.Term && g.what.Seq < o.shares.next.Seq {
-			if len(g.what.Shares) > 0 {
-				o.shares.next.Shares = maps.Clone(g.what.Shares)
+		if m.f.acceptsFormerTerm && g.body.Term < o.shares.pending.Term || m.f.acceptsStaleSeq && g.body.Term == o.shares.pending.Term && g.body.Seq < o.shares.pending.Seq {
+			if len(g.body.Shares) > 0 {
+				o.shares.pending.Shares = maps.Clone(g.body.Shares)
 			}
 			return
 		}
-		o.shares.Apply(g.what)
+		o.shares.Apply(g.body)
 		return
 	}
 	r := m.reports[at]
-	m.holders[r.holder].HandleReport(r.pool, r.what)
+	m.allocators[r.allocator].HandleReport(r.pool, r.body)
 }
 
-// deliverAll brings everything once, in order.
+// deliverAll delivers all new messages once, in order.
 func (m *model) deliverAll() {
 	for i := m.delivered[0]; i < len(m.grants); i++ {
 		m.deliver(true, i)
 	}
 	for _, p := range m.pools {
-		if p != m.unkept {
-			m.keepRow(p)
+		if p != m.unpersisted {
+			m.persistRow(p)
 		}
-		m.report(p, len(m.holders)-1)
+		m.report(p, len(m.allocators)-1)
 	}
 	for i := m.delivered[1]; i < len(m.reports); i++ {
 		m.deliver(false, i)
@@ -227,8 +227,8 @@
 	m.delivered = [2]int{len(m.grants), len(m.reports)}
 }
 
-// turn lets all work move to one pool, whose shard ends up with most of the limit.
-func (m *model) turn(pool string) {
+// shiftWork moves all work to one pool, whose shard ends up with most of the limit.
+func (m *model) shiftWork(pool string) {
 	for _, p := range m.pools {
 		for range 10 {
 			if p != pool {
@@ -241,24 +241,24 @@
 			m.start(pool)
 		}
 		for at := range m.pools {
-			m.poll(len(m.holders)-1, at)
+			m.poll(len(m.allocators)-1, at)
 		}
 		m.deliverAll()
 	}
 }
 
-// lose lets work move while one shard's row is not written; that shard, and the holder
-// perhaps, are replaced before it is.
-func (m *model) lose() {
-	m.unkept = m.pool()
-	m.turn(m.pool())
+// loseRow moves work while one shard's row is not persisted, then replaces that shard's owner and
+// possibly the allocator.
+func (m *model) loseRow() {
+	m.unpersisted = m.pool()
+	m.shiftWork(m.pool())
 	if rapid.Bool().Draw(m.t, "holder too") {
-		m.newHolder()
+		m.newAllocator()
 	}
-	m.follow(m.unkept)
-	m.unkept = ""
+	m.takeOver(m.unpersisted)
+	m.unpersisted = ""
 	if rapid.Bool().Draw(m.t, "found") {
-		m.find(m.pool())
+		m.discover(m.pool())
 	}
 	for _, p := range m.pools {
 		for range 10 {
@@ -267,8 +267,8 @@
 	}
 }
 
-// late is one of the last messages, which may have been delivered before.
-func late[T any](t *rapid.T, all []mail[T]) int {
+// recent returns the index of one of the last messages, which may have been delivered before.
+func recent[T any](t *rapid.T, all []message[T]) int {
 	const memory = 60
 	return rapid.IntRange(max(0, len(all)-memory), len(all)-1).Draw(t, "message")
 }
@@ -283,28 +283,28 @@
 	case k < 9:
 		m.end(m.pool())
 	case k < 11:
-		m.poll(rapid.IntRange(max(0, len(m.holders)-2), len(m.holders)-1).Draw(m.t, "holder"), rapid.IntRange(0, len(m.pools)-1).Draw(m.t, "asked"))
+		m.poll(rapid.IntRange(max(0, len(m.allocators)-2), len(m.allocators)-1).Draw(m.t, "holder"), rapid.IntRange(0, len(m.pools)-1).Draw(m.t, "asked"))
 	case k < 13 && len(m.grants) > 0:
-		m.deliver(true, late(m.t, m.grants))
+		m.deliver(true, recent(m.t, m.grants))
 	case k < 15 && len(m.reports) > 0:
-		m.deliver(false, late(m.t, m.reports))
+		m.deliver(false, recent(m.t, m.reports))
 	case k == 15:
-		m.keepRow(m.pool())
+		m.persistRow(m.pool())
 	case k == 16:
-		m.follow(m.pool())
+		m.takeOver(m.pool())
 	case k == 17:
-		m.find(m.pool())
+		m.discover(m.pool())
 	case k == 18:
 		m.stop(m.pool())
 	case k == 19 && rapid.IntRange(0, 2).Draw(m.t, "replaced") == 0:
-		m.newHolder()
+		m.newAllocator()
 	case k == 20 || k == 21:
-		m.turn(m.pool())
+		m.shiftWork(m.pool())
 	case k == 22:
-		m.lose()
+		m.loseRow()
 	case k == 23:
 		for at := range m.pools {
-			m.poll(len(m.holders)-1, at)
+			m.poll(len(m.allocators)-1, at)
 		}
 	default:
 		m.deliverAll()
@@ -320,21 +320,21 @@
 	}
 }
 
-// TestNeverAbove holds the sum of what runs against the limit, over drawn courses of
-// starts, ends, lost, late and repeated messages, new owners and new holders.
+// The total of what runs never exceeds the limit, across starts, ends, lost, late and repeated
+// messages, new owners and new allocators.
 func TestNeverAbove(t *testing.T) { prop.Check(t, property(faults{})) }
 
-// TestNeverAboveFindsPlanted shows that the model finds each planted fault.
+// The model detects each injected fault.
 func TestNeverAboveFindsPlanted(t *testing.T) {
 	for name, f := range map[string]faults{
-		"grants on their way not counted":         {givenTwice: true},
-		"forgotten by a new holder":               {forgotten: true},
-		"grants of former holders taken":          {formerHolder: true},
-		"unseen tasks not counted by a new owner": {unseen: true},
-		"what runs above a share not reported":    {runningHidden: true},
-		"lower shares reported before kept":       {reportsLower: true},
-		"late grants taken":                       {lateTaken: true},
-		"stopping tasks not counted":              {ignoresStopping: true},
+		"grants in flight not counted":           {ignoresUnacked: true},
+		"new allocator does not synchronize":     {skipsSync: true},
+		"grants of former allocators accepted":   {acceptsFormerTerm: true},
+		"undiscovered tasks not counted":         {ignoresUnseen: true},
+		"what runs above a share not reported":   {capsRunning: true},
+		"lower shares reported before persisted": {reportsUnpersisted: true},
+		"out-of-date grants accepted":            {acceptsStaleSeq: true},
+		"stopping tasks not counted":             {ignoresStopping: true},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(f)), qt.IsTrue) })
 	}
--- a/pkg/allowance/shard.go
+++ b/pkg/allowance/shard.go
@@ -4,62 +4,64 @@
 
 // ShardShares holds the shares of one shard. It is not safe for concurrent use.
 type ShardShares struct {
-	kept Row // what the table service holds
-	next Row // what it is to hold
+	persisted Row // stored in the table service
+	pending   Row // to be stored
 }
 
-// NewShardShares returns the shares of a shard whose row is kept; the zero row is that of a new shard.
-func NewShardShares(kept Row) *ShardShares {
-	return &ShardShares{kept: kept, next: kept}
+// NewShardShares returns the shares of a shard from its persisted row, the zero Row for a new
+// shard.
+func NewShardShares(persisted Row) *ShardShares {
+	return &ShardShares{persisted: persisted, pending: persisted}
 }
 
-// Apply takes a grant; it reports whether a row is to be kept. A share may fall below
-// what runs, which goes on: the holder counts it until it has ended.
+// Apply applies a grant and reports whether the row changed. A share may fall below what runs; the
+// allocator counts running tasks until they end.
 func (s *ShardShares) Apply(g Grant) (changed bool) {
-	if g.Term < s.next.Term || g.Term == s.next.Term && g.Seq <= s.next.Seq {
-		return false // of a former holder, or late
+	if g.Term < s.pending.Term || g.Term == s.pending.Term && g.Seq <= s.pending.Seq {
+		return false // of a former allocator, or out of date
 	}
-	claims := g.Term != s.next.Term
-	s.next.Term, s.next.Seq = g.Term, g.Seq
+	newTerm := g.Term != s.pending.Term
+	s.pending.Term, s.pending.Seq = g.Term, g.Seq
 	if len(g.Shares) == 0 {
-		return claims
+		return newTerm
 	}
-	s.next.Enforced = true
-	s.next.Shares = maps.Clone(s.next.Shares)
-	if s.next.Shares == nil {
-		s.next.Shares = map[string]float64{}
+	s.pending.Enforced = true
+	s.pending.Shares = maps.Clone(s.pending.Shares)
+	if s.pending.Shares == nil {
+		s.pending.Shares = map[string]float64{}
 	}
-	maps.Copy(s.next.Shares, g.Shares)
+	maps.Copy(s.pending.Shares, g.Shares)
 	return true
 }
 
-// Pending is the row to be kept.
-func (s *ShardShares) Pending() Row { return s.next }
+// Pending returns the row to persist.
+func (s *ShardShares) Pending() Row { return s.pending }
 
-// MarkPersisted notes that the table service holds a row that Next has returned.
-func (s *ShardShares) MarkPersisted(r Row) { s.kept = r }
+// MarkPersisted records that a row returned by Pending was persisted.
+func (s *ShardShares) MarkPersisted(r Row) { s.persisted = r }
 
-// Enforced tells whether limits bind here: some holder has granted shares.
-func (s *ShardShares) Enforced() bool { return s.next.Enforced }
+// Enforced reports whether limits are enforced here, which they are once shares were granted.
+func (s *ShardShares) Enforced() bool { return s.pending.Enforced }
 
-// Share is the part of an account's limit that may run here. One that was raised is
-// used before it is kept: whoever follows counts what runs, and the holder the higher
-// of that and the share.
-func (s *ShardShares) Share(account string) float64 { return s.next.Shares[account] }
+// Share returns the fraction of an account's limit that may run here. A raised share is used
+// before it is persisted: a new owner counts what runs, and the allocator the higher of that and
+// the share.
+func (s *ShardShares) Share(account string) float64 { return s.pending.Shares[account] }
 
-// MaxShare is the part that the shard may turn out to hold, whoever owns it next.
+// MaxShare returns the greatest share that any owner of the shard may use: the higher of the
+// persisted and the pending one.
 func (s *ShardShares) MaxShare(account string) float64 {
-	return max(s.kept.Shares[account], s.next.Shares[account])
+	return max(s.persisted.Shares[account], s.pending.Shares[account])
 }
 
-// EachAccount calls f for each account that has a share here.
+// EachAccount calls f for each account with a share here.
 func (s *ShardShares) EachAccount(f func(account string)) {
-	for account := range s.next.Shares {
+	for account := range s.pending.Shares {
 		f(account)
 	}
 }
 
-// Report is what the holder is told, but for the accounts.
+// Report returns the report to the allocator, without accounts.
 func (s *ShardShares) Report() Report {
-	return Report{Term: s.kept.Term, Seq: s.kept.Seq, Enforced: s.next.Enforced}
+	return Report{Term: s.persisted.Term, Seq: s.persisted.Seq, Enforced: s.pending.Enforced}
 }
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -67,7 +67,7 @@
 	formerWaves    map[string]int           // by VM: the wave of those orders, 0 for a move
 	lastLoads      map[string]shard.Load    // by pool
 	trends         map[string]trend         // of demand, by pool
-	limits         *allowance.Allocator        // divides account quotas among shards
+	limits         *allowance.Allocator     // divides account quotas among shards
 	surplus        map[string]int           // consecutive steps with surplus VMs, by pool
 	moves          map[string]*move         // by VM
 	announced      map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -100,15 +100,15 @@
 	part, size := Progress{}, 0
 	var parts []Progress
 	for _, sp := range p.Steps {
-		for _, piece := range sp.split() {
-			raw, err := msgpack.Marshal(&piece)
+		for _, entry := range sp.split() {
+			raw, err := msgpack.Marshal(&entry)
 			if err != nil {
 				return nil, err
 			}
 			if size+len(raw) > limit-rowOverheadBytes && size > 0 {
 				parts, part, size = append(parts, part), Progress{}, 0
 			}
-			part.Steps, size = append(part.Steps, piece), size+len(raw)
+			part.Steps, size = append(part.Steps, entry), size+len(raw)
 		}
 	}
 	parts = append(parts, part)
@@ -132,19 +132,18 @@
 // split divides a step's progress into entries of tasksPerEntry tasks.
 func (sp *StepProgress) split() []StepProgress {
 	tasks := max(1, 8*len(sp.Done), 1+maxKey(sp.Failed), 1+maxKey(sp.Checkpoints), 1+maxKey(sp.Losses))
-	pieces := make([]StepProgress, (tasks+tasksPerEntry-1)/tasksPerEntry)
-	for i := range pieces {
-		pieces[i].At, pieces[i].GangFailed = sp.At, sp.GangFailed
+	entries := make([]StepProgress, (tasks+tasksPerEntry-1)/tasksPerEntry)
+	for i := range entries {
+		entries[i].At, entries[i].GangFailed = sp.At, sp.GangFailed
 		if from, to := i*tasksPerEntry/8, min((i+1)*tasksPerEntry/8, len(sp.Done)); from < to {
-			pieces[i].Done = make([]byte, to)
-			copy(pieces[i].Done[from:], sp.Done[from:to])
+			entries[i].Done = make([]byte, to)
+			copy(entries[i].Done[from:], sp.Done[from:to])
 		}
 	}
-	// distribute copies per-task values into the entries that cover the tasks.
-	distribute(sp.Failed, pieces, func(sp *StepProgress) *map[int][]int64 { return &sp.Failed })
-	distribute(sp.Checkpoints, pieces, func(sp *StepProgress) *map[int]string { return &sp.Checkpoints })
-	distribute(sp.Losses, pieces, func(sp *StepProgress) *map[int]blame.Losses { return &sp.Losses })
-	return pieces
+	distribute(sp.Failed, entries, func(sp *StepProgress) *map[int][]int64 { return &sp.Failed })
+	distribute(sp.Checkpoints, entries, func(sp *StepProgress) *map[int]string { return &sp.Checkpoints })
+	distribute(sp.Losses, entries, func(sp *StepProgress) *map[int]blame.Losses { return &sp.Losses })
+	return entries
 }
 
 // maxKey returns the greatest key of a map, or -1 if the map is empty.
@@ -156,10 +155,10 @@
 	return greatest
 }
 
-// distribute puts what is known of tasks into the pieces that tell of them.
-func distribute[V any](all map[int]V, pieces []StepProgress, field func(*StepProgress) *map[int]V) {
+// distribute copies per-task values into the entries that cover the tasks.
+func distribute[V any](all map[int]V, entries []StepProgress, field func(*StepProgress) *map[int]V) {
 	for task, v := range all {
-		m := field(&pieces[task/tasksPerEntry])
+		m := field(&entries[task/tasksPerEntry])
 		if *m == nil {
 			*m = map[int]V{}
 		}
