--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -94,7 +94,7 @@
 		x.say("It is active: entries give it work. Its health by probes is %q and this entry has %d requests in flight to it.", o.Health, o.InFlight)
 	case schema.PhaseDraining:
 		x.say("It has been draining for %s%s.", x.ago(vm.PhaseSinceMs), inWave(vm))
-		if blocker := fleet.Blocker(row.Version, o); blocker != "" {
+		if blocker := fleet.DrainBlocker(row.Version, o); blocker != "" {
 			x.say("It waits: %s.", blocker)
 		} else {
 			x.say("Nothing is in flight any more; it is about to reboot.")
--- a/pkg/fleet/phases.go
+++ b/pkg/fleet/phases.go
@@ -51,7 +51,7 @@
 		d.lose(name, vm, "it failed while it drained")
 		return
 	}
-	if blocker := Blocker(d.Table.VMs[name].Version, o); blocker != "" {
+	if blocker := DrainBlocker(d.Table.VMs[name].Version, o); blocker != "" {
 		if o.Status != nil && o.Status.State == platform.VMLive {
 			d.effect(Action{Kind: EffectDrain, VM: name, Boot: o.Status.Boot, Reason: blocker})
 		}
@@ -69,10 +69,10 @@
 	d.edit(ActionReboot, name, vm, "drained in wave "+vm.Wave, evidence)
 }
 
-// Blocker says in words what a draining VM waits for, "" when it is empty for certain.
+// DrainBlocker says in words what a draining VM waits for, "" when it is empty for certain.
 //
 // version is that of the row that closed the VM.
-func Blocker(version int, o Observation) string {
+func DrainBlocker(version int, o Observation) string {
 	if len(o.Entries) == 0 {
 		return "no entry has been asked yet"
 	}
