--- a/pkg/catalog/account.go
+++ b/pkg/catalog/account.go
@@ -12,32 +12,32 @@
 // Account is a client that hands in jobs.
 type Account struct {
 	Name string
-	Keys []Key
+	Keys []KeyHash
 	// Weight is how many jobs a second it has been promised, and its share when a pool is full.
 	Weight float64
 	// Limit bounds what it may have running over all workers, 0 for no limit.
 	Limit platform.Resources
 }
 
-// Key is the SHA-256 of a key that callers show. A key itself is not kept, so that it
+// KeyHash is the SHA-256 of a key that callers show. A key itself is not kept, so that it
 // stands in no log and no message, and the time of a comparison tells nothing of it.
-type Key [sha256.Size]byte
+type KeyHash [sha256.Size]byte
 
 // fingerprintBytes of a key's hash name it in logs and to operators.
 const fingerprintBytes = 4
 
 // KeyOf returns the hash of a key; that of the empty key is never a valid one.
-func KeyOf(key string) Key {
+func KeyOf(key string) KeyHash {
 	return sha256.Sum256([]byte(key))
 }
 
 // Fingerprint names the key without telling it, in hexadecimal digits.
-func (k Key) Fingerprint() string { return hex.EncodeToString(k[:fingerprintBytes]) }
+func (k KeyHash) Fingerprint() string { return hex.EncodeToString(k[:fingerprintBytes]) }
 
 // CheckAccounts tells what is wrong with the accounts of a configuration.
 func CheckAccounts(accounts []Account) (err error) {
 	defer func() { err = errors.Wrap(err, "accounts") }()
-	names, owners, none := map[string]bool{}, map[Key]string{}, KeyOf("")
+	names, owners, none := map[string]bool{}, map[KeyHash]string{}, KeyOf("")
 	for i := range accounts {
 		a := &accounts[i]
 		switch {
@@ -66,7 +66,7 @@
 
 // indexAccounts makes keys and names searchable.
 func (c *Catalog) indexAccounts() {
-	c.byKey, c.byAccount = map[Key]*Account{}, map[string]*Account{}
+	c.byKey, c.byAccount = map[KeyHash]*Account{}, map[string]*Account{}
 	for i := range c.Accounts {
 		a := &c.Accounts[i]
 		c.byAccount[a.Name] = a
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -53,7 +53,7 @@
 
 	byHost    map[string][]*Queue // longest prefix first
 	byName    map[string]*Queue
-	byKey     map[Key]*Account
+	byKey     map[KeyHash]*Account
 	byAccount map[string]*Account
 }
 
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -147,7 +147,7 @@
 		Version: 7, Queues: []catalog.Queue{{Name: testQueue, Pool: testPool, MaxAttempts: 3, Stretch: 2, TargetLatency: time.Second}},
 		Pools: []catalog.Pool{{Name: testPool, RejectsOverload: true}},
 		Accounts: []catalog.Account{{
-			Name: testAccount, Keys: []catalog.Key{catalog.KeyOf("k")}, Weight: 1000, Limit: platform.Resources{CPU: 1000},
+			Name: testAccount, Keys: []catalog.KeyHash{catalog.KeyOf("k")}, Weight: 1000, Limit: platform.Resources{CPU: 1000},
 		}},
 	})
 	nodes := map[string]*Node{}
