--- a/pkg/catalog/account.go
+++ b/pkg/catalog/account.go
@@ -26,8 +26,8 @@
 // fingerprintBytes of a key's hash name it in logs and to operators.
 const fingerprintBytes = 4
 
-// KeyOf returns the hash of a key; that of the empty key is never a valid one.
-func KeyOf(key string) KeyHash {
+// HashKey returns the hash of a key; that of the empty key is never a valid one.
+func HashKey(key string) KeyHash {
 	return sha256.Sum256([]byte(key))
 }
 
@@ -37,7 +37,7 @@
 // CheckAccounts tells what is wrong with the accounts of a configuration.
 func CheckAccounts(accounts []Account) (err error) {
 	defer func() { err = errors.Wrap(err, "accounts") }()
-	names, owners, none := map[string]bool{}, map[KeyHash]string{}, KeyOf("")
+	names, owners, none := map[string]bool{}, map[KeyHash]string{}, HashKey("")
 	for i := range accounts {
 		a := &accounts[i]
 		switch {
@@ -88,7 +88,7 @@
 	if key == "" {
 		return "", q.Public
 	}
-	if a := c.byKey[KeyOf(key)]; a != nil {
+	if a := c.byKey[HashKey(key)]; a != nil {
 		return a.Name, true
 	}
 	return "", false
--- a/pkg/catalog/account_test.go
+++ b/pkg/catalog/account_test.go
@@ -15,8 +15,8 @@
 		KeysNeeded: true,
 		Queues:     []Queue{{Name: "closed"}, {Name: "open", Public: true}},
 		Accounts: []Account{
-			{Name: "north", Keys: []KeyHash{KeyOf("k1"), KeyOf("k2")}},
-			{Name: "south", Keys: []KeyHash{KeyOf("k3")}},
+			{Name: "north", Keys: []KeyHash{HashKey("k1"), HashKey("k2")}},
+			{Name: "south", Keys: []KeyHash{HashKey("k3")}},
 			{Name: "none"},
 		},
 	})
@@ -54,12 +54,12 @@
 		accounts []Account
 		err      string
 	}{
-		{[]Account{{Name: "a", Keys: []KeyHash{KeyOf("k")}}, {Name: "b"}}, ""},
-		{[]Account{{Name: "a", Keys: []KeyHash{KeyOf("k"), KeyOf("k")}}}, ""},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("k")}}, {Name: "b"}}, ""},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("k"), HashKey("k")}}}, ""},
 		{[]Account{{Name: "a"}, {}}, "accounts: account 1 has no name"},
 		{[]Account{{Name: "a"}, {Name: "a"}}, "accounts: two accounts are named a"},
-		{[]Account{{Name: "a", Keys: []KeyHash{KeyOf("")}}}, "accounts: account a has an empty key"},
-		{[]Account{{Name: "a", Keys: []KeyHash{KeyOf("k")}}, {Name: "b", Keys: []KeyHash{KeyOf("k")}}}, "accounts: accounts a and b have the key 8254c329"},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("")}}}, "accounts: account a has an empty key"},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("k")}}, {Name: "b", Keys: []KeyHash{HashKey("k")}}}, "accounts: accounts a and b have the key 8254c329"},
 		{[]Account{{Name: "a", Weight: -1}}, "accounts: account a: the weight -1 is negative"},
 		{[]Account{{Name: "a", Limit: platform.Resources{MemoryMB: -1}}}, "accounts: account a: the limit .* is negative"},
 	} {
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -31,7 +31,7 @@
 	n.metrics.keys.WithLabelValues(string(a)).Inc()
 	fingerprint := ""
 	if key != "" {
-		fingerprint = catalog.KeyOf(key).Fingerprint()
+		fingerprint = catalog.HashKey(key).Fingerprint()
 	}
 	n.log.Info().Str("event", "key_refused").Str("queue", q.Name).Str("key", fingerprint).
 		Int64("catalog", cat.Version).Str("answer", string(a)).Send()
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -147,7 +147,7 @@
 		Version: 7, Queues: []catalog.Queue{{Name: testQueue, Pool: testPool, MaxAttempts: 3, Stretch: 2, TargetLatency: time.Second}},
 		Pools: []catalog.Pool{{Name: testPool, RejectsOverload: true}},
 		Accounts: []catalog.Account{{
-			Name: testAccount, Keys: []catalog.KeyHash{catalog.KeyOf("k")}, Weight: 1000, Limit: platform.Resources{CPU: 1000},
+			Name: testAccount, Keys: []catalog.KeyHash{catalog.HashKey("k")}, Weight: 1000, Limit: platform.Resources{CPU: 1000},
 		}},
 	})
 	nodes := map[string]*Node{}
@@ -270,7 +270,7 @@
 		c.Assert(accounts.Accounts, qt.HasLen, 1)
 		a := accounts.Accounts[0]
 		c.Check(a.Name, qt.Equals, testAccount)
-		c.Check(a.Keys, qt.DeepEquals, []string{catalog.KeyOf("k").Fingerprint()})
+		c.Check(a.Keys, qt.DeepEquals, []string{catalog.HashKey("k").Fingerprint()})
 		c.Check(a.Cpu, qt.Equals, 1000)
 		return len(a.Pools) == 1 && a.Pools[0].Bound && a.Pools[0].Share > 0.99
 	})
