--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -14,7 +14,7 @@
 
 	Priority    int  // 0 goes first
 	MaxAttempts int  // failed attempts of a task after which its job has failed
-	Advice      bool // the advice service says which workers may run a step
+	UsesAdvice      bool // the advice service says which workers may run a step
 	Public      bool // callers need no key
 
 	// A job should be done within TargetLatency and Stretch times its longest chain of work.
--- a/pkg/shard/advice.go
+++ b/pkg/shard/advice.go
@@ -41,7 +41,7 @@
 // lock is held.
 func (o *Owner) advised(c *placement.Candidate, hosts []*placement.Host, now time.Duration) {
 	q := o.catalog.Queue(c.Step.Job.Queue)
-	if q == nil || !q.Advice {
+	if q == nil || !q.UsesAdvice {
 		return
 	}
 	a := o.advices[c.Step]
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -195,7 +195,7 @@
 func (e *estate) catalog() *catalog.Catalog {
 	return catalog.New(catalog.Catalog{
 		Version: 1,
-		Queues:  []catalog.Queue{{Name: queue, Pool: pool, MaxAttempts: maxAttempts, Stretch: 2, TargetLatency: time.Second, Advice: len(e.allowed) > 0}},
+		Queues:  []catalog.Queue{{Name: queue, Pool: pool, MaxAttempts: maxAttempts, Stretch: 2, TargetLatency: time.Second, UsesAdvice: len(e.allowed) > 0}},
 		Pools:   []catalog.Pool{{Name: pool, RejectsOverload: true}},
 
 		Accounts: e.limits,
