--- a/pkg/catalog/account.go
+++ b/pkg/catalog/account.go
@@ -82,7 +82,7 @@
 // Admit returns the account of a caller who shows a key, empty for none; ok is false
 // if the queue does not take the call. A deployment without accounts takes any.
 func (c *Catalog) Admit(q *Queue, key string) (account string, ok bool) {
-	if !c.KeysNeeded {
+	if !c.KeysRequired {
 		return "", true
 	}
 	if key == "" {
--- a/pkg/catalog/account_test.go
+++ b/pkg/catalog/account_test.go
@@ -12,7 +12,7 @@
 func TestAdmit(t *testing.T) {
 	c := qt.New(t)
 	cat := New(Catalog{
-		KeysNeeded: true,
+		KeysRequired: true,
 		Queues:     []Queue{{Name: "closed"}, {Name: "open", Public: true}},
 		Accounts: []Account{
 			{Name: "north", Keys: []KeyHash{HashKey("k1"), HashKey("k2")}},
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -45,9 +45,9 @@
 	Queues  []Queue
 	Pools   []Pool
 	Limits  Limits
-	// KeysNeeded tells that the deployment has client accounts, even if none is left: a
+	// KeysRequired tells that the deployment has client accounts, even if none is left: a
 	// queue that is not public takes calls with the key of an account only.
-	KeysNeeded bool
+	KeysRequired bool
 	// Accounts are the clients that may hand in jobs.
 	Accounts []Account
 
