--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -94,8 +94,8 @@
 // Queue returns a queue by its name, nil if there is none.
 func (c *Catalog) Queue(name string) *Queue { return c.byName[name] }
 
-// Spare returns the name of the pool of switched-off VMs, empty if there is none.
-func (c *Catalog) Spare() string {
+// SparePool returns the name of the pool of switched-off VMs, empty if there is none.
+func (c *Catalog) SparePool() string {
 	for _, p := range c.Pools {
 		if p.Spare {
 			return p.Name
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -213,7 +213,7 @@
 func (r *Runner) sparePool() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.catalog.Spare()
+	return r.catalog.SparePool()
 }
 
 func (r *Runner) relinquish() {
