--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -104,8 +104,8 @@
 	return ""
 }
 
-// WorkingPools returns the names of the pools whose VMs are switched on.
-func (c *Catalog) WorkingPools() (names []string) {
+// ActivePools returns the names of the pools whose VMs are switched on.
+func (c *Catalog) ActivePools() (names []string) {
 	for _, p := range c.Pools {
 		if !p.Spare {
 			names = append(names, p.Name)
--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -33,7 +33,7 @@
 	r.mu.Lock()
 	cat := r.catalog
 	r.mu.Unlock()
-	pools := cat.WorkingPools()
+	pools := cat.ActivePools()
 	grants := r.limits.Plan(pools, cat.LimitedAccounts())
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/pkg/node/accounts.go
+++ b/pkg/node/accounts.go
@@ -49,7 +49,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	all := map[string][]api.AccountInPool{}
-	for _, pool := range cat.WorkingPools() {
+	for _, pool := range cat.ActivePools() {
 		wg.Go(func() {
 			l, ok := n.loadOf(ctx, pool, &allowance.Grant{Full: true}) // of no holder: it grants nothing
 			if !ok {
--- a/pkg/node/operators.go
+++ b/pkg/node/operators.go
@@ -74,7 +74,7 @@
 	if len(out) == 0 || cat == nil {
 		return all
 	}
-	pools := cat.WorkingPools()
+	pools := cat.ActivePools()
 	loads := n.loadsOf(ctx, pools)
 	for zone, since := range out {
 		st := api.ZoneStatus{Zone: zone, OutForS: (n.clock.Now() - since).Seconds(), Complete: len(loads) == len(pools)}
