--- a/pkg/allowance/holder.go
+++ b/pkg/allowance/holder.go
@@ -19,11 +19,11 @@
 // Allocator divides the limits of accounts among shards. It is not safe for concurrent use.
 type Allocator struct {
 	term   int64
-	shards map[string]*shardState // by name
+	shards map[string]*status // by name
 }
 
-// shardState is what the allocator knows of one shard.
-type shardState struct {
+// status is what the allocator knows of one shard.
+type status struct {
 	lastSeq  int64 // of the last grant
 	ackedSeq int64 // of the last grant that the shard reported as persisted
 	synced   bool  // the shard persisted this allocator's term and then reported all accounts
@@ -39,14 +39,12 @@
 }
 
 // NewAllocator returns the allocator of an ownership term, which knows no shard yet.
-func NewAllocator(term int64) *Allocator {
-	return &Allocator{term: term, shards: map[string]*shardState{}}
-}
+func NewAllocator(term int64) *Allocator { return &Allocator{term: term, shards: map[string]*status{}} }
 
-func (a *Allocator) state(shard string) *shardState {
+func (a *Allocator) status(shard string) *status {
 	st := a.shards[shard]
 	if st == nil {
-		st = &shardState{usage: map[string]Usage{}, unacked: map[string][]grantedShare{}}
+		st = &status{usage: map[string]Usage{}, unacked: map[string][]grantedShare{}}
 		a.shards[shard] = st
 	}
 	return st
@@ -54,7 +52,7 @@
 
 // HandleReport processes a shard's report.
 func (a *Allocator) HandleReport(shard string, r Report) {
-	st := a.state(shard)
+	st := a.status(shard)
 	if r.Term != a.term || r.Seq < st.ackedSeq {
 		return // from before this allocator's term, or out of date
 	}
@@ -78,7 +76,7 @@
 }
 
 // dropAcked removes granted shares that are persisted, since reports include them.
-func (st *shardState) dropAcked(acked int64) {
+func (st *status) dropAcked(acked int64) {
 	for account, all := range st.unacked {
 		all = slices.DeleteFunc(all, func(s grantedShare) bool { return s.seq <= acked })
 		if len(all) == 0 {
@@ -91,7 +89,7 @@
 
 // maxShare returns the greatest share of an account that the shard may have. What runs may exceed
 // the reported share: a former owner may have used one that was not persisted.
-func (st *shardState) maxShare(account string) float64 {
+func (st *status) maxShare(account string) float64 {
 	u := st.usage[account]
 	most := max(u.Share, u.Running)
 	for _, s := range st.unacked[account] {
@@ -101,7 +99,7 @@
 }
 
 // unackedShares returns the last granted shares that are not known to be persisted.
-func (st *shardState) unackedShares() map[string]float64 {
+func (st *status) unackedShares() map[string]float64 {
 	if len(st.unacked) == 0 {
 		return nil
 	}
@@ -119,7 +117,7 @@
 	grants := map[string]Grant{}
 	if !a.allSynced(shards) {
 		for _, s := range shards {
-			if st := a.state(s); !st.synced {
+			if st := a.status(s); !st.synced {
 				grants[s] = a.grant(st, nil)
 			}
 		}
@@ -135,7 +133,7 @@
 		})
 	}
 	for _, s := range shards {
-		st := a.state(s)
+		st := a.status(s)
 		if len(shares[s]) > 0 || len(st.unacked) > 0 {
 			grants[s] = a.grant(st, shares[s])
 		}
@@ -151,7 +149,7 @@
 	}
 	all := slices.Clone(accounts)
 	for _, s := range shards {
-		for account, u := range a.state(s).usage {
+		for account, u := range a.status(s).usage {
 			if !named[account] && u.demand() > 0 {
 				named[account] = true
 				all = append(all, account)
@@ -162,12 +160,12 @@
 }
 
 func (a *Allocator) allSynced(shards []string) bool {
-	return !slices.ContainsFunc(shards, func(s string) bool { return !a.state(s).synced })
+	return !slices.ContainsFunc(shards, func(s string) bool { return !a.status(s).synced })
 }
 
 // grant returns the next grant to a shard and records it as unacknowledged. It repeats all shares
 // not known to be persisted; without new shares it equals the last grant.
-func (a *Allocator) grant(st *shardState, shares map[string]float64) Grant {
+func (a *Allocator) grant(st *status, shares map[string]float64) Grant {
 	if len(shares) > 0 {
 		st.lastSeq++
 	}
@@ -184,7 +182,7 @@
 	free := 1.0
 	notEnforced := false
 	for i, s := range shards {
-		st := a.state(s)
+		st := a.status(s)
 		usage[i] = st.usage[account]
 		held[i] = st.maxShare(account)
 		free -= held[i]
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -92,7 +92,7 @@
 	a := NewAllocator(int64(len(m.allocators) + 1))
 	if m.f.skipsSync && len(m.allocators) > 0 {
 		for _, p := range m.pools {
-			a.state(p).synced, a.state(p).enforced = true, true
+			a.status(p).synced, a.status(p).enforced = true, true
 		}
 	}
 	m.allocators = append(m.allocators, a)
@@ -162,7 +162,7 @@
 	a := m.allocators[at]
 	for p, g := range a.Plan(m.pools, []string{"a"}) {
 		if m.f.ignoresUnacked {
-			clear(a.state(p).unacked)
+			clear(a.status(p).unacked)
 		}
 		if p == m.pools[pool] || len(g.Shares) > 0 {
 			m.grants = append(m.grants, message[Grant]{pool: p, allocator: at, body: g})
