--- a/pkg/catalog/account.go
+++ b/pkg/catalog/account.go
@@ -9,32 +9,33 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Account is a client that hands in jobs.
+// Account is a client account, which submits jobs.
 type Account struct {
 	Name string
 	Keys []KeyHash
-	// Weight is how many jobs a second it has been promised, and its share when a pool is full.
+	// Weight is the promised rate in jobs per second, and the account's share of a full pool.
 	Weight float64
-	// Limit bounds what it may have running over all workers, 0 for no limit.
+	// Limit bounds the resources of its running tasks over all workers, zero for no limit.
 	Limit platform.Resources
 }
 
-// KeyHash is the SHA-256 of a key that callers show. A key itself is not kept, so that it
-// stands in no log and no message, and the time of a comparison tells nothing of it.
+// KeyHash is the SHA-256 of an API key. Only the hash is stored, so that keys do not appear in
+// logs and lookups do not leak them by timing.
 type KeyHash [sha256.Size]byte
 
-// fingerprintBytes of a key's hash name it in logs and to operators.
+// fingerprintBytes is the length of the hash prefix shown in logs and to operators.
 const fingerprintBytes = 4
 
-// HashKey returns the hash of a key; that of the empty key is never a valid one.
+// HashKey returns the hash of a key. The empty key is never valid.
 func HashKey(key string) KeyHash {
 	return sha256.Sum256([]byte(key))
 }
 
-// Fingerprint names the key without telling it, in hexadecimal digits.
+// Fingerprint returns a hexadecimal prefix of the hash, which identifies the key without revealing
+// it.
 func (k KeyHash) Fingerprint() string { return hex.EncodeToString(k[:fingerprintBytes]) }
 
-// CheckAccounts tells what is wrong with the accounts of a configuration.
+// CheckAccounts validates the accounts of a configuration.
 func CheckAccounts(accounts []Account) (err error) {
 	defer func() { err = errors.Wrap(err, "accounts") }()
 	names, owners, none := map[string]bool{}, map[KeyHash]string{}, HashKey("")
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// indexAccounts makes keys and names searchable.
+// indexAccounts indexes the accounts by name and key.
 func (c *Catalog) indexAccounts() {
 	c.byKey, c.byAccount = map[KeyHash]*Account{}, map[string]*Account{}
 	for i := range c.Accounts {
@@ -76,11 +77,11 @@
 	}
 }
 
-// Account returns an account by its name, nil if there is none.
+// Account returns an account by name, or nil.
 func (c *Catalog) Account(name string) *Account { return c.byAccount[name] }
 
-// Admit returns the account of a caller who shows a key, empty for none; ok is false
-// if the queue does not take the call. A deployment without accounts takes any.
+// Admit returns the account of a caller that presents a key, empty for none; ok is false if the
+// queue does not accept the caller. A deployment without accounts accepts any caller.
 func (c *Catalog) Admit(q *Queue, key string) (account string, ok bool) {
 	if !c.KeysRequired {
 		return "", true
--- a/pkg/catalog/account_test.go
+++ b/pkg/catalog/account_test.go
@@ -8,12 +8,12 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TestAdmit looks keys up for open and closed queues.
+// Tests Admit for public queues, for queues that need a key, and without accounts.
 func TestAdmit(t *testing.T) {
 	c := qt.New(t)
 	cat := New(Catalog{
 		KeysRequired: true,
-		Queues:     []Queue{{Name: "closed"}, {Name: "open", Public: true}},
+		Queues:       []Queue{{Name: "closed"}, {Name: "open", Public: true}},
 		Accounts: []Account{
 			{Name: "north", Keys: []KeyHash{HashKey("k1"), HashKey("k2")}},
 			{Name: "south", Keys: []KeyHash{HashKey("k3")}},
@@ -47,7 +47,7 @@
 	c.Check(cat.Account("west"), qt.IsNil)
 }
 
-// TestCheckAccounts refuses what makes no sense, without telling a key.
+// Invalid accounts are rejected, and error messages show only key fingerprints.
 func TestCheckAccounts(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Queue takes the jobs of one route.
+// Queue accepts the jobs of one route.
 type Queue struct {
 	Name   string
 	Host   string
-	Prefix string // of the path, ends where the job's ID begins
-	Pool   string // whose workers run the tasks
+	Prefix string // of the path, up to the job ID
+	Pool   string // pool whose workers run the tasks
 
-	Priority    int  // 0 goes first
-	MaxAttempts int  // failed attempts of a task after which its job has failed
-	UsesAdvice      bool // the advice service says which workers may run a step
+	Priority    int  // 0 is the highest
+	MaxAttempts int  // failed attempts of a task after which its job fails
+	UsesAdvice  bool // the advice service restricts which workers may run a step
 	Public      bool // callers need no key
 
-	// A job should be done within TargetLatency and Stretch times its longest chain of work.
+	// A job should finish within TargetLatency plus Stretch times its critical path.
 	Stretch       float64
 	TargetLatency time.Duration
 	Timeout       time.Duration
@@ -26,12 +26,12 @@
 // Pool is a set of worker VMs.
 type Pool struct {
 	Name            string
-	RejectsOverload bool // its workers refuse what does not fit
-	Spare           bool // its VMs are switched off and belong to the buffer
+	RejectsOverload bool // its workers reject tasks that do not fit
+	Spare           bool // its VMs are switched off and available to other pools
 	HealthPath      string
 }
 
-// Limits bound what callers may send.
+// Limits bounds the requests of callers.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int
@@ -39,16 +39,16 @@
 	IdleTimeout    time.Duration
 }
 
-// Catalog is one version of the configuration; it is never changed after it was made.
+// Catalog is one immutable version of the configuration.
 type Catalog struct {
 	Version int64
 	Queues  []Queue
 	Pools   []Pool
 	Limits  Limits
-	// KeysRequired tells that the deployment has client accounts, even if none is left: a
-	// queue that is not public takes calls with the key of an account only.
+	// KeysRequired reports that the deployment has client accounts, even if none is left: queues
+	// that are not public then require an account's key.
 	KeysRequired bool
-	// Accounts are the clients that may hand in jobs.
+	// Accounts are the clients that may submit jobs.
 	Accounts []Account
 
 	byHost    map[string][]*Queue // longest prefix first
@@ -57,7 +57,7 @@
 	byAccount map[string]*Account
 }
 
-// New returns a catalog that can be searched.
+// New returns a catalog indexed for lookups.
 func New(c Catalog) *Catalog {
 	c.byHost = map[string][]*Queue{}
 	c.byName = map[string]*Queue{}
@@ -78,7 +78,7 @@
 	return &c
 }
 
-// Route returns the queue of a request and the rest of its path, nil if there is none.
+// Route returns the queue for a request and the rest of its path, or nil.
 func (c *Catalog) Route(host, path string) (q *Queue, rest string) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -91,7 +91,7 @@
 	return nil, ""
 }
 
-// Queue returns a queue by its name, nil if there is none.
+// Queue returns a queue by name, or nil.
 func (c *Catalog) Queue(name string) *Queue { return c.byName[name] }
 
 // SparePool returns the name of the pool of switched-off VMs, empty if there is none.
@@ -104,7 +104,7 @@
 	return ""
 }
 
-// ActivePools returns the names of the pools whose VMs are switched on.
+// ActivePools returns the names of all pools but the spare one.
 func (c *Catalog) ActivePools() (names []string) {
 	for _, p := range c.Pools {
 		if !p.Spare {
--- a/pkg/fleet/doc.go
+++ b/pkg/fleet/doc.go
@@ -1,19 +1,19 @@
-// Package fleet decides which pool has which VMs and when each is maintained.
+// Package fleet decides which pool has which VMs and when each VM is maintained.
 //
-// Decisions are pure: [Decide] takes the table, what was observed of the VMs
-// and the time, and returns a few actions, each with its reason and evidence.
-// An action is an edit of the table, or an effect on the platform that the
-// table already calls for. Effects may be repeated without harm and are
-// returned at every step until they are seen to have worked, so that a process
-// that ends between an edit and its effect loses nothing.
+// Package control observes the VMs, calls [Decide] in its loop and carries out the result. Decide
+// is a pure function of the table, the observations and the time. It returns a limited number of
+// actions, each with a reason and evidence. An action is either an edit of the table or an effect
+// on the platform that the table already calls for. Effects are idempotent and are returned in
+// every step until they are observed to have worked, so that a crash between an edit and its
+// effect loses nothing.
 //
-// A VM goes through these phases in a wave:
+// A VM goes through these phases in a maintenance wave:
 //
-//	active -> draining    when its pool's budget has room
-//	draining -> rebooting when every entry says, at the revision that closed it, that nothing is in flight, and the VM says so too
+//	active -> draining    when its pool's budget allows it
+//	draining -> rebooting when every entry, at the revision that closed the VM, and the VM itself report that nothing is in flight
 //	rebooting -> checking when the VM has carried out the operation and is live
 //	checking -> active    when its backend server answers probes
 //
-// An observation that is missing never counts in favour of a step: unknown is
-// down for the budget, and not empty for a drain.
+// A missing observation never allows a step: an unknown VM counts as unavailable for the budget
+// and as not drained.
 package fleet
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -9,7 +9,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Health is what is known of a VM's backend server.
+// Health is the probed state of a VM's backend server.
 type Health string
 
 // The states of health.
@@ -19,17 +19,17 @@
 	HealthBad     Health = "bad"
 )
 
-// Observation is what was seen of one VM.
+// Observation is what was observed of one VM.
 type Observation struct {
 	Health   Health
-	Since    time.Time          // when the health became what it is, zero when that is not known
-	Status   *platform.VMStatus // nil when the VM was not asked or did not answer
-	Entries  []EntryCount       // of a draining VM
-	InFlight int                // at this entry, to rank VMs by
-	Listed   platform.VMState   // by the platform's list, empty when it is not on it
+	Since    time.Time          // when Health last changed, zero if unknown
+	Status   *platform.VMStatus // nil if the VM was not asked or did not answer
+	Entries  []EntryCount       // requests in flight to a draining VM, by entry
+	InFlight int                // from this entry, for ranking VMs
+	Listed   platform.VMState   // state in the platform's list, empty if not listed
 }
 
-// EntryCount is one entry's word on its requests in flight to a VM.
+// EntryCount is an entry's report of its requests in flight to a VM.
 type EntryCount struct {
 	Entry    string
 	Reached  bool
@@ -37,17 +37,17 @@
 	Count    int
 }
 
-// State is all that a decision rests on.
+// State is the input of a decision.
 type State struct {
 	Table    *table.Snapshot
 	Now      time.Time
 	Observed map[string]Observation // by VM
 }
 
-// ActionKind names what an action does.
+// ActionKind is the kind of an action.
 type ActionKind string
 
-// The kinds of action; those from drain on are effects on the platform.
+// The kinds of actions. Those named Effect are effects on the platform.
 const (
 	ActionAssign  ActionKind = "assign"
 	ActionRelease ActionKind = "release"
@@ -65,29 +65,29 @@
 	EffectReboot  ActionKind = "effect-reboot"
 )
 
-// Action is one thing to do.
+// Action is an edit of the table or an effect on the platform.
 type Action struct {
 	Kind      ActionKind
 	VM        string
-	Operation string         // of EffectReboot
-	Boot      int            // of EffectDrain and EffectReboot: the VM's boots when that was decided
+	Operation string         // operation ID, of EffectReboot
+	Boot      int            // of EffectDrain and EffectReboot: the VM's boot number at the decision
 	Changes   []table.Change // of an edit
 	Reason    string
 	Evidence  string
 }
 
-// IsEffect tells that the action is an effect on the platform, not an edit.
+// IsEffect reports whether the action is an effect on the platform.
 func (a Action) IsEffect() bool { return strings.HasPrefix(string(a.Kind), "effect-") }
 
-// Limits bound the decisions.
+// Limits holds the thresholds of decisions.
 type Limits struct {
-	DownAfter    time.Duration // bad health for so long takes a VM out of service
-	RepairAfter  time.Duration // a VM that is down for so long is rebooted
-	ReplaceAfter time.Duration // and after so long its pool gets another VM
-	MaxActions   int           // of one step
+	DownAfter    time.Duration // bad health for this long takes a VM out of service
+	RepairAfter  time.Duration // a VM that is down for this long is rebooted
+	ReplaceAfter time.Duration // a VM that is down for this long is replaced in its pool
+	MaxActions   int           // per step
 }
 
-// DefaultLimits are for fleets of today's size.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{
 		DownAfter: 3 * time.Second, RepairAfter: 10 * time.Second, ReplaceAfter: 30 * time.Second,
@@ -95,34 +95,34 @@
 	}
 }
 
-// Decide returns what to do next, the most urgent first.
+// Decide returns the next actions, the most urgent first.
 func Decide(s State, l Limits) []Action {
 	d := newDecider(s, l)
-	d.health()
-	d.phases()
-	d.sizes()
-	d.waves()
+	d.checkHealth()
+	d.advancePhases()
+	d.resizePools()
+	d.advanceWaves()
 	return d.actions
 }
 
-// decider collects actions.
+// decider collects the actions of one step.
 type decider struct {
 	State
 	limits      Limits
 	names       []string
-	unavailable map[string]int // by pool, by the table and by observation
-	size        map[string]int // VMs by pool
-	zones       map[place]int  // VMs by pool and zone, those that this step assigns included
-	racks       map[place]int  // and by pool and rack
+	unavailable map[string]int // VMs not in service, by pool
+	size        map[string]int // VMs, by pool
+	zones       map[domain]int // VMs by pool and zone, including those assigned in this step
+	racks       map[domain]int // the same by pool and rack
 	actions     []Action
-	touched     map[string]bool // VMs with an edit in this step
+	edited      map[string]bool // VMs edited in this step
 }
 
 func newDecider(s State, l Limits) *decider {
 	d := &decider{
 		State: s, limits: l, names: s.Table.VMs.Names(),
-		unavailable: map[string]int{}, size: map[string]int{}, touched: map[string]bool{},
-		zones: map[place]int{}, racks: map[place]int{},
+		unavailable: map[string]int{}, size: map[string]int{}, edited: map[string]bool{},
+		zones: map[domain]int{}, racks: map[domain]int{},
 	}
 	for _, name := range d.names {
 		vm := d.vm(name)
@@ -130,7 +130,7 @@
 			continue
 		}
 		d.size[vm.Pool]++
-		d.occupy(vm.Pool, name)
+		d.countDomains(vm.Pool, name)
 		if vm.Phase != schema.PhaseActive || d.Observed[name].Health != HealthGood {
 			d.unavailable[vm.Pool]++
 		}
@@ -140,15 +140,15 @@
 
 func (d *decider) vm(name string) schema.VM { return d.Table.VMs[name].Value }
 
-// full tells that the step has enough actions.
-func (d *decider) full() bool { return len(d.actions) >= d.limits.MaxActions }
+// stepFull reports whether the step has reached its maximum number of actions.
+func (d *decider) stepFull() bool { return len(d.actions) >= d.limits.MaxActions }
 
-// edit adds an edit of one VM row, at most one in a step.
+// edit adds an edit of one VM row, at most one per VM and step.
 func (d *decider) edit(kind ActionKind, name string, vm schema.VM, reason, evidence string) {
-	if d.touched[name] || d.full() {
+	if d.edited[name] || d.stepFull() {
 		return
 	}
-	d.touched[name] = true
+	d.edited[name] = true
 	if vm.Phase != d.vm(name).Phase {
 		vm.PhaseSinceMs = int(d.Now.UnixMilli())
 	}
@@ -159,12 +159,12 @@
 }
 
 func (d *decider) effect(a Action) {
-	if !d.full() {
+	if !d.stepFull() {
 		d.actions = append(d.actions, a)
 	}
 }
 
-// change is a change of a row from the version that the snapshot holds.
+// change returns a row change that is conditional on the row's version in the snapshot.
 func change[T any](s *table.Snapshot, k table.Key, v T) table.Change {
 	return table.Change{Key: k, Seen: s.Version(k), Value: table.MustValue(v)}
 }
--- a/pkg/fleet/health.go
+++ b/pkg/fleet/health.go
@@ -8,8 +8,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// health records VMs that failed and VMs that came back.
-func (d *decider) health() {
+// checkHealth marks failed VMs down and repairs or returns those that are down.
+func (d *decider) checkHealth() {
 	for _, name := range d.names {
 		vm, o := d.vm(name), d.Observed[name]
 		switch {
@@ -23,18 +23,19 @@
 	}
 }
 
-// badFor tells that a VM's health has been bad for so long.
+// badFor reports whether a VM's health has been bad for at least age.
 func (d *decider) badFor(o Observation, age time.Duration) bool {
 	return o.Health == HealthBad && !o.Since.IsZero() && d.Now.Sub(o.Since) >= age
 }
 
-// lose takes a VM out of its maintenance that does not come through it.
-func (d *decider) lose(name string, vm schema.VM, reason string) {
+// markDown marks a VM down that did not come through its maintenance.
+func (d *decider) markDown(name string, vm schema.VM, reason string) {
 	vm.Phase, vm.Wave = schema.PhaseDown, ""
-	d.edit(ActionDown, name, vm, reason, "the VM gives no status, probes fail or it does not return")
+	d.edit(ActionDown, name, vm, reason, "the VM gives no status, fails probes or does not return")
 }
 
-// repair returns a VM that is well again, reboots one that stays down and then gives its place to another.
+// repair returns a VM to service once it is healthy, reboots it if it stays down, and eventually
+// frees its place in the pool.
 func (d *decider) repair(name string, vm schema.VM, o Observation) {
 	live := o.Status != nil && o.Status.State == platform.VMLive
 	leaving := o.Status != nil && o.Status.State == platform.VMLeaving
@@ -42,11 +43,11 @@
 	age := d.phaseAge(vm)
 	switch {
 	case pending && o.Status.Boot == vm.OperationBoot:
-		// A call for this reboot may still be under way: only after it is the VM safe to use.
+		// A call for this reboot may still be in flight: the VM is not safe to use before it.
 		vm.Phase = schema.PhaseRebooting
-		d.edit(ActionReboot, name, vm, "its reboot has not been carried out yet", statusEvidence(o))
+		d.edit(ActionReboot, name, vm, "its pending reboot has not been carried out", statusEvidence(o))
 	case leaving:
-		d.effect(Action{Kind: EffectUndrain, VM: name, Reason: "the VM is down in the table, where only its own word brings it back"})
+		d.effect(Action{Kind: EffectUndrain, VM: name, Reason: "the VM is down in the table and must report that it is live"})
 	case live && o.Health == HealthGood:
 		vm.Phase = schema.PhaseActive
 		d.edit(ActionUp, name, vm, "its backend server answers probes again", statusEvidence(o))
@@ -55,8 +56,8 @@
 		vm.Pool = ""
 		d.edit(ActionReplace, name, vm, fmt.Sprintf("down for %s: pool %q gets another VM", age.Round(time.Second), pool), statusEvidence(o))
 	case live && age >= d.limits.RepairAfter && o.Status.InFlight == 0:
-		// Somebody who does not know that the VM is down may still reach it: what
-		// it works on runs out first.
+		// An entry that does not know that the VM is down may still send requests:
+		// reboot only when none is in flight.
 		vm.Phase = schema.PhaseRebooting
 		vm.Operation = operationID(name, "repair", d.Table.VMs[name].Version)
 		vm.OperationBoot = o.Status.Boot
@@ -64,7 +65,7 @@
 	}
 }
 
-// operationID is the same for every process that decides on the same row.
+// operationID returns the same ID for every process that decides on the same row version.
 func operationID(vm, why string, version int) string {
 	return fmt.Sprintf("%s-%s-%d", vm, why, version)
 }
@@ -73,6 +74,6 @@
 	if o.Status == nil {
 		return "the VM gives no status"
 	}
-	return fmt.Sprintf("the VM says: state %s, boot %d, last operation %q, %d in flight",
+	return fmt.Sprintf("the VM reports state %s, boot %d, last operation %q, %d in flight",
 		o.Status.State, o.Status.Boot, o.Status.Operation, o.Status.InFlight)
 }
--- a/pkg/fleet/phases.go
+++ b/pkg/fleet/phases.go
@@ -8,22 +8,22 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// phaseAge is how long a VM has been in its phase.
+// phaseAge returns how long a VM has been in its phase.
 func (d *decider) phaseAge(vm schema.VM) time.Duration {
 	return d.Now.Sub(time.UnixMilli(int64(vm.PhaseSinceMs)))
 }
 
-// phases moves VMs on that are out of service by plan.
-func (d *decider) phases() {
+// advancePhases advances VMs that are out of service for maintenance or release.
+func (d *decider) advancePhases() {
 	for _, name := range d.names {
 		vm, o := d.vm(name), d.Observed[name]
 		switch vm.Phase {
 		case schema.PhaseDraining:
-			d.draining(name, vm, o)
+			d.advanceDraining(name, vm, o)
 		case schema.PhaseRebooting:
-			d.rebooting(name, vm, o)
+			d.advanceRebooting(name, vm, o)
 		case schema.PhaseChecking:
-			d.checking(name, vm, o)
+			d.advanceChecking(name, vm, o)
 		case schema.PhaseActive:
 			if o.Status != nil && o.Status.State == platform.VMLeaving {
 				d.effect(Action{Kind: EffectUndrain, VM: name, Reason: "the VM is active in the table"})
@@ -32,23 +32,24 @@
 	}
 }
 
-// wanted tells that the wave a VM is in still runs; a VM without a wave drains for the buffer.
-func (d *decider) wanted(vm schema.VM) bool {
+// drainWanted reports whether a draining VM's wave still runs, or, without a wave, whether its
+// pool is still too large.
+func (d *decider) drainWanted(vm schema.VM) bool {
 	if vm.Wave == "" {
 		return d.size[vm.Pool] > d.Table.Pools[vm.Pool].Value.Size
 	}
 	return d.Table.Waves[vm.Wave].Value.State == schema.WaveStateRunning
 }
 
-func (d *decider) draining(name string, vm schema.VM, o Observation) {
-	if !d.wanted(vm) {
+func (d *decider) advanceDraining(name string, vm schema.VM, o Observation) {
+	if !d.drainWanted(vm) {
 		evidence := fmt.Sprintf("wave %q is %s", vm.Wave, d.Table.Waves[vm.Wave].Value.State)
 		vm.Phase, vm.Wave = schema.PhaseActive, ""
 		d.edit(ActionUngrant, name, vm, "the drain is no longer wanted", evidence)
 		return
 	}
 	if o.Status == nil && d.badFor(o, d.limits.RepairAfter) {
-		d.lose(name, vm, "it failed while it drained")
+		d.markDown(name, vm, "it failed while draining")
 		return
 	}
 	if blocker := DrainBlocker(d.Table.VMs[name].Version, o); blocker != "" {
@@ -57,10 +58,10 @@
 		}
 		return
 	}
-	evidence := fmt.Sprintf("%d entries say that nothing is in flight; %s", len(o.Entries), statusEvidence(o))
+	evidence := fmt.Sprintf("%d entries report nothing in flight; %s", len(o.Entries), statusEvidence(o))
 	if vm.Wave == "" {
 		vm.Phase, vm.Pool = schema.PhaseActive, ""
-		d.edit(ActionRelease, name, vm, "its pool has more VMs than its size", evidence)
+		d.edit(ActionRelease, name, vm, "its pool exceeds its size", evidence)
 		return
 	}
 	vm.Phase = schema.PhaseRebooting
@@ -69,9 +70,8 @@
 	d.edit(ActionReboot, name, vm, "drained in wave "+vm.Wave, evidence)
 }
 
-// DrainBlocker says in words what a draining VM waits for, "" when it is empty for certain.
-//
-// version is that of the row that closed the VM.
+// DrainBlocker describes what a draining VM waits for, or returns "" if nothing is in flight to it
+// for certain. version is that of the row that closed the VM.
 func DrainBlocker(version int, o Observation) string {
 	if len(o.Entries) == 0 {
 		return "no entry has been asked yet"
@@ -81,7 +81,7 @@
 		case !e.Reached:
 			return fmt.Sprintf("entry %s cannot be reached and may have requests in flight", e.Entry)
 		case e.Revision < version:
-			return fmt.Sprintf("entry %s has revision %d in force, the drain began at %d", e.Entry, e.Revision, version)
+			return fmt.Sprintf("entry %s is at revision %d, the drain started at revision %d", e.Entry, e.Revision, version)
 		case e.Count > 0:
 			return fmt.Sprintf("entry %s has %d requests in flight", e.Entry, e.Count)
 		}
@@ -90,23 +90,23 @@
 	case o.Status == nil:
 		return "the VM gives no status"
 	case o.Status.State == platform.VMLive:
-		return "the VM does not know yet that it is leaving"
+		return "the VM has not started to drain"
 	case o.Status.InFlight > 0:
 		return fmt.Sprintf("the VM has %d requests in flight", o.Status.InFlight)
 	}
 	return ""
 }
 
-func (d *decider) rebooting(name string, vm schema.VM, o Observation) {
+func (d *decider) advanceRebooting(name string, vm schema.VM, o Observation) {
 	if d.phaseAge(vm) >= d.limits.ReplaceAfter {
-		d.lose(name, vm, "it did not return from its reboot")
+		d.markDown(name, vm, "it did not return from its reboot")
 		return
 	}
 	if o.Status == nil {
 		return
 	}
 	if o.Status.Operation != vm.Operation && o.Status.Boot != vm.OperationBoot {
-		d.lose(name, vm, "it booted by itself before the operation")
+		d.markDown(name, vm, "it rebooted on its own before the operation")
 		return
 	}
 	if o.Status.Operation != vm.Operation {
@@ -123,9 +123,9 @@
 	d.edit(ActionCheck, name, vm, "the VM is back from its reboot", statusEvidence(o))
 }
 
-func (d *decider) checking(name string, vm schema.VM, o Observation) {
+func (d *decider) advanceChecking(name string, vm schema.VM, o Observation) {
 	if d.phaseAge(vm) >= d.limits.ReplaceAfter {
-		d.lose(name, vm, "its backend server does not answer probes after the reboot")
+		d.markDown(name, vm, "its backend server does not answer probes after the reboot")
 		return
 	}
 	live := o.Status != nil && o.Status.State == platform.VMLive
--- a/pkg/fleet/sizes.go
+++ b/pkg/fleet/sizes.go
@@ -7,12 +7,13 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// sizes brings pools to their size from the buffer and back to it.
-func (d *decider) sizes() {
+// resizePools assigns free VMs to pools that are too small and drains VMs of pools that are too
+// large.
+func (d *decider) resizePools() {
 	for _, pool := range d.Table.Pools.Names() {
 		row := d.Table.Pools[pool].Value
 		for d.size[pool] < row.Size {
-			name, ok := d.bestFree(pool)
+			name, ok := d.bestFreeVM(pool)
 			if !ok {
 				break
 			}
@@ -20,28 +21,28 @@
 			vm.Pool = pool
 			d.edit(ActionAssign, name, vm, fmt.Sprintf("pool %q has %d of %d VMs", pool, d.size[pool], row.Size),
 				fmt.Sprintf("the VM is free and healthy; of the pool's VMs %d are in its zone %q", d.inZone(pool, name), d.Table.ZoneOf(name)))
-			if !d.touched[name] {
-				return // the step is full
+			if !d.edited[name] {
+				return // too many actions in this step
 			}
 			d.size[pool]++
-			d.occupy(pool, name)
+			d.countDomains(pool, name)
 		}
 		if d.size[pool] > row.Size && d.unavailable[pool] < row.MaxUnavailable {
-			d.release(pool)
+			d.drainSurplusVM(pool)
 		}
 	}
 }
 
-// bestFree returns the free VM that spreads a pool best over zones and racks.
-func (d *decider) bestFree(pool string) (best string, ok bool) {
+// bestFreeVM returns the free VM that spreads a pool best over zones and racks.
+func (d *decider) bestFreeVM(pool string) (best string, ok bool) {
 	type rank struct{ zone, rack int }
 	var bestRank rank
 	for _, name := range d.names {
 		vm := d.vm(name)
-		if vm.Pool != "" || vm.Phase != schema.PhaseActive || d.touched[name] || d.Observed[name].Health == HealthBad {
+		if vm.Pool != "" || vm.Phase != schema.PhaseActive || d.edited[name] || d.Observed[name].Health == HealthBad {
 			continue
 		}
-		r := rank{zone: d.inZone(pool, name), rack: d.racks[place{pool, vm.Rack}]}
+		r := rank{zone: d.inZone(pool, name), rack: d.racks[domain{pool, vm.Rack}]}
 		if !ok || r.zone < bestRank.zone || r.zone == bestRank.zone && r.rack < bestRank.rack {
 			best, bestRank, ok = name, r, true
 		}
@@ -49,20 +50,20 @@
 	return best, ok
 }
 
-// place is a failure domain as a pool uses it.
-type place struct{ pool, domain string }
+// domain is a failure domain, a zone or a rack, as used by a pool.
+type domain struct{ pool, name string }
 
-// inZone counts the pool's VMs in the zone of a VM.
-func (d *decider) inZone(pool, name string) int { return d.zones[place{pool, d.Table.ZoneOf(name)}] }
+// inZone returns the number of the pool's VMs in the zone of a VM.
+func (d *decider) inZone(pool, name string) int { return d.zones[domain{pool, d.Table.ZoneOf(name)}] }
 
-// occupy counts a VM for the failure domains that it is in.
-func (d *decider) occupy(pool, name string) {
-	d.zones[place{pool, d.Table.ZoneOf(name)}]++
-	d.racks[place{pool, d.vm(name).Rack}]++
+// countDomains counts a VM in its failure domains.
+func (d *decider) countDomains(pool, name string) {
+	d.zones[domain{pool, d.Table.ZoneOf(name)}]++
+	d.racks[domain{pool, d.vm(name).Rack}]++
 }
 
-// release drains the idlest VM of a pool that is too large.
-func (d *decider) release(pool string) {
+// drainSurplusVM drains the VM with the fewest requests in flight of a pool that is too large.
+func (d *decider) drainSurplusVM(pool string) {
 	candidates := d.candidates(func(vm schema.VM) bool { return vm.Pool == pool })
 	if len(candidates) == 0 {
 		return
@@ -75,11 +76,12 @@
 	d.unavailable[pool]++
 }
 
-// candidates returns healthy active VMs that match, the idlest first, so that long requests get time to run out.
+// candidates returns the healthy active VMs that match, those with the fewest requests in flight
+// first, so that long requests can finish.
 func (d *decider) candidates(match func(schema.VM) bool) (names []string) {
 	for _, name := range d.names {
 		vm := d.vm(name)
-		if vm.Phase == schema.PhaseActive && !d.touched[name] && d.Observed[name].Health == HealthGood && match(vm) {
+		if vm.Phase == schema.PhaseActive && !d.edited[name] && d.Observed[name].Health == HealthGood && match(vm) {
 			names = append(names, name)
 		}
 	}
--- a/pkg/fleet/wave.go
+++ b/pkg/fleet/wave.go
@@ -8,30 +8,30 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Progress is how far a wave is.
+// Progress counts the VMs of a wave.
 type Progress struct {
-	Total   int // VMs in its scope
-	Done    int // maintained by it
-	Current int // out of service for it now
-	Down    int // failed, which the wave does not wait for
+	Total   int // VMs in the wave's scope
+	Done    int // VMs maintained
+	Current int // VMs out of service for the wave
+	Down    int // failed VMs, which the wave does not wait for
 }
 
-// Left is the number of VMs that the wave has not begun.
+// Left returns the number of VMs whose maintenance has not started.
 func (p Progress) Left() int { return p.Total - p.Done - p.Current - p.Down }
 
-// InScope tells whether a wave maintains the VMs of a pool; the buffer has the empty name.
+// InScope reports whether a wave covers the VMs of a pool; the empty name stands for free VMs.
 func InScope(w schema.Wave, pool string) bool {
 	return len(w.Pools) == 0 || slices.Contains(w.Pools, pool)
 }
 
-// Through tells whether a wave has nothing to do on a VM: it maintained it, or
-// another wave did since this one began, which is as good. Without the second,
-// waves that overlap would each undo the other's mark and never end.
-func Through(name string, w schema.Wave, vm schema.VM) bool {
+// IsMaintained reports whether a VM needs no maintenance by a wave: this wave, or another one
+// since this one started, maintained it. Otherwise overlapping waves would overwrite each other's
+// marks and never end.
+func IsMaintained(name string, w schema.Wave, vm schema.VM) bool {
 	return vm.MaintainedBy == name || w.StartedAtMs > 0 && vm.MaintainedAtMs >= w.StartedAtMs
 }
 
-// ProgressOf counts the VMs of a wave.
+// ProgressOf returns the progress of a wave.
 func ProgressOf(s *table.Snapshot, name string) (p Progress) {
 	wave := s.Waves[name].Value
 	for _, row := range s.VMs {
@@ -43,7 +43,7 @@
 		switch {
 		case vm.Wave == name:
 			p.Current++
-		case Through(name, wave, vm):
+		case IsMaintained(name, wave, vm):
 			p.Done++
 		case vm.Phase == schema.PhaseDown:
 			p.Down++
@@ -52,8 +52,8 @@
 	return p
 }
 
-// waves grants maintenance to VMs of running waves and ends waves that are through.
-func (d *decider) waves() {
+// advanceWaves starts requested waves, selects VMs of running waves and ends completed ones.
+func (d *decider) advanceWaves() {
 	for _, name := range d.Table.Waves.Names() {
 		wave := d.Table.Waves[name].Value
 		if wave.State != schema.WaveStateRunning {
@@ -63,11 +63,11 @@
 		switch {
 		case wave.StartedAtMs == 0:
 			wave.StartedAtMs = int(d.Now.UnixMilli())
-			d.editWave(name, wave, fmt.Sprintf("the wave begins: %d VMs", progress.Total), "its state is running")
+			d.editWave(name, wave, fmt.Sprintf("the wave starts: %d VMs", progress.Total), "its state is running")
 		case progress.Left() == 0 && progress.Current == 0:
 			wave.State = schema.WaveStateDone
 			wave.FinishedAtMs = int(d.Now.UnixMilli())
-			d.editWave(name, wave, "every VM has returned", fmt.Sprintf("%d maintained, %d down", progress.Done, progress.Down))
+			d.editWave(name, wave, "no VM is left to maintain", fmt.Sprintf("%d maintained, %d down", progress.Done, progress.Down))
 		default:
 			d.grant(name, wave, progress)
 		}
@@ -75,7 +75,7 @@
 }
 
 func (d *decider) editWave(name string, wave schema.Wave, reason, evidence string) {
-	if d.full() {
+	if d.stepFull() {
 		return
 	}
 	d.actions = append(d.actions, Action{
@@ -84,13 +84,13 @@
 	})
 }
 
-// grant takes VMs out of service as far as budgets and the wave's own limit allow.
+// grant starts draining VMs as far as the pools' budgets and the wave's limit allow.
 func (d *decider) grant(name string, wave schema.Wave, progress Progress) {
 	current := progress.Current
 	for _, vmName := range d.candidates(func(vm schema.VM) bool {
-		return InScope(wave, vm.Pool) && !Through(name, wave, vm)
+		return InScope(wave, vm.Pool) && !IsMaintained(name, wave, vm)
 	}) {
-		if wave.MaxParallel > 0 && current >= wave.MaxParallel || d.full() {
+		if wave.MaxParallel > 0 && current >= wave.MaxParallel || d.stepFull() {
 			return
 		}
 		vm := d.vm(vmName)
