--- a/pkg/fleet/wave.go
+++ b/pkg/fleet/wave.go
@@ -25,8 +25,8 @@
 }
 
 // IsMaintained reports whether a VM needs no maintenance by a wave: this wave, or another one
-// since this one started, maintained it. Otherwise overlapping waves would overwrite each other's
-// marks and never end.
+// since this one started, maintained it. Without the second case, overlapping waves would
+// overwrite each other's marks and never end.
 func IsMaintained(name string, w schema.Wave, vm schema.VM) bool {
 	return vm.MaintainedBy == name || w.StartedAtMs > 0 && vm.MaintainedAtMs >= w.StartedAtMs
 }
--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -252,9 +252,9 @@
 			lead += 2 * time.Second
 			return clockAhead{Rows: rows, by: lead}
 		},
-		"announcements are not kept":              func(rows platform.Rows) platform.Rows { return droppedAnnouncements{rows} },
-		"announcements without preconditions":     func(rows platform.Rows) platform.Rows { return noPreconditions{rows} },
-		"what a former holder announced is empty": func(rows platform.Rows) platform.Rows { return hiddenAnnouncements{rows} },
+		"announcements are dropped":              func(rows platform.Rows) platform.Rows { return droppedAnnouncements{rows} },
+		"announcements without preconditions":    func(rows platform.Rows) platform.Rows { return noPreconditions{rows} },
+		"announcements of former holders hidden": func(rows platform.Rows) platform.Rows { return hiddenAnnouncements{rows} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := prop.Finds(t, orderGapProperty(func(m *orderGapMachine) {
--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -50,7 +50,7 @@
 	MaxPerWorker      int                `msgpack:"m,omitempty"` // tasks of the step on one worker, 0 for no limit
 	Image             string             `msgpack:"i,omitempty"` // tasks with the same image are expected to behave alike
 	TailTarget        time.Duration      `msgpack:"q,omitempty"` // tail latency target of a serving task
-	MaxUnavailable    int                `msgpack:"y,omitempty"` // long-running tasks that may be disrupted at the same time
+	MaxUnavailable    int                `msgpack:"y,omitempty"` // long-running tasks that drains may interrupt at the same time
 	HasMaxUnavailable bool               `msgpack:"z,omitempty"` // MaxUnavailable was given
 }
 
