--- a/pkg/allowance/divide_test.go
+++ b/pkg/allowance/divide_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// TestDivide plays testdata/divide: a line a shard with what runs, is wanted and the
-// least step, and the shares that come of it.
+// Runs testdata/divide: one line per shard with its running work, demand and smallest start, and
+// the resulting shares.
 func TestDivide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/divide", func(t *testing.T, d *datadriven.TestData) string {
-		var uses []Use
+		var uses []Usage
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 			var v [3]float64
 			for i, f := range strings.Fields(line) {
@@ -24,7 +24,7 @@
 				}
 				v[i] = x
 			}
-			uses = append(uses, Use{Running: v[0], Wanted: v[1], Step: v[2]})
+			uses = append(uses, Usage{Running: v[0], Demand: v[1], MinStart: v[2]})
 		}
 		var out strings.Builder
 		for _, share := range Divide(uses) {
@@ -34,18 +34,17 @@
 	})
 }
 
-// TestDivideProperties divides among any shards: never more than the whole limit unless
-// more runs already, never less than what runs, and no shard that wants gets less than
-// it could have while another has more than it wants.
+// Shares never exceed the limit unless more runs already, never fall below what runs, and leave no
+// shard waiting for what another has to spare.
 func TestDivideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var uses []Use
+		var uses []Usage
 		running := 0.0
 		for range rapid.IntRange(1, 8).Draw(t, "shards") {
-			u := Use{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
+			u := Usage{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
 			if rapid.Bool().Draw(t, "waits") {
-				u.Step = rapid.Float64Range(0.0001, 0.5).Draw(t, "step")
-				u.Wanted = u.Running + u.Step*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
+				u.MinStart = rapid.Float64Range(0.0001, 0.5).Draw(t, "step")
+				u.Demand = u.Running + u.MinStart*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
 			}
 			running += u.Running
 			uses = append(uses, u)
@@ -54,18 +53,18 @@
 		for i, share := range Divide(uses) {
 			u := &uses[i]
 			sum += share
-			if share < u.Running-rounding {
-				t.Fatalf("shard %d gets %f, and %f runs there", i, share, u.Running)
+			if share < u.Running-epsilon {
+				t.Fatalf("shard %d gets %f, but %f runs there", i, share, u.Running)
 			}
-			spare = max(spare, share-u.want())
-			if u.Step > 0 && share < u.Running+u.Step-rounding {
-				short = max(short, 1/u.Step)
+			spare = max(spare, share-u.demand())
+			if u.MinStart > 0 && share < u.Running+u.MinStart-epsilon {
+				short = max(short, 1/u.MinStart)
 			}
 		}
-		if sum > max(1, running)+rounding {
-			t.Fatalf("shares sum to %f, %f runs: %+v", sum, running, uses)
+		if sum > max(1, running)+epsilon {
+			t.Fatalf("shares sum to %f while %f runs: %+v", sum, running, uses)
 		}
-		if short > 0 && spare > 1/short+rounding {
+		if short > 0 && spare > 1/short+epsilon {
 			t.Fatalf("a shard has %f to spare while another cannot start a task of %f: %+v", spare, 1/short, uses)
 		}
 	})
--- a/pkg/catalog/account_test.go
+++ b/pkg/catalog/account_test.go
@@ -8,15 +8,15 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TestAdmit looks keys up for open and closed queues.
+// Tests Admit for public queues, for queues that need a key, and without accounts.
 func TestAdmit(t *testing.T) {
 	c := qt.New(t)
 	cat := New(Catalog{
-		KeysNeeded: true,
-		Queues:     []Queue{{Name: "closed"}, {Name: "open", Public: true}},
+		KeysRequired: true,
+		Queues:       []Queue{{Name: "closed"}, {Name: "open", Public: true}},
 		Accounts: []Account{
-			{Name: "north", Keys: []Key{KeyOf("k1"), KeyOf("k2")}},
-			{Name: "south", Keys: []Key{KeyOf("k3")}},
+			{Name: "north", Keys: []KeyHash{HashKey("k1"), HashKey("k2")}},
+			{Name: "south", Keys: []KeyHash{HashKey("k3")}},
 			{Name: "none"},
 		},
 	})
@@ -47,19 +47,19 @@
 	c.Check(cat.Account("west"), qt.IsNil)
 }
 
-// TestCheckAccounts refuses what makes no sense, without telling a key.
+// Invalid accounts are rejected, and error messages show only key fingerprints.
 func TestCheckAccounts(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
 		accounts []Account
 		err      string
 	}{
-		{[]Account{{Name: "a", Keys: []Key{KeyOf("k")}}, {Name: "b"}}, ""},
-		{[]Account{{Name: "a", Keys: []Key{KeyOf("k"), KeyOf("k")}}}, ""},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("k")}}, {Name: "b"}}, ""},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("k"), HashKey("k")}}}, ""},
 		{[]Account{{Name: "a"}, {}}, "accounts: account 1 has no name"},
 		{[]Account{{Name: "a"}, {Name: "a"}}, "accounts: two accounts are named a"},
-		{[]Account{{Name: "a", Keys: []Key{KeyOf("")}}}, "accounts: account a has an empty key"},
-		{[]Account{{Name: "a", Keys: []Key{KeyOf("k")}}, {Name: "b", Keys: []Key{KeyOf("k")}}}, "accounts: accounts a and b have the key 8254c329"},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("")}}}, "accounts: account a has an empty key"},
+		{[]Account{{Name: "a", Keys: []KeyHash{HashKey("k")}}, {Name: "b", Keys: []KeyHash{HashKey("k")}}}, "accounts: accounts a and b have the key 8254c329"},
 		{[]Account{{Name: "a", Weight: -1}}, "accounts: account a: the weight -1 is negative"},
 		{[]Account{{Name: "a", Limit: platform.Resources{MemoryMB: -1}}}, "accounts: account a: the limit .* is negative"},
 	} {
--- a/pkg/node/accounts.go
+++ b/pkg/node/accounts.go
@@ -50,7 +50,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	all := map[string][]api.AccountInPool{}
-	for _, pool := range cat.WorkingPools() {
+	for _, pool := range cat.ActivePools() {
 		wg.Go(func() {
 			l, ok := n.loadOf(ctx, pool, &allowance.Grant{Full: true}) // names no holder, so it grants nothing
 			if !ok {
@@ -60,7 +60,7 @@
 			defer mu.Unlock()
 			for _, u := range l.Accounts.Accounts {
 				all[u.Account] = append(all[u.Account], api.AccountInPool{
-					Pool: pool, Bound: l.Accounts.Bound, Running: u.Running, Wanted: u.Wanted, Share: u.Share,
+					Pool: pool, Bound: l.Accounts.Enforced, Running: u.Running, Wanted: u.Demand, Share: u.Share,
 				})
 			}
 		})
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -72,8 +72,8 @@
 func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Empty: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
-		Pause: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, Takes: seconds(n.settings.Timing.MaintenanceS),
+		Rows: n.rows, Machines: n.platform, Drain: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
+		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
 		Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat)
 	if err != nil {
--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -56,7 +56,7 @@
 func (l workload) simulate(o ordering) []result {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	got := make([]result, l.accounts)
-	book := jobs.NewBook(1)
+	book := jobs.NewRegistry(1)
 	var hosts []*Host
 	for i := range l.hosts {
 		c := platform.Resources{CPU: 32000}
@@ -93,7 +93,7 @@
 				return false
 			}
 			j := e.a.Task.Step.Job
-			book.End(e.a.Task, e.a, e.a.Number, platform.EndDone, "")
+			book.EndAttempt(e.a.Task, e.a, e.a.Number, platform.EndDone, "")
 			running[j.Account]--
 			e.host.unplace(e.a.Task.Step)
 			if j.State.Final() {
@@ -121,7 +121,7 @@
 		}
 		o(cs, now, running)
 		for _, st := range Plan(cs, hosts, 1<<20) {
-			ends = append(ends, end{at: now + taskTime, a: book.Begin(st.Task, st.Host.Boot, now), host: st.Host})
+			ends = append(ends, end{at: now + taskTime, a: book.StartAttempt(st.Task, st.Host.Boot, now), host: st.Host})
 			running[st.Task.Step.Job.Account]++
 		}
 	}
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -21,12 +21,12 @@
 func (d *demand) startable(s *jobs.StepRun, n int) int {
 	account := s.Job.Account
 	limit := d.o.limitOf(account)
-	if limit == (platform.Resources{}) || !d.o.accounts.shares.Bound() {
+	if limit == (platform.Resources{}) || !d.o.accounts.shares.Enforced() {
 		return n
 	}
 	b := d.budgets[account]
 	if b == nil {
-		b = placement.NewBudget(limit, 1, d.o.book.Held(account))
+		b = placement.NewBudget(limit, 1, d.o.book.Allocated(account))
 		d.budgets[account] = b
 	}
 	return b.TakeUpTo(s.Spec, n)
@@ -38,12 +38,12 @@
 	r := o.accounts.shares.Report()
 	r.Full = full
 	unbooked := o.unbookedUsage()
-	uses := map[string]*allowance.Use{}
-	use := func(account string) *allowance.Use {
+	uses := map[string]*allowance.Usage{}
+	use := func(account string) *allowance.Usage {
 		u := uses[account]
 		if u == nil {
-			running := placement.MaxFraction(o.book.Held(account).Add(unbooked[account]), o.limitOf(account))
-			u = &allowance.Use{Account: account, Running: running, Wanted: running, Share: o.accounts.shares.Outstanding(account)}
+			running := placement.MaxFraction(o.book.Allocated(account).Add(unbooked[account]), o.limitOf(account))
+			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
 		return u
@@ -55,7 +55,7 @@
 			addWaiting(use(account), s.Spec, len(idle), o.limitOf(account))
 		}
 	})
-	o.book.EachHeld(func(account string) {
+	o.book.EachAllocated(func(account string) {
 		if limited(account) {
 			use(account)
 		}
@@ -66,7 +66,7 @@
 		}
 	}
 	if full {
-		o.accounts.shares.Accounts(func(account string) { use(account) })
+		o.accounts.shares.EachAccount(func(account string) { use(account) })
 	}
 	for _, u := range uses {
 		r.Accounts = append(r.Accounts, *u)
@@ -75,16 +75,16 @@
 }
 
 // addWaiting adds n waiting tasks to an account's demand.
-func addWaiting(u *allowance.Use, st *jobs.Step, n int, limit platform.Resources) {
+func addWaiting(u *allowance.Usage, st *jobs.Step, n int, limit platform.Resources) {
 	fraction := func(tasks int) float64 {
 		return placement.MaxFraction(placement.LimitCharge(st.Needs, limit, tasks), limit)
 	}
-	u.Wanted += float64(n) * fraction(1)
+	u.Demand += float64(n) * fraction(1)
 	step := fraction(1)
 	if st.Gang {
 		step = fraction(n)
 	}
-	if u.Step == 0 || step < u.Step {
-		u.Step = step
+	if u.MinStart == 0 || step < u.MinStart {
+		u.MinStart = step
 	}
 }
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -15,7 +15,7 @@
 
 // accounts is the state of client accounts, beyond the catalog.
 type accounts struct {
-	shares     *allowance.Shard              // of the limits of accounts
+	shares     *allowance.ShardShares        // of the limits of accounts
 	changed    bool                          // the shares are to be written
 	removed    map[string]platform.Resources // limits of accounts no longer in the catalog
 	loggedAt   map[string]time.Duration      // when an account was last logged as at its limit
@@ -24,7 +24,7 @@
 
 func newAccounts(stored allowance.Row) accounts {
 	return accounts{
-		shares: allowance.NewShard(stored), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
+		shares: allowance.NewShardShares(stored), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
 		guaranteed: map[string]*guaranteedRate{},
 	}
 }
@@ -54,7 +54,7 @@
 func (o *Owner) ApplyGrant(g allowance.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over || o.releasing || !o.accounts.shares.Take(g) {
+	if o.over || o.releasing || !o.accounts.shares.Apply(g) {
 		return
 	}
 	o.log.Info().Str("event", "shares_taken").Int64("holder_term", g.Term).Int64("seq", g.Seq).Int("accounts", len(g.Shares)).Send()
@@ -68,7 +68,7 @@
 	if !o.accounts.changed || !b.room() {
 		return nil
 	}
-	row := o.accounts.shares.Next()
+	row := o.accounts.shares.Pending()
 	raw, err := encode(row)
 	if err != nil {
 		return err
@@ -95,7 +95,7 @@
 		}
 	}
 	if o.heldAll {
-		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unseen()) })
+		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
 		return sum
 	}
 	for _, s := range o.sessions {
@@ -126,8 +126,8 @@
 	}
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
-	if limit != (platform.Resources{}) && b.o.accounts.shares.Bound() {
-		running := b.o.book.Held(account).Add(b.unbooked[account])
+	if limit != (platform.Resources{}) && b.o.accounts.shares.Enforced() {
+		running := b.o.book.Allocated(account).Add(b.unbooked[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
 	b.byName[account] = budget
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -122,7 +122,7 @@
 		o.mu.Unlock()
 		return out
 	}
-	if j.Kept.Final() {
+	if j.PersistedState.Final() {
 		o.mu.Unlock()
 		return schema.CallOutcomeOk
 	}
@@ -150,7 +150,7 @@
 	if out != schema.CallOutcomeOk {
 		return "", out
 	}
-	return j.Kept, out
+	return j.PersistedState, out
 }
 
 // find returns a job that the requester may see; one of another account is reported as not found.
@@ -178,12 +178,12 @@
 	if o.over {
 		return 0, schema.CallOutcomeNotOwner
 	}
-	return o.book.Waiting(queue), schema.CallOutcomeOk
+	return o.book.CountQueued(queue), schema.CallOutcomeOk
 }
 
 // answerWaiters answers the calls that wait for the final state of a job; the lock is held.
 func (o *Owner) answerWaiters(j *jobs.Job) {
-	if !j.Kept.Final() {
+	if !j.PersistedState.Final() {
 		return
 	}
 	for _, done := range o.waiters[j] {
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -30,7 +30,7 @@
 	o.heldAll = o.heldAll || !s.former.listed
 	for _, name := range s.former.names {
 		if t := o.book.Task(name); t != nil {
-			t.MaybeAt++
+			t.PossibleWorkers++
 		}
 	}
 }
@@ -44,8 +44,8 @@
 		o.recordUnheardLoss(s)
 	}
 	for _, name := range s.former.names {
-		if t := o.book.Task(name); t != nil && t.MaybeAt > 0 {
-			t.MaybeAt--
+		if t := o.book.Task(name); t != nil && t.PossibleWorkers > 0 {
+			t.PossibleWorkers--
 		}
 	}
 	s.former = formerTasks{}
@@ -79,12 +79,12 @@
 
 // onTakeoverComplete does what waits until all inherited workers have reported or ended.
 func (o *Owner) onTakeoverComplete() {
-	o.book.AllSeen()
+	o.book.MarkReconciled()
 	o.failRestoredPoison()
 }
 
 // mayRunElsewhere reports whether a task may be running, or have ended, at a worker that has not
 // reported since the takeover.
 func (o *Owner) mayRunElsewhere(t *jobs.Task) bool {
-	return t.MaybeAt > 0 || o.heldAll && t.Step.Job.Restored
+	return t.PossibleWorkers > 0 || o.heldAll && t.Step.Job.Restored
 }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -19,10 +19,10 @@
 		s.resolve(schema.CallOutcomeOk)
 	}
 	for i, j := range b.jobs {
-		j.KeepEvidence(b.evidence[i])
+		j.MarkEvidencePersisted(b.evidence[i])
 		o.sendDeferred(j)
 		if b.states[i].Final() {
-			j.Kept = b.states[i]
+			j.PersistedState = b.states[i]
 			o.finals = append(o.finals, finalJob{id: j.ID, at: now})
 		}
 		o.answerWaiters(j)
@@ -33,7 +33,7 @@
 		s.kick()
 	}
 	if b.shares != nil {
-		o.accounts.shares.Keep(*b.shares)
+		o.accounts.shares.MarkPersisted(*b.shares)
 	}
 	o.acknowledge(b)
 	o.failRefused()
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -87,10 +87,10 @@
 			boots[step] = append(boots[step], st.Host.Boot)
 			continue
 		}
-		o.order(o.book.Begin(st.Task, st.Host.Boot, now))
+		o.order(o.book.StartAttempt(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
-		for _, a := range o.book.BeginGang(step, boots[step], now) {
+		for _, a := range o.book.StartGang(step, boots[step], now) {
 			o.order(a)
 		}
 	}
@@ -200,7 +200,7 @@
 	wall := time.Duration(time.Now().UnixNano())
 	for _, j := range o.book.Active() {
 		for _, s := range j.Steps {
-			if !s.Open() || s.Finished() || s.Due() > wall {
+			if !s.Ready() || s.Finished() || s.Due() > wall {
 				continue
 			}
 			if idle := o.idle(s, withHeld); len(idle) > 0 {
@@ -213,7 +213,7 @@
 // idle returns the tasks of a step that may start now, with held also those that
 // must wait for the end of a takeover.
 func (o *Owner) idle(s *jobs.StepRun, withHeld bool) (tasks []*jobs.Task) {
-	if s.Waiting() == 0 && !s.Spec.Speculative {
+	if s.CountWaiting() == 0 && !s.Spec.Speculative {
 		return nil
 	}
 	for _, t := range s.Tasks {
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -36,7 +36,7 @@
 
 // storedState is what the table service holds of a shard.
 type storedState struct {
-	book              *jobs.Book
+	book              *jobs.Registry
 	unreadable        map[string]bool // IDs of jobs with a malformed row
 	workers           []leasedWorker
 	record            workerRecord
@@ -61,7 +61,7 @@
 // of quota shares is an error, since nothing could be started within the limits of accounts.
 func readStoredState(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k storedState, err error) {
 	defer func() { err = errors.Wrapf(err, "read shard %s", pool) }()
-	k.book, k.unreadable = jobs.NewBook(term), map[string]bool{}
+	k.book, k.unreadable = jobs.NewRegistry(term), map[string]bool{}
 	records, err := readAll(ctx, rows, tableJob, pool)
 	if err != nil {
 		return k, err
@@ -77,7 +77,7 @@
 			k.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
-		if err := record.Spec.Holdable(); err != nil {
+		if err := record.Spec.CheckTaskCount(); err != nil {
 			// An earlier version accepted a job that is too large for this one.
 			k.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -116,9 +116,9 @@
 		}
 	}
 	s.health.note(e.Reason, now)
-	effect := o.book.End(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
+	effect := o.book.EndAttempt(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
 	ev.Str("job_state", string(t.Step.Job.State)).Send()
-	if effect.Keep {
+	if effect.MustPersist {
 		o.persist(t.Step.Job, effect.JobEnded)
 	}
 	for _, surplus := range effect.Surplus {
@@ -164,7 +164,7 @@
 	if a := s.attempts[name]; a != nil {
 		o.dropProvisionalLoss(a.Attempt)
 		s.letGo(name)
-		o.book.Drop(a.Attempt)
+		o.book.RemoveAttempt(a.Attempt)
 		if a.lostWith != "" {
 			o.confirmLoss(a.Task, a.lostWith)
 		}
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -104,7 +104,7 @@
 // failIfPoison fails the job of a task that is known to crash its workers.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != blame.Poison || !o.book.GiveUp(t) {
+	if t.Verdict() != blame.Poison || !o.book.FailJobOf(t) {
 		return
 	}
 	boots := zerolog.Arr()
