--- a/pkg/fleet/health.go
+++ b/pkg/fleet/health.go
@@ -31,7 +31,7 @@
 // markDown marks a VM down that did not come through its maintenance.
 func (d *decider) markDown(name string, vm schema.VM, reason string) {
 	vm.Phase, vm.Wave = schema.PhaseDown, ""
-	d.edit(ActionDown, name, vm, reason, "the VM gives no status, fails probes or does not return")
+	d.edit(ActionDown, name, vm, reason, "the VM gives no status, probes fail or it does not return")
 }
 
 // repair returns a VM to service once it is healthy, reboots it if it stays down, and eventually
@@ -45,9 +45,9 @@
 	case pending && o.Status.Boot == vm.OperationBoot:
 		// A call for this reboot may still be in flight: the VM is not safe to use before it.
 		vm.Phase = schema.PhaseRebooting
-		d.edit(ActionReboot, name, vm, "its pending reboot has not been carried out", statusEvidence(o))
+		d.edit(ActionReboot, name, vm, "its reboot has not been carried out yet", statusEvidence(o))
 	case leaving:
-		d.effect(Action{Kind: EffectUndrain, VM: name, Reason: "the VM is down in the table and must report that it is live"})
+		d.effect(Action{Kind: EffectUndrain, VM: name, Reason: "the VM is down in the table, where only its own word brings it back"})
 	case live && o.Health == HealthGood:
 		vm.Phase = schema.PhaseActive
 		d.edit(ActionUp, name, vm, "its backend server answers probes again", statusEvidence(o))
@@ -74,6 +74,6 @@
 	if o.Status == nil {
 		return "the VM gives no status"
 	}
-	return fmt.Sprintf("the VM reports state %s, boot %d, last operation %q, %d in flight",
+	return fmt.Sprintf("the VM says: state %s, boot %d, last operation %q, %d in flight",
 		o.Status.State, o.Status.Boot, o.Status.Operation, o.Status.InFlight)
 }
--- a/pkg/fleet/phases.go
+++ b/pkg/fleet/phases.go
@@ -49,7 +49,7 @@
 		return
 	}
 	if o.Status == nil && d.badFor(o, d.limits.RepairAfter) {
-		d.markDown(name, vm, "it failed while draining")
+		d.markDown(name, vm, "it failed while it drained")
 		return
 	}
 	if blocker := DrainBlocker(d.Table.VMs[name].Version, o); blocker != "" {
@@ -58,10 +58,10 @@
 		}
 		return
 	}
-	evidence := fmt.Sprintf("%d entries report nothing in flight; %s", len(o.Entries), statusEvidence(o))
+	evidence := fmt.Sprintf("%d entries say that nothing is in flight; %s", len(o.Entries), statusEvidence(o))
 	if vm.Wave == "" {
 		vm.Phase, vm.Pool = schema.PhaseActive, ""
-		d.edit(ActionRelease, name, vm, "its pool exceeds its size", evidence)
+		d.edit(ActionRelease, name, vm, "its pool has more VMs than its size", evidence)
 		return
 	}
 	vm.Phase = schema.PhaseRebooting
@@ -81,7 +81,7 @@
 		case !e.Reached:
 			return fmt.Sprintf("entry %s cannot be reached and may have requests in flight", e.Entry)
 		case e.Revision < version:
-			return fmt.Sprintf("entry %s is at revision %d, the drain started at revision %d", e.Entry, e.Revision, version)
+			return fmt.Sprintf("entry %s has revision %d in force, the drain began at %d", e.Entry, e.Revision, version)
 		case e.Count > 0:
 			return fmt.Sprintf("entry %s has %d requests in flight", e.Entry, e.Count)
 		}
@@ -90,7 +90,7 @@
 	case o.Status == nil:
 		return "the VM gives no status"
 	case o.Status.State == platform.VMLive:
-		return "the VM has not started to drain"
+		return "the VM does not know yet that it is leaving"
 	case o.Status.InFlight > 0:
 		return fmt.Sprintf("the VM has %d requests in flight", o.Status.InFlight)
 	}
@@ -106,7 +106,7 @@
 		return
 	}
 	if o.Status.Operation != vm.Operation && o.Status.Boot != vm.OperationBoot {
-		d.markDown(name, vm, "it rebooted on its own before the operation")
+		d.markDown(name, vm, "it booted by itself before the operation")
 		return
 	}
 	if o.Status.Operation != vm.Operation {
--- a/pkg/fleet/wave.go
+++ b/pkg/fleet/wave.go
@@ -63,11 +63,11 @@
 		switch {
 		case wave.StartedAtMs == 0:
 			wave.StartedAtMs = int(d.Now.UnixMilli())
-			d.editWave(name, wave, fmt.Sprintf("the wave starts: %d VMs", progress.Total), "its state is running")
+			d.editWave(name, wave, fmt.Sprintf("the wave begins: %d VMs", progress.Total), "its state is running")
 		case progress.Left() == 0 && progress.Current == 0:
 			wave.State = schema.WaveStateDone
 			wave.FinishedAtMs = int(d.Now.UnixMilli())
-			d.editWave(name, wave, "no VM is left to maintain", fmt.Sprintf("%d maintained, %d down", progress.Done, progress.Down))
+			d.editWave(name, wave, "every VM has returned", fmt.Sprintf("%d maintained, %d down", progress.Done, progress.Down))
 		default:
 			d.grant(name, wave, progress)
 		}
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -51,7 +51,7 @@
 }
 
 // errSuperseded cancels an attempt after a hedged attempt has responded.
-var errSuperseded = errors.New("superseded by another attempt")
+var errSuperseded = errors.New("another attempt has answered")
 
 // newAttempt prepares an attempt at a claimed server and returns the function that runs it. ctx
 // must outlive the attempt.
@@ -101,7 +101,7 @@
 type errTruncatedResponse struct{ cause error }
 
 // Error returns the cause of the truncation.
-func (e errTruncatedResponse) Error() string { return "response truncated: " + e.cause.Error() }
+func (e errTruncatedResponse) Error() string { return "the answer broke off: " + e.cause.Error() }
 
 // isUnavailable reports whether the backend server responded 502, 503 or 504.
 func (a *attempt) isUnavailable() bool {
@@ -141,7 +141,7 @@
 func (a *attempt) classifyFailure(ctx context.Context) {
 	cause := a.err
 	outcome := a.trace.abort()
-	failure := ErrRequest{Status: http.StatusBadGateway, Outcome: outcome, Reason: ReasonBroken, Detail: "exchange with the backend server failed: " + cause.Error()}
+	failure := ErrRequest{Status: http.StatusBadGateway, Outcome: outcome, Reason: ReasonBroken, Detail: "the exchange with the backend server broke: " + cause.Error()}
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.Is(context.Cause(ctx), errSuperseded):
@@ -149,23 +149,23 @@
 		return
 	case errors.As(cause, &tooLarge):
 		failure.Status, failure.Reason = http.StatusRequestEntityTooLarge, ReasonTooLarge
-		failure.Detail = "request body exceeds the route's limit"
+		failure.Detail = "the body is larger than the route takes"
 		a.err = failure
 		return
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		failure.Status, failure.Reason = http.StatusGatewayTimeout, ReasonDeadline
-		failure.Detail = "no response within the deadline"
+		failure.Detail = "no answer within the deadline"
 		if a.server.limit != nil {
 			a.server.limit.ObserveTimeout(time.Now())
 		}
 	case a.x.r.Context().Err() != nil && ctx.Err() != nil:
-		failure.Reason, failure.Detail = ReasonCallerGone, "caller closed the connection"
+		failure.Reason, failure.Detail = ReasonCallerGone, "the caller went away"
 		a.err = failure
 		return
 	case errors.As(cause, new(errTruncatedResponse)):
 		failure.Reason = ReasonBadAnswer
 	case a.trace.conn == nil:
-		failure.Reason, failure.Detail = ReasonConnect, "connect to backend server: "+cause.Error()
+		failure.Reason, failure.Detail = ReasonConnect, "no connection to the backend server: "+cause.Error()
 		a.server.failures.Add(failuresToEject) // eject at once: a failed connect is conclusive
 	}
 	a.recordFailure()
@@ -284,7 +284,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left := time.Until(deadline).Milliseconds()
 		if left <= 0 {
-			return nil, notRun(http.StatusGatewayTimeout, ReasonDeadline, "deadline passed before the request was sent")
+			return nil, notRun(http.StatusGatewayTimeout, ReasonDeadline, "no time is left")
 		}
 		req.Header.Set(HeaderDeadline, strconv.FormatInt(left, 10))
 	}
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -33,9 +33,9 @@
 	key := x.r.Header.Get(HeaderKey)
 	switch {
 	case len(key) > maxKeyLen:
-		return false, notRun(http.StatusBadRequest, ReasonBadHeader, "idempotency key exceeds 256 bytes")
+		return false, notRun(http.StatusBadRequest, ReasonBadHeader, "the key is longer than 256 bytes")
 	case !x.buffered:
-		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with an idempotency key needs a Content-Length and a body small enough to buffer")
+		return false, notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge, "a request with a key needs a body of known length that the entry can read whole")
 	}
 	c, first, err := x.g.claims.Claim(ctx, once.NewKey(x.route.name, x.r.Header.Get("Authorization"), key), once.Digest(x.body))
 	switch {
@@ -69,7 +69,7 @@
 	}
 	if failure.Outcome == OutcomeNotRun && failure.Reason != ReasonKeyBody {
 		failure.Outcome = OutcomeUnknown
-		failure.Detail += " (this request did not run, but an earlier one with the same key may have; retry with the same key)"
+		failure.Detail += " (this one did not run; an earlier one with its key may have: send it again with the key)"
 	}
 	return failure
 }
--- a/pkg/gateway/conn.go
+++ b/pkg/gateway/conn.go
@@ -21,7 +21,7 @@
 	keepAlivePeriod        = 15 * time.Second
 )
 
-var errSealed = errors.New("connection sealed: attempt was aborted")
+var errSealed = errors.New("the exchange was given up")
 
 // sealedConn counts the bytes written and rejects writes after it is sealed.
 type sealedConn struct {
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -135,11 +135,11 @@
 // backend server before it succeeds.
 func (x *exchange) admit() error {
 	if !x.g.ready.Load() {
-		return notRun(http.StatusServiceUnavailable, ReasonStarting, "entry is starting").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, ReasonStarting, "this entry is starting").withRetryAfter(defaultRetryAfter)
 	}
 	x.route = x.view.match(x.r.Method, x.r.URL.Path)
 	if x.route == nil {
-		return notRun(http.StatusNotFound, ReasonNoRoute, "no route matches "+x.r.Method+" "+x.r.URL.Path)
+		return notRun(http.StatusNotFound, ReasonNoRoute, "no route takes "+x.r.Method+" "+x.r.URL.Path)
 	}
 	if err := x.checkRates(); err != nil {
 		return err
@@ -153,7 +153,7 @@
 	limit := int64(x.route.MaxBodyBytes)
 	if limit > 0 && x.r.ContentLength > limit {
 		return notRun(http.StatusRequestEntityTooLarge, ReasonTooLarge,
-			"request body exceeds the route's limit of "+strconv.FormatInt(limit, 10)+" bytes")
+			"the route takes bodies of at most "+strconv.FormatInt(limit, 10)+" bytes")
 	}
 	if limit > 0 {
 		x.r.Body = http.MaxBytesReader(x.w, x.r.Body, limit)
@@ -168,11 +168,11 @@
 		host = x.r.RemoteAddr
 	}
 	if !x.g.callerRates.Allow(host, x.g.settings.CallerRequestsPerS, x.start) {
-		return notRun(http.StatusTooManyRequests, ReasonRate, "request rate limit of the caller exceeded").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusTooManyRequests, ReasonRate, "the caller sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
 	}
 	team := x.r.Header.Get(HeaderTeam)
 	if team != "" && !x.g.teamRates.Allow(team, x.view.teams[team], x.start) {
-		return notRun(http.StatusTooManyRequests, ReasonRate, "request rate limit of the team exceeded").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusTooManyRequests, ReasonRate, "the team sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
 	}
 	return nil
 }
@@ -189,7 +189,7 @@
 		return nil
 	}
 	if !x.g.bodyMemory.TryAcquire(n) {
-		return notRun(http.StatusServiceUnavailable, ReasonBusy, "memory for buffered request bodies is exhausted").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the memory for request bodies is used up").withRetryAfter(defaultRetryAfter)
 	}
 	x.reservedBytes = n
 	x.body = make([]byte, n)
@@ -198,7 +198,7 @@
 		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	}
 	if _, err := io.ReadFull(x.r.Body, x.body); err != nil {
-		return notRun(http.StatusBadRequest, ReasonBadBody, "request body was incomplete or too slow")
+		return notRun(http.StatusBadRequest, ReasonBadBody, "the request's body broke off or came too slowly")
 	}
 	x.buffered = true
 	return nil
@@ -220,7 +220,7 @@
 	case slots <- struct{}{}:
 		defer func() { <-slots }()
 	default:
-		return notRun(http.StatusServiceUnavailable, ReasonBusy, "too many requests in flight on the route").withRetryAfter(defaultRetryAfter)
+		return notRun(http.StatusServiceUnavailable, ReasonBusy, "the route's requests in flight are at their limit").withRetryAfter(defaultRetryAfter)
 	}
 	ctx, cancel := x.context()
 	defer cancel()
--- a/pkg/gateway/failures.go
+++ b/pkg/gateway/failures.go
@@ -25,7 +25,7 @@
 func (f Failure) Sentences(id, entry string) []string {
 	out := []string{fmt.Sprintf("Request %s failed at entry %s at %s after %s.", id, entry, f.At.UTC().Format(time.RFC3339Nano), f.Took.Round(time.Microsecond))}
 	if f.Route == "" {
-		out = append(out, "No route matched it.")
+		out = append(out, "No route had been chosen.")
 	} else {
 		out = append(out, fmt.Sprintf("Its route was %s; it was tried at %d servers: %v.", f.Route, f.Attempts, f.Servers))
 	}
@@ -34,9 +34,9 @@
 	case OutcomeNotRun:
 		out = append(out, "It did not run: no byte of it reached a backend server, so it is safe to send it again.")
 	case OutcomeRan:
-		out = append(out, "It ran: a backend server responded.")
+		out = append(out, "It ran: a backend server answered it.")
 	case OutcomeUnknown:
-		out = append(out, "It may have run: it, or an earlier request with its key, was sent to a backend server, and no complete response arrived.")
+		out = append(out, "It may have run: it was handed to a backend server, or an earlier one with its key was, and no whole answer came.")
 	}
 	return out
 }
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -37,7 +37,7 @@
 )
 
 // ErrShed is returned for a request that got no server in time.
-var ErrShed = errors.New("no backend server had capacity in time")
+var ErrShed = errors.New("no backend server had room in time")
 
 // Queue is the priority queue of a service whose servers are all full. Higher classes go first.
 // Each class is FIFO until its oldest waiter has used half of its time; then it is LIFO, so
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -73,13 +73,13 @@
 }
 
 // Error names the entry that claimed the key.
-func (e ErrClaimed) Error() string { return fmt.Sprintf("key already claimed by entry %s", e.Entry) }
+func (e ErrClaimed) Error() string { return fmt.Sprintf("the key was taken by entry %s", e.Entry) }
 
 // ErrBodyMismatch reports a key that was claimed with another request body.
 type ErrBodyMismatch struct{}
 
 // Error states the mismatch.
-func (ErrBodyMismatch) Error() string { return "key already used with another request body" }
+func (ErrBodyMismatch) Error() string { return "the key belongs to a request with another body" }
 
 // ErrUnavailable reports a key that could not be claimed; the request did not run.
 type ErrUnavailable struct {
@@ -88,7 +88,7 @@
 
 // Error returns the cause.
 func (e ErrUnavailable) Error() string {
-	return fmt.Sprintf("cannot claim key: %v", e.Cause)
+	return fmt.Sprintf("the key cannot be claimed now: %v", e.Cause)
 }
 
 // Response is a response saved for replay.
@@ -139,7 +139,7 @@
 	}
 	if cs.closed {
 		cs.mu.Unlock()
-		return nil, nil, ErrUnavailable{Cause: errors.New("entry is stopping")}
+		return nil, nil, ErrUnavailable{Cause: errors.New("the entry is ending")}
 	}
 	c = &Claim{
 		key: key, committed: make(chan struct{}), done: make(chan struct{}),
@@ -357,7 +357,7 @@
 		if err == nil && held != nil {
 			return checkRecord(held, c)
 		}
-		last = errors.New("the response of the store was lost")
+		last = errors.New("the answer of the store was lost")
 		if err != nil {
 			last = err
 		}
--- a/pkg/gateway/relay.go
+++ b/pkg/gateway/relay.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	return errResponseBroken{cause: ErrRequest{
-		Outcome: OutcomeUnknown, Reason: ReasonBroken, Detail: "response truncated: " + err.Error(),
+		Outcome: OutcomeUnknown, Reason: ReasonBroken, Detail: "the answer broke off: " + err.Error(),
 	}}
 }
 
@@ -94,7 +94,7 @@
 func (x *exchange) relayUpgrade(resp *http.Response) error {
 	backend, ok := resp.Body.(io.ReadWriteCloser)
 	if !ok {
-		return ErrRequest{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Reason: ReasonUpgradeFailed, Detail: "backend server's connection is not writable"}
+		return ErrRequest{Status: http.StatusBadGateway, Outcome: OutcomeUnknown, Reason: ReasonUpgradeFailed, Detail: "the backend server's connection cannot be written to"}
 	}
 	h := x.w.Header()
 	copyHeaders(h, resp.Header)
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -33,7 +33,7 @@
 
 // Error implements the error interface.
 func (e ErrTooLarge) Error() string {
-	return fmt.Sprintf("%s takes %d bytes, which exceeds the limit of %d bytes", e.What, e.Bytes, e.Limit)
+	return fmt.Sprintf("%s takes %d bytes, at most %d can be kept", e.What, e.Bytes, e.Limit)
 }
 
 // Encode returns the progress as the values of its rows, each at most limit bytes long. Completed
@@ -55,7 +55,7 @@
 		}
 	}
 	if err == nil {
-		err = ErrTooLarge{What: "job progress", Bytes: len(rows) * limit, Limit: maxProgressRows * limit}
+		err = ErrTooLarge{What: "the progress of a job", Bytes: len(rows) * limit, Limit: maxProgressRows * limit}
 	}
 	return nil, err
 }
@@ -64,10 +64,10 @@
 // not fit into rows of limit bytes.
 func (r *Record) CheckSize(record []byte, limit int) error {
 	if len(record) > limit {
-		return ErrTooLarge{What: "job record", Bytes: len(record), Limit: limit}
+		return ErrTooLarge{What: "the job", Bytes: len(record), Limit: limit}
 	}
 	if needed, limitBytes := r.occurrenceBytes(), maxPersistedBytes(limit); needed > limitBytes {
-		return ErrTooLarge{What: fmt.Sprintf("progress of a job of %d tasks with %d attempts each", r.Spec.tasks(), r.MaxAttempts), Bytes: needed, Limit: limitBytes}
+		return ErrTooLarge{What: fmt.Sprintf("a job of %d tasks with %d attempts each", r.Spec.tasks(), r.MaxAttempts), Bytes: needed, Limit: limitBytes}
 	}
 	return nil
 }
--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -59,13 +59,13 @@
 	defer func() { err = errors.Wrap(err, "job") }()
 	switch {
 	case len(s.Text) > maxSpecBytes:
-		return errors.Errorf("task text of %d bytes exceeds the limit of %d", len(s.Text), maxSpecBytes)
+		return errors.Errorf("the task text has %d bytes, at most %d are taken", len(s.Text), maxSpecBytes)
 	case len(s.Steps) == 0 || len(s.Steps) > maxSteps:
-		return errors.Errorf("%d steps, want 1 to %d", len(s.Steps), maxSteps)
+		return errors.Errorf("%d steps, 1 to %d are taken", len(s.Steps), maxSteps)
 	case s.Times < 0 || s.Interval < 0:
-		return errors.New("number of times and interval must not be negative")
+		return errors.New("times and their interval must not be negative")
 	case s.Times > 0 && (s.FirstDue > maxDueTime || s.Interval > (maxDueTime-max(0, s.FirstDue))/time.Duration(s.Times)):
-		return errors.Errorf("last occurrence is due more than %d years after 1970", maxDueTime/year)
+		return errors.Errorf("its last time is more than %d years after 1970", maxDueTime/year)
 	}
 	for i := range s.Steps {
 		if err := s.Steps[i].check(i); err != nil {
@@ -79,7 +79,7 @@
 // jobs, which another version may have accepted.
 func (s *Spec) CheckTaskCount() error {
 	if n := s.tasks(); n > maxTasks {
-		return errors.Errorf("%d tasks in all steps exceed the limit of %d", n, maxTasks)
+		return errors.Errorf("%d tasks in all steps, at most %d are laid out", n, maxTasks)
 	}
 	return nil
 }
@@ -102,23 +102,23 @@
 
 func (st *Step) check(at int) error {
 	if st.Count < 1 || st.Count > maxTasks {
-		return errors.Errorf("%d tasks, want 1 to %d", st.Count, maxTasks)
+		return errors.Errorf("%d tasks, 1 to %d are taken", st.Count, maxTasks)
 	}
 	if n := st.Needs; n.CPU < 0 || n.MemoryMB < 0 || n.GPU < 0 {
 		return errors.New("resources must not be negative")
 	}
 	for _, name := range []string{st.Label, st.DataRack, st.Image} {
 		if len(name) > maxNameBytes {
-			return errors.Errorf("label, rack or image name of %d bytes exceeds the limit of %d", len(name), maxNameBytes)
+			return errors.Errorf("a name has %d bytes, at most %d are taken", len(name), maxNameBytes)
 		}
 	}
 	var before [maxSteps]bool
 	for _, a := range st.After {
 		if a < 0 || a >= at {
-			return errors.Errorf("depends on step %d, which is not an earlier step", a)
+			return errors.Errorf("waits for step %d, which is no earlier one", a)
 		}
 		if before[a] {
-			return errors.Errorf("depends on step %d twice", a)
+			return errors.Errorf("waits for step %d twice", a)
 		}
 		before[a] = true
 	}
--- a/pkg/peer/caller.go
+++ b/pkg/peer/caller.go
@@ -72,7 +72,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.link != nil {
-		c.link.fail(errors.New("link closed by caller"))
+		c.link.fail(errors.New("closed"))
 		c.link = nil
 	}
 }
--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -43,7 +43,7 @@
 	case r.commit <- struct{}{}:
 		defer func() { <-r.commit }()
 	case <-ctx.Done():
-		return nil, platform.ErrNotDone{Op: "commit", Cause: "waiting for other edits: " + ctx.Err().Error()}
+		return nil, platform.ErrNotDone{Op: "commit", Cause: "other edits were under way: " + ctx.Err().Error()}
 	}
 	var lost error // last error with an unknown outcome
 	for wait := minBackoff; ; wait = min(2*wait, maxBackoff) {
@@ -94,7 +94,7 @@
 		return r.findEditOr(ctx, edit.ID, err)
 	}
 	if entry.Revision != revision+1 {
-		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table changed while the edit was checked"}
+		return nil, platform.ErrNotDone{Op: "commit", Cause: "the table moved on while the edit was checked"}
 	}
 	if err := r.store.Commit(ctx, entryTxn(entry, headVersion)); err != nil {
 		return nil, err
@@ -119,7 +119,7 @@
 func (r *Replica) findEdit(ctx context.Context, id string) (entry *schema.Entry, err error) {
 	item, err := r.store.Get(ctx, editKey(id))
 	if err != nil || item.Version == 0 {
-		return nil, errors.Wrap(err, "find edit")
+		return nil, errors.Wrap(err, "settle")
 	}
 	var h head
 	if err := json.Unmarshal(item.Value, &h); err != nil {
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	if len(entries) == 0 || entries[0].EditID != id {
-		return nil, errors.Errorf("revision %d is missing from the log", h.Revision)
+		return nil, errors.Errorf("the log lacks revision %d", h.Revision)
 	}
 	return &entries[0], nil
 }
--- a/pkg/table/check.go
+++ b/pkg/table/check.go
@@ -80,7 +80,7 @@
 		checkRef(c, schema.KindRoute, name, "service", c.s.Services, r.Service)
 		m := match{r.Method, r.PathPrefix}
 		if other, ok := owner[m]; ok {
-			c.add(schema.KindRoute, name, "path_prefix", "route %q has the same method and path prefix", other)
+			c.add(schema.KindRoute, name, "path_prefix", "route %q takes the same method and path", other)
 		}
 		owner[m] = name
 	}
--- a/pkg/table/transition.go
+++ b/pkg/table/transition.go
@@ -69,7 +69,7 @@
 func (c *transitionChecker) checkOperatorEdit(name string, old, row schema.VM) {
 	const message = "control writes this column"
 	if old.Pool != row.Pool {
-		c.add(name, "pool", "control assigns VMs to pools: change the pool sizes instead")
+		c.add(name, "pool", "control decides which pool has a VM: change the pools' sizes")
 	}
 	if old.Phase != row.Phase {
 		c.add(name, "phase", message)
@@ -100,7 +100,7 @@
 		c.add(name, "pool", fmt.Sprintf("the VM still serves pool %q: it must drain before it changes pools", old.Pool))
 	}
 	if old.Phase == schema.PhaseDraining && row.Pool != "" {
-		c.add(name, "pool", "a drained VM must return to the buffer before it joins another pool")
+		c.add(name, "pool", "a drained VM goes to the buffer first")
 	}
 }
 
