--- a/pkg/shard/advice.go
+++ b/pkg/shard/advice.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// adviceAtOnce is how many workers one call asks about; the service takes a
+	// maxAdviceBoots is how many workers one call asks about; the service takes a
 	// while for each.
-	adviceAtOnce = 30
+	maxAdviceBoots = 30
 	// adviceTimeout bounds one call, the wait behind others of this entry included.
 	adviceTimeout = 5 * time.Second
-	// adviceRetry is the pause after a call that failed.
-	adviceRetry = 300 * time.Millisecond
+	// adviceRetryDelay is the pause after a call that failed.
+	adviceRetryDelay = 300 * time.Millisecond
 	// ticketMargin is how long before its end a ticket is no longer used.
 	ticketMargin = 100 * time.Millisecond
 )
@@ -36,10 +36,10 @@
 	until time.Duration
 }
 
-// advised lets a candidate run only where the advice service allows it, and asks
+// applyAdvice lets a candidate run only where the advice service allows it, and asks
 // for advice when none of the workers that are free is known to be allowed; the
 // lock is held.
-func (o *Owner) advised(c *placement.Candidate, hosts []*placement.Host, now time.Duration) {
+func (o *Owner) applyAdvice(c *placement.Candidate, hosts []*placement.Host, now time.Duration) {
 	q := o.catalog.Queue(c.Step.Job.Queue)
 	if q == nil || !q.Advice {
 		return
@@ -68,16 +68,16 @@
 		return
 	}
 	slices.SortStableFunc(ask, func(x, y *placement.Host) int { return cmp.Compare(y.Free.CPU, x.Free.CPU) })
-	boots := make([]string, 0, adviceAtOnce)
-	for _, h := range ask[:min(len(ask), adviceAtOnce)] {
+	boots := make([]string, 0, maxAdviceBoots)
+	for _, h := range ask[:min(len(ask), maxAdviceBoots)] {
 		boots = append(boots, h.Boot)
 	}
 	a.asking = true
-	o.askAdvice(c.Step, a, boots)
+	o.requestAdvice(c.Step, a, boots)
 }
 
-// askAdvice asks in the background.
-func (o *Owner) askAdvice(s *jobs.StepRun, a *advice, boots []string) {
+// requestAdvice asks in the background.
+func (o *Owner) requestAdvice(s *jobs.StepRun, a *advice, boots []string) {
 	name := fmt.Sprintf("%s.%d.%d", s.Job.ID, s.Occurrence, s.Index)
 	o.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(o.ctx, adviceTimeout)
@@ -89,7 +89,7 @@
 		now := o.now()
 		o.log.Info().Str("event", "advice").Str("step", name).Int("asked", len(boots)).Int("allowed", len(permits)).Dur("valid", valid).Err(err).Send()
 		if err != nil {
-			a.after = now + adviceRetry
+			a.after = now + adviceRetryDelay
 			return
 		}
 		for _, b := range boots {
@@ -111,8 +111,8 @@
 	return ""
 }
 
-// ticketRefused forgets a ticket that a worker did not take; the lock is held.
-func (o *Owner) ticketRefused(s *jobs.StepRun, boot string) {
+// dropTicket forgets a ticket that a worker did not take; the lock is held.
+func (o *Owner) dropTicket(s *jobs.StepRun, boot string) {
 	if a := o.advices[s]; a != nil {
 		delete(a.tickets, boot)
 	}
--- a/pkg/shard/arrivals.go
+++ b/pkg/shard/arrivals.go
@@ -58,7 +58,7 @@
 		if st.LongRunning || st.Filler {
 			continue
 		}
-		s := o.durations[j.Queue].expect(st.Estimate).Seconds() * float64(st.Count)
+		s := o.durations[j.Queue].expected(st.Estimate).Seconds() * float64(st.Count)
 		cpu += s * float64(st.Needs.CPU)
 		memoryMB += s * float64(st.Needs.MemoryMB)
 	}
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -69,7 +69,7 @@
 	if !silent {
 		e.workers.Reset(e.workers.Present(id))
 	}
-	w.Boot = platform.BootOf(id, time.Now().Add(-e.clockBack).UnixMilli())
+	w.Boot = platform.BootOf(id, time.Now().Add(-e.clockBehind).UnixMilli())
 	e.workers.Boot(w, 0)
 	time.AfterFunc(listAfter, func() { e.relistRestarted(w) })
 }
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -9,17 +9,17 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// ordersPerWorker bounds the orders that are under way to one worker at once;
+// maxOrdersPerWorker bounds the orders that are under way to one worker at once;
 // others wait their turn. Orders are answered within milliseconds, and each more
 // at once is one more connection to every worker: an owner of 400 workers that
 // starts 2,560 tasks a second spent an eighth of its processor time on opening them.
-const ordersPerWorker = 2
+const maxOrdersPerWorker = 2
 
-// errWithdrawn reports a start that was not sent, because the reasons for it have gone.
-var errWithdrawn = errors.New("the start was withdrawn before it was sent")
+// errStartWithdrawn reports a start that was not sent, because the reasons for it have gone.
+var errStartWithdrawn = errors.New("the start was withdrawn before it was sent")
 
-// dispatch is an order that waits for its turn at a worker, or is under way.
-type dispatch struct {
+// queuedOrder is an order that waits for its turn at a worker, or is under way.
+type queuedOrder struct {
 	// send carries the order out; it is called without the lock.
 	send func(ctx context.Context) (clockMs int64, err error)
 	// answered takes the answer, or errWithdrawn; the lock is held.
@@ -30,10 +30,10 @@
 	start func(now time.Duration) (send func(ctx context.Context) (clockMs int64, err error))
 }
 
-// dispatch has an order sent when its turn comes; the lock is held.
-func (o *Owner) dispatch(s *session, d *dispatch) {
+// enqueueOrder has an order sent when its turn comes; the lock is held.
+func (o *Owner) enqueueOrder(s *session, d *queuedOrder) {
 	s.orders = append(s.orders, d)
-	if s.senders >= ordersPerWorker {
+	if s.senders >= maxOrdersPerWorker {
 		return
 	}
 	s.senders++
@@ -54,7 +54,7 @@
 			d.send = d.start(now)
 		}
 		if d.send == nil {
-			d.answered(errWithdrawn)
+			d.answered(errStartWithdrawn)
 			continue
 		}
 		o.sendOrder(s, d)
@@ -68,7 +68,7 @@
 }
 
 // sendOrder sends one order and passes its answer on; it lets the lock go meanwhile.
-func (o *Owner) sendOrder(s *session, d *dispatch) {
+func (o *Owner) sendOrder(s *session, d *queuedOrder) {
 	if d.start != nil {
 		s.inFlight++
 	}
@@ -87,7 +87,7 @@
 		s.inFlight--
 	}
 	o.cfg.Metrics.Order(err)
-	o.noteAnswer(o.now()-sentAt, err)
+	o.noteAnswerTime(o.now()-sentAt, err)
 	o.takeClock(s, clockOf(clockMs, err), sentAt)
 	d.answered(err)
 }
@@ -105,11 +105,11 @@
 	}
 }
 
-// noteAnswer takes what an order tells of this owner's own speed. One that did not
+// noteAnswerTime takes what an order tells of this owner's own speed. One that did not
 // reach its worker is no answer: beside a rack that had gone dark a connection that was
 // not opened within 350 ms counted as an answer that took as long, and held a pool of
 // 201 VMs to 20 starts a second for two seconds.
-func (o *Owner) noteAnswer(took time.Duration, err error) {
+func (o *Owner) noteAnswerTime(took time.Duration, err error) {
 	switch {
 	case !platform.IsNotDone(err):
 		o.rate.Note(took, !platform.IsUnknown(err))
--- a/pkg/shard/dispatch_test.go
+++ b/pkg/shard/dispatch_test.go
@@ -12,15 +12,15 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// countedWorkers notes how many starts are under way together.
-type countedWorkers struct {
+// countingWorkers notes how many starts are under way together.
+type countingWorkers struct {
 	platform.Workers
 
 	mu        sync.Mutex
 	now, most int
 }
 
-func (w *countedWorkers) StartAttempt(ctx context.Context, r platform.WorkerRef, o platform.StartOrder) (int64, error) {
+func (w *countingWorkers) StartAttempt(ctx context.Context, r platform.WorkerRef, o platform.StartOrder) (int64, error) {
 	w.mu.Lock()
 	w.now++
 	w.most = max(w.most, w.now)
@@ -39,7 +39,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := newEstate(t)
 		defer e.close()
-		counted := &countedWorkers{}
+		counted := &countingWorkers{}
 		e.breakWorkers = func(w platform.Workers) platform.Workers {
 			counted.Workers = w
 			return counted
--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -11,12 +11,12 @@
 // kept with their jobs, and then the worker is told to forget them, each in the order of their
 // numbers. Its methods do no I/O and know no lock.
 type ends struct {
-	counted int64                 // ends up to here were taken into account
-	kept    int64                 // ends up to here are kept
-	told    int64                 // ends up to here the worker was told to forget
-	toKeep  []end                 // counted and not kept, in order
-	behind  []platform.AttemptEnd // listed behind a gap in the numbers, to be counted with the next list
-	held    bool                  // an acknowledgement was held back
+	counted  int64                 // ends up to here were taken into account
+	kept     int64                 // ends up to here are kept
+	told     int64                 // ends up to here the worker was told to forget
+	unstored []end                 // counted and not kept, in order
+	behind   []platform.AttemptEnd // listed behind a gap in the numbers, to be counted with the next list
+	held     bool                  // an acknowledgement was held back
 }
 
 // end is an end that a worker has listed.
@@ -28,22 +28,22 @@
 // count notes an end that the worker has listed.
 func (e *ends) count(number int64, task string) {
 	e.counted = number
-	e.toKeep = append(e.toKeep, end{number: number, task: task})
+	e.unstored = append(e.unstored, end{number: number, task: task})
 }
 
 // keep notes that ends up to a number are kept.
 func (e *ends) keep(number int64) {
 	e.kept = max(e.kept, number)
-	e.toKeep = slices.DeleteFunc(e.toKeep, func(x end) bool { return x.number <= e.kept })
+	e.unstored = slices.DeleteFunc(e.unstored, func(x end) bool { return x.number <= e.kept })
 }
 
 // open tells whether ends are counted and not kept.
 func (e *ends) open() bool { return e.counted > e.kept }
 
-// due tells whether ends are kept that the worker has not been told to forget.
-func (e *ends) due() bool { return e.kept > e.told }
+// ackDue tells whether ends are kept that the worker has not been told to forget.
+func (e *ends) ackDue() bool { return e.kept > e.told }
 
-// toTell is the number up to which a look that is sent now acknowledges ends, 0 for none. An
+// ackNumber is the number up to which a look that is sent now acknowledges ends, 0 for none. An
 // acknowledgement names a number only, and would have a later boot forget ends of its own: it is
 // sent once, and held back unless it is safe, that is while a start without an answer, or one
 // answered by another boot's clock, may have reached a boot that the owner does not know of. Sent
@@ -51,8 +51,8 @@
 // 3,000 courses of TestRestarts (seeds 7301 to 7306), and in none of the six so. No start waits
 // for one that is held back: where three orders in ten have no answer, such days were worth 0.19 in
 // place of 0.25 (four plays).
-func (e *ends) toTell(safe bool) int64 {
-	if !e.due() {
+func (e *ends) ackNumber(safe bool) int64 {
+	if !e.ackDue() {
 		return 0
 	}
 	e.held = !safe
@@ -65,16 +65,16 @@
 // tell notes that the worker was told to forget ends up to a number, 0 for none.
 func (e *ends) tell(number int64) {
 	e.told = max(e.told, number)
-	e.held = e.held && e.due()
+	e.held = e.held && e.ackDue()
 }
 
-// countable returns the ends that may be counted after a list, in the order of their numbers:
+// applicable returns the ends that may be counted after a list, in the order of their numbers:
 // those before the first number that is missing, which it returns as well, 0 for none. The others
 // are counted with the next list, if that lacks the number too. An acknowledgement of a later end
 // would have the worker forget the one that the list lacks; its task, which may be done, would
 // start again (testdata/end_left_out). An owner that has just taken over does not know where the
 // numbers go on: to it the first list has a gap.
-func (e *ends) countable(listed []platform.AttemptEnd) (countable []platform.AttemptEnd, missing int64) {
+func (e *ends) applicable(listed []platform.AttemptEnd) (countable []platform.AttemptEnd, missing int64) {
 	all := append(slices.Clone(listed), e.behind...)
 	slices.SortStableFunc(all, func(a, b platform.AttemptEnd) int { return cmp.Compare(a.Number, b.Number) })
 	all = slices.CompactFunc(all, func(a, b platform.AttemptEnd) bool { return a.Number == b.Number })
--- a/pkg/shard/ends_test.go
+++ b/pkg/shard/ends_test.go
@@ -27,7 +27,7 @@
 		t.Run(name, func(t *testing.T) {
 			e := ends{counted: tc.seen}
 			for i, list := range tc.lists {
-				countable, _ := e.countable(listed(list))
+				countable, _ := e.applicable(listed(list))
 				got := numbers(countable)
 				qt.Check(t, got, qt.DeepEquals, tc.want[i])
 				for _, n := range got {
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -61,7 +61,7 @@
 	crashing     map[string]time.Duration // tasks that bring their worker down, and how long after their start
 	backAfter    time.Duration            // how long a worker that was brought down stays away
 	boots        int                      // that were started after a crash
-	clockBack    time.Duration            // how far the clock by which workers say when they start is behind
+	clockBehind  time.Duration            // how far the clock by which workers say when they start is behind
 	sameID       bool                     // workers say when they start, and start again under their ID
 	zones        zones                    // that workers are in
 	schedule     schedule                 // of the next job that is handed in
@@ -285,7 +285,7 @@
 		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, LongestLease: fake.LongestLease,
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
 		StoreSteady: func() time.Duration { return time.Since(e.since) },
-		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.toldTo(entry),
+		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.reportTo(entry),
 		OnOver: func(error) {}, Sending: func() {},
 	}
 	o, err := shard.Open(context.Background(), cfg, shard.Seen{Version: row.Version}, e.catalog(), e.directory())
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// cordonTime is how long a VM stays without new tasks after it was last asked to be empty.
-	cordonTime = 4 * time.Second
-	// fullPercent is the progress of a long-running task that serves.
-	fullPercent = 100
-	// evacuateAfter is how long a new owner takes no task away where a step limits
+	// cordonDuration is how long a VM stays without new tasks after it was last asked to be empty.
+	cordonDuration = 4 * time.Second
+	// servingPercent is the progress of a long-running task that serves.
+	servingPercent = 100
+	// evacuationDelay is how long a new owner takes no task away where a step limits
 	// the missing ones: a former owner may have told one to end, which takes a
 	// second and does not show in the listings before.
-	evacuateAfter = 2500 * time.Millisecond
+	evacuationDelay = 2500 * time.Millisecond
 )
 
 // Empty keeps new tasks away from a VM and moves away what runs there, as far as
@@ -39,7 +39,7 @@
 		if s.cordonedTo < now {
 			o.log.Info().Str("event", "worker_cordoned").Str("boot", s.ref.Boot).Str("vm", vm).Int("attempts", len(s.attempts)).Send()
 		}
-		s.cordonedTo = now + cordonTime
+		s.cordonedTo = now + cordonDuration
 		waits := o.evacuate(s, true, "its VM is to be empty")
 		if !s.idle() {
 			empty = false
@@ -67,19 +67,19 @@
 // logNotEmpty says from time to time why a VM that is to be empty is not: what
 // makes a wave of maintenance late is known before it is.
 func (o *Owner) logNotEmpty(s *session, w waits, now time.Duration) {
-	if now-s.notEmptyLogged < logLoadEvery {
+	if now-s.notEmptyLoggedAt < loadLogInterval {
 		return
 	}
-	s.notEmptyLogged = now
+	s.notEmptyLoggedAt = now
 	o.log.Info().Str("event", "worker_not_empty").Str("boot", s.ref.Boot).Str("vm", s.vm).
 		Int("finishing", w.finishing).Int("stopping", w.stopping).Int("limited", w.limited).Int("no_room", w.noRoom).
 		Int("foreign", len(s.foreign)).Bool("in_doubt", s.inDoubt).Int64("ends_not_kept", s.ends.counted-s.ends.kept).
 		Int("failures", s.failures).Send()
 }
 
-// elsewhere is the room for tasks that are to leave their worker. Most workers that are to be empty
+// spareRoom is the room for tasks that are to leave their worker. Most workers that are to be empty
 // have none that moves, and there is no need to go through all others.
-type elsewhere struct {
+type spareRoom struct {
 	owner *Owner
 	now   time.Duration
 	// hosts and soon are the workers as they are and as they will be, nil until asked for.
@@ -87,9 +87,9 @@
 }
 
 // reserve takes room for one more task of a step; it reports whether there is any.
-func (e *elsewhere) reserve(step *jobs.StepRun) bool {
+func (e *spareRoom) reserve(step *jobs.StepRun) bool {
 	if e.hosts == nil {
-		e.hosts, e.soon = e.owner.hostsToTry(e.now), e.owner.hostsSoon(e.now)
+		e.hosts, e.soon = e.owner.scratchHosts(e.now), e.owner.futureHosts(e.now)
 	}
 	return placement.Reserve(step, e.hosts) || placement.Reserve(step, e.soon)
 }
@@ -98,7 +98,7 @@
 // that they start there; others are left to finish. With limited, no more tasks
 // of a step are away than it allows. It tells what the tasks wait for.
 func (o *Owner) evacuate(s *session, limited bool, why string) (w waits) {
-	room := &elsewhere{owner: o, now: o.now()}
+	room := &spareRoom{owner: o, now: o.now()}
 	for _, r := range byName(s.attempts) {
 		step := r.Task.Step
 		switch {
@@ -106,7 +106,7 @@
 			w.stopping++
 		case !step.Spec.LongRunning:
 			w.finishing++
-		case limited && step.Spec.Limited && (o.held || room.now-o.openedAt < evacuateAfter || !o.mayMiss(step, r.Task)):
+		case limited && step.Spec.Limited && (o.held || room.now-o.openedAt < evacuationDelay || !o.mayMiss(step, r.Task)):
 			w.limited++
 		case !room.reserve(step):
 			w.noRoom++
@@ -118,11 +118,11 @@
 	return w
 }
 
-// hostsSoon returns the workers that may get tasks as they will be when what comes
+// futureHosts returns the workers that may get tasks as they will be when what comes
 // to an end there has ended. In a pool whose tasks wait, others take what is free
 // at once; a long-running task that waits goes before them. Without this a VM with
 // such tasks was not empty for 7 to 17 s in a pool in demand, and its wave late.
-func (o *Owner) hostsSoon(now time.Duration) (hosts []*placement.Host) {
+func (o *Owner) futureHosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsInOrder() {
 		if s.open(now) {
 			hosts = append(hosts, s.hostSoon())
@@ -148,7 +148,7 @@
 func (o *Owner) serves(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
 		s := o.sessions[a.Boot]
-		if s != nil && s.failures == 0 && a.Phase == jobs.PhaseRunning && a.Percent >= fullPercent {
+		if s != nil && s.failures == 0 && a.Phase == jobs.PhaseRunning && a.Percent >= servingPercent {
 			return true
 		}
 	}
--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -12,12 +12,12 @@
 // foreignAttempt is an attempt that runs at a worker and belongs to no task that wants
 // it: it was told to end, and takes resources until its end is listed.
 type foreignAttempt struct {
-	charge     platform.Resources // of the worker
-	account    string             // client account of its job, empty if that is not known
-	needs      platform.Resources // of the account's limit
-	unsized    bool               // what it takes is not known
-	foundAt    time.Duration      // when the worker listed it first
-	orderedEnd time.Duration      // when its end was last ordered
+	charge        platform.Resources // of the worker
+	account       string             // client account of its job, empty if that is not known
+	needs         platform.Resources // of the account's limit
+	unknownSize   bool               // what it takes is not known
+	foundAt       time.Duration      // when the worker listed it first
+	stopOrderedAt time.Duration      // when its end was last ordered
 }
 
 // foreignKey tells attempts of one task apart.
@@ -26,14 +26,14 @@
 	number int64
 }
 
-// takeForeign decides on an attempt that runs at a worker without our having
+// adoptOrStop decides on an attempt that runs at a worker without our having
 // ordered it: a former owner did, or our order was taken for lost. It returns
 // nil for one that is not wanted.
-func (o *Owner) takeForeign(s *session, r *platform.RunningAttempt, now time.Duration) *running {
+func (o *Owner) adoptOrStop(s *session, r *platform.RunningAttempt, now time.Duration) *running {
 	key := foreignKey{task: r.Task, number: r.Attempt}
 	if st := s.foreign[key]; st != nil {
-		if now-st.orderedEnd > repeatStop {
-			o.endForeign(s, key, st, now)
+		if now-st.stopOrderedAt > stopRetryInterval {
+			o.stopForeign(s, key, st, now)
 		}
 		return nil
 	}
@@ -49,7 +49,7 @@
 		}
 		return a
 	}
-	st := &foreignAttempt{foundAt: now, unsized: t == nil}
+	st := &foreignAttempt{foundAt: now, unknownSize: t == nil}
 	if t != nil {
 		st.charge = placement.Charge(t.Step.Spec)
 		st.account, st.needs = t.Step.Job.Account, t.Step.Spec.Needs
@@ -59,7 +59,7 @@
 	// all entries were killed and 0.9 s before such an end.
 	s.foreign[key] = st
 	s.hostCache = nil
-	o.endForeign(s, key, st, now)
+	o.stopForeign(s, key, st, now)
 	return nil
 }
 
@@ -71,10 +71,10 @@
 	return t.Idle() || t.Step.Spec.Speculative && !t.Done
 }
 
-// endForeign orders the end of a foreign attempt.
-func (o *Owner) endForeign(s *session, key foreignKey, st *foreignAttempt, now time.Duration) {
-	st.orderedEnd = now
-	o.sendStop(s, key.task, key.number)
+// stopForeign orders the end of a foreign attempt.
+func (o *Owner) stopForeign(s *session, key foreignKey, st *foreignAttempt, now time.Duration) {
+	st.stopOrderedAt = now
+	o.enqueueStop(s, key.task, key.number)
 }
 
 // forgetForeign notes that a foreign attempt has ended.
@@ -86,8 +86,8 @@
 	s.hostCache = nil
 }
 
-// forgetUnlisted drops the foreign attempts that the answer to a look sent at sentAt does not list.
-func (s *session) forgetUnlisted(r *platform.WorkerReport, sentAt time.Duration) {
+// forgetUnlistedForeign drops the foreign attempts that the answer to a look sent at sentAt does not list.
+func (s *session) forgetUnlistedForeign(r *platform.WorkerReport, sentAt time.Duration) {
 	if len(s.foreign) == 0 {
 		return
 	}
@@ -106,7 +106,7 @@
 // known may take all of it.
 func (s *session) foreignCharge() (sum platform.Resources) {
 	for _, st := range s.foreign {
-		if st.unsized {
+		if st.unknownSize {
 			return s.info.Capacity
 		}
 		sum = sum.Add(st.charge)
--- a/pkg/shard/health.go
+++ b/pkg/shard/health.go
@@ -11,8 +11,8 @@
 	failureHalfLife = 4 * time.Second
 	// failurePenalty is what one recent failure weighs against a worker, as a share of free processors.
 	failurePenalty = 0.35
-	// forgiven is the count of failures below which they no longer matter.
-	forgiven = 0.05
+	// negligibleFailures is the count of failures below which they no longer matter.
+	negligibleFailures = 0.05
 )
 
 // outcomes is what is remembered of a worker's ends to tell a bad worker.
@@ -23,7 +23,7 @@
 
 // note takes one end into account.
 func (h *outcomes) note(reason platform.EndReason, now time.Duration) {
-	h.fade(now)
+	h.decay(now)
 	switch reason {
 	case platform.EndFailed:
 		h.failures++
@@ -32,30 +32,30 @@
 	}
 }
 
-func (h *outcomes) fade(now time.Duration) {
-	for h.failures > forgiven && now-h.at >= failureHalfLife {
+func (h *outcomes) decay(now time.Duration) {
+	for h.failures > negligibleFailures && now-h.at >= failureHalfLife {
 		h.failures /= 2
 		h.at += failureHalfLife
 	}
-	if now-h.at >= failureHalfLife || h.failures <= forgiven {
+	if now-h.at >= failureHalfLife || h.failures <= negligibleFailures {
 		h.at = now
 	}
 }
 
 // unanswered notes a start that got no answer, or that the worker was not well enough to carry out.
 func (h *outcomes) unanswered(now time.Duration) {
-	h.fade(now)
+	h.decay(now)
 	h.failures++
 }
 
-// stalled notes a task that stands still or crawls at the worker.
-func (h *outcomes) stalled(now time.Duration) {
-	h.fade(now)
+// noteStalled notes a task that stands still or crawls at the worker.
+func (h *outcomes) noteStalled(now time.Duration) {
+	h.decay(now)
 	h.failures += stallWeight
 }
 
 // penalty is what speaks against the worker.
 func (h *outcomes) penalty(now time.Duration) float64 {
-	h.fade(now)
+	h.decay(now)
 	return h.failures * failurePenalty
 }
--- a/pkg/shard/inorder.go
+++ b/pkg/shard/inorder.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// namesWhere returns the keys of the values that a loop is about, in order. Where these are few of many
+// sortedKeysWhere returns the keys of the values that a loop is about, in order. Where these are few of many
 // it spares sorting all: gone through by byName four times a pass, the attempts at all workers cost a
 // busy owner 15 allocations a start (BenchmarkBusyOwner: 105 before, 120 so, 106 with it).
-func namesWhere[V any](m map[string]V, want func(V) bool) (names []string) {
+func sortedKeysWhere[V any](m map[string]V, want func(V) bool) (names []string) {
 	for name, v := range m {
 		if want(v) {
 			names = append(names, name)
--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -8,15 +8,15 @@
 
 // Leases.
 const (
-	// leaseLength outlasts a takeover by another owner, and is what tasks of a
+	// leaseDuration outlasts a takeover by another owner, and is what tasks of a
 	// worker that falls silent have to wait before they start elsewhere.
-	leaseLength = 4 * time.Second
+	leaseDuration = 4 * time.Second
 	// maxClockDrift is how much slower than ours a worker's clock may run.
 	maxClockDrift = maxClockDriftPerMille / 1000.0
 	// maxClockDriftPerMille is the same in thousandths.
 	maxClockDriftPerMille = 20
-	// lapseSlack covers the rounding of clocks to milliseconds and late timers.
-	lapseSlack = 150 * time.Millisecond
+	// leaseMargin covers the rounding of clocks to milliseconds and late timers.
+	leaseMargin = 150 * time.Millisecond
 )
 
 // lapsed tells whether all leases given there have certainly run out.
@@ -27,7 +27,7 @@
 	if s.clockAt == 0 {
 		return true
 	}
-	passed := float64(now-s.clockAt-lapseSlack) * (1 - maxClockDrift)
+	passed := float64(now-s.clockAt-leaseMargin) * (1 - maxClockDrift)
 	return float64(s.clockMs)+passed/float64(time.Millisecond) > float64(s.leaseUntil)
 }
 
@@ -36,7 +36,7 @@
 	if s.clockAt == 0 {
 		return 0
 	}
-	until := s.clockMs + (now - s.clockAt + leaseLength).Milliseconds()
+	until := s.clockMs + (now - s.clockAt + leaseDuration).Milliseconds()
 	s.leaseUntil = max(s.leaseUntil, until)
 	return until
 }
@@ -50,10 +50,10 @@
 
 // formerLeasesEnd is when the longest lease of a former owner has run out.
 func (o *Owner) formerLeasesEnd(now time.Duration) time.Duration {
-	return now + ConfirmedFor + outlasting(leaseLength)
+	return now + ConfirmedFor + outlasting(leaseDuration)
 }
 
 // outlasting is how long a lease of a length may run by our clock, whatever the worker's does.
 func outlasting(length time.Duration) time.Duration {
-	return time.Duration(float64(length.Nanoseconds())*(1+2*maxClockDrift)) + lapseSlack
+	return time.Duration(float64(length.Nanoseconds())*(1+2*maxClockDrift)) + leaseMargin
 }
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -12,14 +12,14 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// logLoadEvery is the time between two lines about a shard's load.
-const logLoadEvery = time.Second
+// loadLogInterval is the time between two lines about a shard's load.
+const loadLogInterval = time.Second
 
-// lightShare is the part of its processors that a VM may have in use and still count as light.
-const lightShare = 0.15
+// maxLightShare is the part of its processors that a VM may have in use and still count as light.
+const maxLightShare = 0.15
 
-// lostAfter is how many looks in a row a worker may leave unanswered and still count.
-const lostAfter = 2
+// maxUnansweredCalls is how many looks in a row a worker may leave unanswered and still count.
+const maxUnansweredCalls = 2
 
 // ZoneLoad is what a zone has that is out of use.
 type ZoneLoad struct {
@@ -27,8 +27,8 @@
 	Tasks   int // that run there still
 }
 
-// tightVMs bounds the VMs that Load.Tight names: only the next to be maintained matter.
-const tightVMs = 8
+// maxSlowVMs bounds the VMs that Load.Tight names: only the next to be maintained matter.
+const maxSlowVMs = 8
 
 // Load is how busy a shard's workers are.
 type Load struct {
@@ -97,14 +97,14 @@
 				limited[s.vm]++
 			}
 		}
-		if !lasting && s.trial == nil && float64(cpu) <= lightShare*float64(s.info.Capacity.CPU) {
+		if !lasting && s.trial == nil && float64(cpu) <= maxLightShare*float64(s.info.Capacity.CPU) {
 			used[s.vm] = cpu
 			l.Light = append(l.Light, s.vm)
 		}
 	}
-	l.Tight = tightest(limited)
+	l.Tight = slowestVMs(limited)
 	slices.SortFunc(l.Light, func(a, b string) int { return cmp.Or(cmp.Compare(used[a], used[b]), cmp.Compare(a, b)) })
-	l.Floor = o.floor()
+	l.Floor = o.minWorkers()
 	l.AtLimit = o.rate.AtLimit()
 	l.Arriving = o.arrivals.demand(now)
 	demand := o.newDemand()
@@ -128,15 +128,15 @@
 	l.ZonesOut[s.info.Zone] = z
 }
 
-// tightest returns the VMs with most limited tasks, by their number.
-func tightest(limited map[string]int) []string {
+// slowestVMs returns the VMs with most limited tasks, by their number.
+func slowestVMs(limited map[string]int) []string {
 	vms := slices.SortedFunc(maps.Keys(limited), func(a, b string) int { return cmp.Or(cmp.Compare(limited[b], limited[a]), cmp.Compare(a, b)) })
-	return vms[:min(len(vms), tightVMs)]
+	return vms[:min(len(vms), maxSlowVMs)]
 }
 
-// floor is how many workers the long-running tasks need, one more to restart
+// minWorkers is how many workers the long-running tasks need, one more to restart
 // tasks of a worker that is lost, and two at the least.
-func (o *Owner) floor() int {
+func (o *Owner) minWorkers() int {
 	widest := 1
 	for _, j := range o.book.Active() {
 		for _, s := range j.Steps {
@@ -151,15 +151,15 @@
 // serviceable tells whether a worker counts for the size of the pool: it is
 // usable but for what passes within a moment.
 func (s *session) serviceable(now time.Duration) bool {
-	return s.listed && !s.draining && !s.gone && s.failures < lostAfter && now >= s.cordonedTo
+	return s.listed && !s.draining && !s.gone && s.failures < maxUnansweredCalls && now >= s.cordonedTo
 }
 
 // logLoad writes the load to the log from time to time; the lock is held.
 func (o *Owner) logLoad(now time.Duration) {
-	if now-o.loadLogged < logLoadEvery {
+	if now-o.loadLoggedAt < loadLogInterval {
 		return
 	}
-	o.loadLogged = now
+	o.loadLoggedAt = now
 	l := o.load(now)
 	running := 0
 	for _, j := range o.book.Active() {
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -11,59 +11,59 @@
 
 // Pace of looks.
 const (
-	// lookWait is how long a look waits for an end; it has to renew the leases in time.
-	lookWait = time.Second
-	// retryLook is the pause after a look that failed.
-	retryLook = 250 * time.Millisecond
-	// awaitOrders is the pause while orders are on their way that must be answered
+	// pollWait is how long a look waits for an end; it has to renew the leases in time.
+	pollWait = time.Second
+	// pollRetryDelay is the pause after a look that failed.
+	pollRetryDelay = 250 * time.Millisecond
+	// orderPollDelay is the pause while orders are on their way that must be answered
 	// before a look can settle the doubt about another.
-	awaitOrders = 30 * time.Millisecond
-	// rareLook is the least time between two looks at a worker while the owner is at
+	orderPollDelay = 30 * time.Millisecond
+	// minPollInterval is the least time between two looks at a worker while the owner is at
 	// its own limit: they renew leases of 4 s in time, and leave to starts and
 	// confirmations what a look at each end takes.
-	rareLook = 600 * time.Millisecond
-	// ackPause is how long ends wait for their acknowledgement before the next look renews the leases anyway.
-	ackPause = 500 * time.Millisecond
+	minPollInterval = 600 * time.Millisecond
+	// ackDelay is how long ends wait for their acknowledgement before the next look renews the leases anyway.
+	ackDelay = 500 * time.Millisecond
 )
 
-// lookPlan is when a worker is to be looked at next.
-type lookPlan struct {
+// pollPlan is when a worker is to be looked at next.
+type pollPlan struct {
 	after time.Duration // 0 for at once, negative for not before something changes
-	// kicked tells whether a change brings the look about at once; else the plan is made anew.
-	kicked bool
+	// onWake tells whether a change brings the look about at once; else the plan is made anew.
+	onWake bool
 }
 
-// planLook decides when to look next; the lock is held.
-func (s *session) planLook(now time.Duration, atLimit bool) lookPlan {
+// planPoll decides when to look next; the lock is held.
+func (s *session) planPoll(now time.Duration, atLimit bool) pollPlan {
 	switch {
-	case !s.wantsLook(now):
-		return lookPlan{after: -1}
-	case s.failures > 0 && !s.askAgain:
-		return lookPlan{after: retryLook, kicked: true}
-	case atLimit && s.known && s.failures == 0 && now < s.lookedAt+rareLook:
-		return lookPlan{after: s.lookedAt + rareLook - now}
-	case s.ends.due() && s.inFlight > 0 && s.known && s.failures == 0 && !s.inDoubt:
+	case !s.needsPoll(now):
+		return pollPlan{after: -1}
+	case s.failures > 0 && !s.retryNow:
+		return pollPlan{after: pollRetryDelay, onWake: true}
+	case atLimit && s.known && s.failures == 0 && now < s.polledAt+minPollInterval:
+		return pollPlan{after: s.polledAt + minPollInterval - now}
+	case s.ends.ackDue() && s.inFlight > 0 && s.known && s.failures == 0 && !s.inDoubt:
 		// The look that acknowledges ends has to come when they are answered or given up; one
 		// before it may be another that has no answer.
-		return lookPlan{after: orderTimeout}
+		return pollPlan{after: orderTimeout}
 	case s.inDoubt && s.inFlight > 0:
-		return lookPlan{after: awaitOrders, kicked: !s.ends.open() || s.failures > 0}
+		return pollPlan{after: orderPollDelay, onWake: !s.ends.open() || s.failures > 0}
 	case s.ends.open():
-		return lookPlan{after: ackPause, kicked: s.failures > 0}
+		return pollPlan{after: ackDelay, onWake: s.failures > 0}
 	default:
-		return lookPlan{}
+		return pollPlan{}
 	}
 }
 
-// sessionLoop looks at a worker as long as there is something to see.
-func (o *Owner) sessionLoop(ctx context.Context, s *session) {
+// pollLoop looks at a worker as long as there is something to see.
+func (o *Owner) pollLoop(ctx context.Context, s *session) {
 	for ctx.Err() == nil {
 		o.mu.Lock()
-		plan := s.planLook(o.now(), o.rate.AtLimit())
+		plan := s.planPoll(o.now(), o.rate.AtLimit())
 		if o.releasing && !s.inDoubt {
 			// What ends now stays at its worker for the next owner. Taken, it kept a handover
 			// under 2,000 starts a second waiting for 144 to 604 ms (TestHandoverUnderLoad).
-			plan = lookPlan{after: -1}
+			plan = pollPlan{after: -1}
 		}
 		o.mu.Unlock()
 		if s.rest(ctx, plan) {
@@ -73,7 +73,7 @@
 }
 
 // rest waits as a plan says; it reports whether the look is due.
-func (s *session) rest(ctx context.Context, plan lookPlan) (due bool) {
+func (s *session) rest(ctx context.Context, plan pollPlan) (due bool) {
 	if plan.after == 0 {
 		return true
 	}
@@ -89,7 +89,7 @@
 	case <-timer:
 		return ctx.Err() == nil
 	case <-s.wake:
-		return ctx.Err() == nil && plan.kicked
+		return ctx.Err() == nil && plan.onWake
 	}
 }
 
@@ -102,15 +102,15 @@
 		s.token++
 	}
 	sentAt := o.now()
-	s.lookedAt = sentAt
+	s.polledAt = sentAt
 	order := o.renewal(s, sentAt)
-	report, err := o.sendLook(ctx, s, order)
-	if ctx.Err() != nil || errors.Is(err, errInterrupted) {
+	report, err := o.sendPoll(ctx, s, order)
+	if ctx.Err() != nil || errors.Is(err, errPollInterrupted) {
 		return
 	}
 	if err != nil {
 		o.cfg.Metrics.Look(err)
-		o.lookFailed(s, &order, err)
+		o.pollFailed(s, &order, err)
 		return
 	}
 	if boot := s.answeredBy(report.Born); boot != s.ref.Boot {
@@ -121,7 +121,7 @@
 	o.cfg.Metrics.Look(nil)
 	s.ends.tell(order.AckedEnd)
 	s.heardAt = sentAt
-	o.lookAnswered(s, &report, sentAt)
+	o.pollAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
 		o.settled(s, sentAt)
 	}
@@ -135,23 +135,23 @@
 	o.kickPlacement()
 }
 
-// errInterrupted reports a look that was ended because a doubt has arisen, which another look settles.
-var errInterrupted = errors.New("the look was not waited for any longer")
+// errPollInterrupted reports a look that was ended because a doubt has arisen, which another look settles.
+var errPollInterrupted = errors.New("the look was not waited for any longer")
 
-// sendLook sends a look and waits for its report; it lets the lock go meanwhile.
-func (o *Owner) sendLook(ctx context.Context, s *session, order platform.RenewOrder) (report platform.WorkerReport, err error) {
+// sendPoll sends a look and waits for its report; it lets the lock go meanwhile.
+func (o *Owner) sendPoll(ctx context.Context, s *session, order platform.RenewOrder) (report platform.WorkerReport, err error) {
 	lookCtx, cancel := context.WithTimeout(ctx, order.Wait+answerTimeout)
 	defer cancel()
 	if order.Wait > 0 {
-		s.interrupt = cancel
+		s.cancelPoll = cancel
 	}
 	o.mu.Unlock()
 	report, err = o.cfg.Workers.RenewLeases(lookCtx, s.ref, order)
 	interrupted := err != nil && errors.Is(lookCtx.Err(), context.Canceled)
 	o.mu.Lock()
-	s.interrupt = nil
+	s.cancelPoll = nil
 	if interrupted {
-		err = errInterrupted
+		err = errPollInterrupted
 	}
 	return report, err
 }
@@ -160,14 +160,14 @@
 func (o *Owner) renewal(s *session, now time.Duration) platform.RenewOrder {
 	// A start that has no answer yet, or a look without one, may have reached a later boot.
 	safe := s.failures == 0 && !s.inDoubt && s.inFlight == 0
-	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.toTell(safe)}
+	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.ackNumber(safe)}
 	if s.failures == 0 && o.confirmed(now) {
 		// A look without an answer may still arrive; were each of them to renew,
 		// the leases of a worker that is gone would never run out.
 		order.LeaseUntil = s.lease(now)
 	}
 	if s.known && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
-		order.Wait = lookWait
+		order.Wait = pollWait
 		if s.watches() {
 			order.Wait = watchLook
 		}
@@ -175,8 +175,8 @@
 	return order
 }
 
-// lookAnswered takes the report that answers a look; the lock is held.
-func (o *Owner) lookAnswered(s *session, report *platform.WorkerReport, sentAt time.Duration) {
+// pollAnswered takes the report that answers a look; the lock is held.
+func (o *Owner) pollAnswered(s *session, report *platform.WorkerReport, sentAt time.Duration) {
 	if s.failures > 0 {
 		o.log.Info().Str("event", "worker_regained").Str("boot", s.ref.Boot).Int("failures", s.failures).Send()
 	}
@@ -185,11 +185,11 @@
 		o.pardon(s, report)
 	}
 	s.noteClock(report.ClockMs, o.now())
-	o.takeReport(s, report, sentAt)
+	o.applyReport(s, report, sentAt)
 }
 
-// lookFailed applies the lack of an answer to a look; the lock is held.
-func (o *Owner) lookFailed(s *session, order *platform.RenewOrder, err error) {
+// pollFailed applies the lack of an answer to a look; the lock is held.
+func (o *Owner) pollFailed(s *session, order *platform.RenewOrder, err error) {
 	var other platform.ErrOtherBoot
 	var refused platform.ErrOrderRefused
 	switch {
@@ -197,19 +197,19 @@
 		o.bootEnded(s, "another boot answers at its address")
 		return
 	case errors.As(err, &refused) && refused.Reason == platform.RefusedToken:
-		o.outranked(s)
+		o.superseded(s)
 		return
 	}
 	if order.AckedEnd > 0 && !platform.IsNotDone(err) {
 		s.inDoubt = true // a higher token keeps its acknowledgement from a later boot
 	}
 	s.unanswered(o.now())
-	s.askAgain = s.failures == 1
+	s.retryNow = s.failures == 1
 	if s.failures == 1 {
 		o.log.Warn().Str("event", "worker_lost").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Err(err).Send()
 	}
 	if s.failures >= blameAfter {
 		o.blame(s)
 	}
-	o.expire(s)
+	o.expireLeases(s)
 }
--- a/pkg/shard/look_test.go
+++ b/pkg/shard/look_test.go
@@ -19,20 +19,20 @@
 	for name, tc := range map[string]struct {
 		s       session
 		atLimit bool
-		want    lookPlan
+		want    pollPlan
 	}{
-		"nothing there":              {s: session{known: true}, want: lookPlan{after: -1}},
+		"nothing there":              {s: session{known: true}, want: pollPlan{after: -1}},
 		"a task at work":             {s: busy(session{known: true})},
 		"not heard yet":              {s: session{}},
-		"silent once":                {s: busy(session{known: true, failures: 1, askAgain: true})},
-		"silent":                     {s: busy(session{known: true, failures: 2}), want: lookPlan{after: retryLook, kicked: true}},
-		"ends to be kept":            {s: busy(session{known: true, ends: ends{counted: 2, kept: 1}}), want: lookPlan{after: ackPause}},
-		"a doubt, orders on the way": {s: busy(session{known: true, inDoubt: true, inFlight: 1}), want: lookPlan{after: awaitOrders, kicked: true}},
+		"silent once":                {s: busy(session{known: true, failures: 1, retryNow: true})},
+		"silent":                     {s: busy(session{known: true, failures: 2}), want: pollPlan{after: pollRetryDelay, onWake: true}},
+		"ends to be kept":            {s: busy(session{known: true, ends: ends{counted: 2, kept: 1}}), want: pollPlan{after: ackDelay}},
+		"a doubt, orders on the way": {s: busy(session{known: true, inDoubt: true, inFlight: 1}), want: pollPlan{after: orderPollDelay, onWake: true}},
 		"a doubt to settle":          {s: busy(session{known: true, inDoubt: true})},
-		"at the owner's limit":       {s: busy(session{known: true, lookedAt: now - 200*time.Millisecond}), atLimit: true, want: lookPlan{after: rareLook - 200*time.Millisecond}},
-		"at the limit, long ago":     {s: busy(session{known: true, lookedAt: now - time.Second}), atLimit: true},
-		"at the limit, not heard":    {s: session{lookedAt: now}, atLimit: true},
+		"at the owner's limit":       {s: busy(session{known: true, polledAt: now - 200*time.Millisecond}), atLimit: true, want: pollPlan{after: minPollInterval - 200*time.Millisecond}},
+		"at the limit, long ago":     {s: busy(session{known: true, polledAt: now - time.Second}), atLimit: true},
+		"at the limit, not heard":    {s: session{polledAt: now}, atLimit: true},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Check(t, tc.s.planLook(now, tc.atLimit), qt.Equals, tc.want) })
+		t.Run(name, func(t *testing.T) { qt.Check(t, tc.s.planPoll(now, tc.atLimit), qt.Equals, tc.want) })
 	}
 }
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -75,7 +75,7 @@
 		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
 		m.bootAll(3)
 		m.takeOver()
-		m.bind()
+		m.applyLimit()
 		steps := rapid.IntRange(3, 14).Draw(t, "steps")
 		for range steps {
 			m.step()
@@ -91,8 +91,8 @@
 	limitedCPU = 6000
 )
 
-// bind gives the account a limit and the shard a share of it, which is kept from then on.
-func (m *machine) bind() {
+// applyLimit gives the account a limit and the shard a share of it, which is kept from then on.
+func (m *machine) applyLimit() {
 	m.e.limit(limited, limitedCPU)
 	m.e.grant(m.present, 1, 1, limited, 0.5)
 	time.Sleep(time.Second)
@@ -112,13 +112,13 @@
 	kinds[rapid.IntRange(0, len(kinds)-1).Draw(m.t, "kind")]()
 }
 
-// restOffset keeps what the course does next from the instants at which owners do something: they
+// pauseOffset keeps what the course does next from the instants at which owners do something: they
 // count whole milliseconds from when they took over, which is when a step of the course was.
-const restOffset = 37_100 * time.Nanosecond
+const pauseOffset = 37_100 * time.Nanosecond
 
 // rest waits for a drawn number of milliseconds.
 func (m *machine) rest(least, most int, what string) {
-	time.Sleep(time.Duration(rapid.IntRange(least, most).Draw(m.t, what))*time.Millisecond + restOffset)
+	time.Sleep(time.Duration(rapid.IntRange(least, most).Draw(m.t, what))*time.Millisecond + pauseOffset)
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
@@ -198,7 +198,7 @@
 		o.Close()
 		m.e.setOwner(m.present, nil)
 	}
-	m.follow()
+	m.startNextOwner()
 }
 
 // handOver has the present owner let go by plan.
@@ -207,14 +207,14 @@
 		o.Release(context.Background(), "")
 		m.e.setOwner(m.present, nil)
 	}
-	m.follow()
+	m.startNextOwner()
 }
 
 // usurp lets another entry take over while the present owner goes on, as one
 // does that is cut off.
-func (m *machine) usurp() { m.follow() }
+func (m *machine) usurp() { m.startNextOwner() }
 
-func (m *machine) follow() {
+func (m *machine) startNextOwner() {
 	m.entries++
 	name := fmt.Sprintf("e%d", m.entries)
 	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyOnly)
@@ -283,7 +283,7 @@
 	sleeper.suspend()
 	m.rest(1, 10_000, "before")
 	if rapid.Bool().Draw(m.t, "followed") {
-		m.follow()
+		m.startNextOwner()
 		if listed := m.e.directory(); len(listed) > 0 && rapid.Bool().Draw(m.t, "unreached") {
 			boot := listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot
 			for _, op := range []fake.OrderOp{fake.OrderStart, fake.OrderStop, fake.OrderRenew} {
@@ -305,7 +305,7 @@
 			break
 		}
 		time.Sleep(time.Second)
-		m.follow()
+		m.startNextOwner()
 	}
 	time.Sleep(settleTime)
 	synctest.Wait()
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -17,12 +17,12 @@
 	// orderTimeout is how long an order may go unanswered before a look settles
 	// what became of it; until then the worker gets no other tasks.
 	orderTimeout = 350 * time.Millisecond
-	// pauseUnhealthy is the pause before new tasks for a worker that said it is not well.
-	pauseUnhealthy = 800 * time.Millisecond
-	// pauseFull is the pause before new tasks for a worker that said it has no room.
-	pauseFull = 100 * time.Millisecond
-	// repeatStop is how long an ordered end may stay away before it is ordered again.
-	repeatStop = 1200 * time.Millisecond
+	// unhealthyPause is the pause before new tasks for a worker that said it is not well.
+	unhealthyPause = 800 * time.Millisecond
+	// fullPause is the pause before new tasks for a worker that said it has no room.
+	fullPause = 100 * time.Millisecond
+	// stopRetryInterval is how long an ordered end may stay away before it is ordered again.
+	stopRetryInterval = 1200 * time.Millisecond
 )
 
 // order has the start of an attempt sent; the lock is held.
@@ -40,7 +40,7 @@
 // sendStart has a start sent when its turn comes; the lock is held.
 func (o *Owner) sendStart(s *session, name string, r *running) {
 	a := r.Attempt
-	o.dispatch(s, &dispatch{
+	o.enqueueOrder(s, &queuedOrder{
 		start: func(now time.Duration) func(ctx context.Context) (int64, error) {
 			if o.unwanted(a) || a.Number <= a.Task.Step.BrokenRun {
 				return nil
@@ -62,7 +62,7 @@
 func (o *Owner) started(s *session, name string, r *running, err error) {
 	now := o.now()
 	current := s.attempts[name] == r
-	if errors.Is(err, errWithdrawn) {
+	if errors.Is(err, errStartWithdrawn) {
 		o.startWithdrawn(s, name, r)
 		return
 	}
@@ -88,7 +88,7 @@
 		o.startRefused(s, name, r, refused, now)
 	case platform.IsNotDone(err):
 		s.unanswered(now)
-		s.askAgain = false // what did not reach the worker is not sent again at once
+		s.retryNow = false // what did not reach the worker is not sent again at once
 		if current && r.confirmedAt == 0 {
 			o.drop(s, name)
 		}
@@ -123,15 +123,15 @@
 		if s.inDoubt || r.Attempt.Phase == jobs.PhaseInDoubt {
 			break // our own look has raised the token meanwhile
 		}
-		o.outranked(s)
+		o.superseded(s)
 		return
 	case platform.RefusedTicket:
-		o.ticketRefused(r.Task.Step, s.ref.Boot)
+		o.dropTicket(r.Task.Step, s.ref.Boot)
 	case platform.RefusedRoom:
-		s.pausedTo = now + pauseFull
+		s.pausedUntil = now + fullPause
 	case platform.RefusedUnhealthy, platform.RefusedOther:
 		s.health.unanswered(now)
-		s.pausedTo = now + pauseUnhealthy
+		s.pausedUntil = now + unhealthyPause
 	}
 	if s.attempts[name] == r && r.confirmedAt == 0 {
 		o.drop(s, name)
@@ -206,19 +206,19 @@
 	}
 	r.Phase = jobs.PhaseStopped
 	o.log.Info().Str("event", "stop_ordered").Str("task", r.Task.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).Str("why", why).Send()
-	o.orderEnd(s, r)
+	o.orderStop(s, r)
 }
 
-// orderEnd sends the order to end an attempt and notes when.
-func (o *Owner) orderEnd(s *session, r *running) {
-	r.orderedEnd = o.now()
-	o.sendStop(s, r.Task.Name(), r.Number)
+// orderStop sends the order to end an attempt and notes when.
+func (o *Owner) orderStop(s *session, r *running) {
+	r.stopOrderedAt = o.now()
+	o.enqueueStop(s, r.Task.Name(), r.Number)
 }
 
-// sendStop sends the order to end an attempt, of which this owner need know nothing.
-func (o *Owner) sendStop(s *session, task string, attempt int64) {
+// enqueueStop sends the order to end an attempt, of which this owner need know nothing.
+func (o *Owner) enqueueStop(s *session, task string, attempt int64) {
 	order := platform.StopOrder{Task: task, Attempt: attempt, Token: s.token}
-	o.dispatch(s, &dispatch{
+	o.enqueueOrder(s, &queuedOrder{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.StopAttempt(ctx, s.ref, order) },
 		answered: func(err error) {
 			if err != nil {
@@ -229,10 +229,10 @@
 	})
 }
 
-// repeatStops orders ends again that have not come.
-func (o *Owner) repeatStops(s *session, now time.Duration) {
-	overdue := func(r *running) bool { return r.Phase == jobs.PhaseStopped && now-r.orderedEnd > repeatStop }
-	for _, name := range namesWhere(s.attempts, overdue) {
-		o.orderEnd(s, s.attempts[name])
+// retryStops orders ends again that have not come.
+func (o *Owner) retryStops(s *session, now time.Duration) {
+	overdue := func(r *running) bool { return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopRetryInterval }
+	for _, name := range sortedKeysWhere(s.attempts, overdue) {
+		o.orderStop(s, s.attempts[name])
 	}
 }
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -14,8 +14,8 @@
 	"github.com/gannetwell/gannetwell/pkg/startrate"
 )
 
-// takeoverRead bounds the reads of a takeover, as long as something goes on coming.
-const takeoverRead = 15 * time.Second
+// takeoverReadTimeout bounds the reads of a takeover, as long as something goes on coming.
+const takeoverReadTimeout = 15 * time.Second
 
 // Metrics counts what an owner does.
 type Metrics interface {
@@ -94,23 +94,23 @@
 	over      bool
 	releasing bool // it is being handed over: nothing new is begun
 
-	catalog   *catalog.Catalog
-	book      *jobs.Book
-	unread    map[string]bool           // IDs of jobs that are kept and can't be read
-	blind     bool                      // the record of a former owner's workers could not be read
-	accounts  accounts                  // their shares and limits
-	sessions  map[string]*session       // by boot
-	present   map[string]*session       // of the last boot of each worker, by its ID
-	tokens    map[string]int64          // the last ones shown to workers that have ended, where raised, by ID
-	inOrder   []*session                // sessions by boot, nil when out of date
-	advices   map[*jobs.StepRun]*advice // of steps whose queue has advice
-	durations map[string]*learned       // by queue
-	suspects  map[*jobs.Task]struct{}   // that lost workers are counted against
-	noted     map[*jobs.Job][]noted     // starts that are sent once what is noted ahead is kept
-	unheard   bool                      // a former owner's worker was lost before this one heard it
-	rate      startrate.Rate            // of starts, while this owner is at its own limit
-	arrivals  arrivals                  // of jobs, which tell how much work is on its way
-	idleTasks bool                      // tasks wait for room, or for a time
+	catalog        *catalog.Catalog
+	book           *jobs.Book
+	unread         map[string]bool           // IDs of jobs that are kept and can't be read
+	blind          bool                      // the record of a former owner's workers could not be read
+	accounts       accounts                  // their shares and limits
+	sessions       map[string]*session       // by boot
+	present        map[string]*session       // of the last boot of each worker, by its ID
+	tokens         map[string]int64          // the last ones shown to workers that have ended, where raised, by ID
+	sortedSessions []*session                // sessions by boot, nil when out of date
+	advices        map[*jobs.StepRun]*advice // of steps whose queue has advice
+	durations      map[string]*durationStats // by queue
+	suspects       map[*jobs.Task]struct{}   // that lost workers are counted against
+	noted          map[*jobs.Job][]noted     // starts that are sent once what is noted ahead is kept
+	unheard        bool                      // a former owner's worker was lost before this one heard it
+	rate           startrate.Rate            // of starts, while this owner is at its own limit
+	arrivals       arrivals                  // of jobs, which tell how much work is on its way
+	tasksWaiting   bool                      // tasks wait for room, or for a time
 
 	confirmedAt time.Duration // when this entry certainly was the owner
 	asking      bool          // the owner row is being read
@@ -138,13 +138,13 @@
 	setApart   map[*jobs.Job]error          // whose progress was refused alone, until something else is taken
 	finals     []finalJob                   // in the order in which they are forgotten
 
-	loadLogged time.Duration // when the load was last written to the log
+	loadLoggedAt time.Duration // when the load was last written to the log
 }
 
 // Open takes the shard over, if its owner row still has the version seen, reads
 // what is kept and starts to own it.
 func Open(ctx context.Context, cfg Config, seen Seen, cat *catalog.Catalog, workers []platform.Worker) (o *Owner, err error) {
-	ctx, done := context.WithTimeout(ctx, takeoverRead)
+	ctx, done := context.WithTimeout(ctx, takeoverReadTimeout)
 	defer done()
 	if cfg.RowBytes == 0 {
 		cfg.RowBytes = platform.UsualRowBytes
@@ -169,7 +169,7 @@
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
 		catalog: cat, book: k.book, unread: k.unreadable, blind: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
-		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*learned{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
+		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
@@ -189,7 +189,7 @@
 			o.finals = append(o.finals, finalJob{id: j.ID, at: now})
 		}
 	})
-	o.layOutDue() // a former owner may have started what is due
+	o.advanceSchedules() // a former owner may have started what is due
 	o.heldTo = o.formerLeasesEnd(now)
 	for _, w := range k.workers {
 		if o.sessions[w.Boot] != nil {
@@ -237,8 +237,8 @@
 	o.kickPlacement()
 }
 
-// outranked gives the shard up: a worker has seen a higher token than ours.
-func (o *Owner) outranked(s *session) {
+// superseded gives the shard up: a worker has seen a higher token than ours.
+func (o *Owner) superseded(s *session) {
 	o.giveUp(ErrNotOwner{Owner: OwnerRow{Entry: "the sender of a higher token at " + s.ref.Boot}})
 }
 
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -12,11 +12,11 @@
 // shift within seconds: they are slowed down at once when a tail nears its
 // target and sped up step by step when it is well below.
 const (
-	paceHigh  = 0.85 // share of the target above which filling tasks are slowed down
-	paceLow   = 0.6  // share of the target below which they are sped up
-	paceStep  = 15   // percent by which they are sped up
-	paceLeast = 5    // percent below which they are not slowed down further
-	fullPace  = 100
+	paceDownShare = 0.85 // share of the target above which filling tasks are slowed down
+	paceUpShare   = 0.6  // share of the target below which they are sped up
+	paceIncrement = 15   // percent by which they are sped up
+	minPace       = 5    // percent below which they are not slowed down further
+	fullPace      = 100
 	// paceUpAfter is how long a pace is kept before it is raised; reports cover half a second.
 	paceUpAfter = 900 * time.Millisecond
 	// paceDownAfter is how long a pace is kept before it is lowered again.
@@ -48,10 +48,10 @@
 		current = fullPace
 	}
 	switch {
-	case worst > paceHigh && now-r.pacedAt >= paceDownAfter:
-		return max(paceLeast, current/2)
-	case worst < paceLow && now-r.pacedAt >= paceUpAfter && current < fullPace:
-		return min(fullPace, current+paceStep)
+	case worst > paceDownShare && now-r.pacedAt >= paceDownAfter:
+		return max(minPace, current/2)
+	case worst < paceUpShare && now-r.pacedAt >= paceUpAfter && current < fullPace:
+		return min(fullPace, current+paceIncrement)
 	default:
 		return r.pace
 	}
@@ -61,7 +61,7 @@
 	r.pace, r.pacedAt = percent, now
 	o.log.Info().Str("event", "pace_ordered").Str("task", name).Str("boot", s.ref.Boot).Int("percent", percent).Float64("tail_of_target", worst).Send()
 	order := platform.PaceOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
-	o.dispatch(s, &dispatch{
+	o.enqueueOrder(s, &queuedOrder{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.PaceAttempt(ctx, s.ref, order) },
 		answered: func(err error) {
 			if err != nil {
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -13,22 +13,22 @@
 	"github.com/gannetwell/gannetwell/pkg/placement"
 )
 
-// lostFactor times its objective is when a job no longer counts as served.
-const lostFactor = 3
+// missedObjectiveFactor times its objective is when a job no longer counts as served.
+const missedObjectiveFactor = 3
 
-// excessPatience is how long a job that came beyond its account's promise waits behind
+// maxExcessDelay is how long a job that came beyond its account's promise waits behind
 // those of others. Then it counts as theirs do, so that it is not starved; it is late by
 // then, and goes behind all that can still be in time.
-const excessPatience = 10 * time.Second
+const maxExcessDelay = 10 * time.Second
 
-// placeShare bounds placement to one part in so many of the time: each pass looks
+// placementTimeDivisor bounds placement to one part in so many of the time: each pass looks
 // at all workers and waiting tasks, and in a pool of 250 workers ends and starts
 // come by the hundred a second. What comes meanwhile is placed together.
-const placeShare = 5
+const placementTimeDivisor = 5
 
-// longestPlacePause bounds the pause after a pass: on a machine that is short of
+// maxPlacementPause bounds the pause after a pass: on a machine that is short of
 // processor time a pass may be interrupted for long.
-const longestPlacePause = 20 * time.Millisecond
+const maxPlacementPause = 20 * time.Millisecond
 
 // placeLoop starts tasks whenever something has changed.
 func (o *Owner) placeLoop(ctx context.Context) {
@@ -40,7 +40,7 @@
 		}
 		started := o.now()
 		o.place()
-		_ = pause.For(ctx, min(longestPlacePause, (placeShare-1)*(o.now()-started))) // the loop sees an end of ctx
+		_ = pause.For(ctx, min(maxPlacementPause, (placementTimeDivisor-1)*(o.now()-started))) // the loop sees an end of ctx
 	}
 }
 
@@ -55,19 +55,19 @@
 	if !o.confirmed(now) {
 		return
 	}
-	o.layOutDue()
+	o.advanceSchedules()
 	o.clearSuspects()
 	o.endTrials(now)
 	candidates, onTrial := o.candidates(now)
-	o.idleTasks = len(candidates)+len(onTrial) > 0
-	if !o.idleTasks {
+	o.tasksWaiting = len(candidates)+len(onTrial) > 0
+	if !o.tasksWaiting {
 		return
 	}
 	placement.Sort(candidates, now)
 	hosts := o.hosts(now)
 	for _, cs := range [][]placement.Candidate{candidates, onTrial} {
 		for i := range cs {
-			o.advised(&cs[i], hosts, now)
+			o.applyAdvice(&cs[i], hosts, now)
 		}
 	}
 	if len(onTrial) > 0 {
@@ -96,8 +96,8 @@
 	}
 }
 
-// layOutDue lays out what is due of jobs that run at set times, and forgets what is over of them.
-func (o *Owner) layOutDue() {
+// advanceSchedules lays out what is due of jobs that run at set times, and forgets what is over of them.
+func (o *Owner) advanceSchedules() {
 	wall := time.Duration(time.Now().UnixNano())
 	for _, j := range o.book.Active() {
 		for _, s := range j.Advance(wall) {
@@ -117,9 +117,9 @@
 	return hosts
 }
 
-// hostsToTry returns the same workers as hosts does, to try placements on that may
+// scratchHosts returns the same workers as hosts does, to try placements on that may
 // not be ordered: what they are charged with is not kept.
-func (o *Owner) hostsToTry(now time.Duration) (hosts []*placement.Host) {
+func (o *Owner) scratchHosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsInOrder() {
 		if s.open(now) {
 			hosts = append(hosts, s.newHost())
@@ -131,10 +131,10 @@
 // sessionsInOrder returns the sessions by boot; they are sorted again only after
 // one has come or gone, since each pass of placement asks for them.
 func (o *Owner) sessionsInOrder() []*session {
-	if o.inOrder == nil {
-		o.inOrder = slices.SortedFunc(maps.Values(o.sessions), func(a, b *session) int { return cmp.Compare(a.ref.Boot, b.ref.Boot) })
+	if o.sortedSessions == nil {
+		o.sortedSessions = slices.SortedFunc(maps.Values(o.sessions), func(a, b *session) int { return cmp.Compare(a.ref.Boot, b.ref.Boot) })
 	}
-	return o.inOrder
+	return o.sortedSessions
 }
 
 // candidates returns the steps with tasks that may start now, with what their order depends
@@ -144,7 +144,7 @@
 	budgets := o.newBudgets()
 	o.eachIdle(false, func(s *jobs.StepRun, idle []*jobs.Task) {
 		if _, ok := left[s.Job]; !ok {
-			left[s.Job] = o.workLeft(s.Job, now)
+			left[s.Job] = o.remainingPath(s.Job, now)
 		}
 		c := o.candidate(s, idle, left[s.Job], now)
 		c.Budget = budgets.of(s.Job.Account)
@@ -152,15 +152,15 @@
 			cs = append(cs, c)
 			return
 		}
-		free, trials := sortOut(c)
+		free, trials := splitByVerdict(c)
 		cs, onTrial = append(cs, free...), append(onTrial, trials...)
 	})
 	return cs, onTrial
 }
 
-// sortOut divides a step's tasks by how they may start. The tasks of a gang start together:
+// splitByVerdict divides a step's tasks by how they may start. The tasks of a gang start together:
 // they are on trial together, and not watched.
-func sortOut(c placement.Candidate) (free, onTrial []placement.Candidate) {
+func splitByVerdict(c placement.Candidate) (free, onTrial []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
 		case blame.OnTrial:
@@ -231,15 +231,15 @@
 	j := s.Job
 	c := placement.Candidate{Step: s, Tasks: idle, Left: left, Deadline: j.AddedAt + left}
 	if q := o.catalog.Queue(j.Queue); q != nil {
-		objective := q.TargetLatency + time.Duration(q.Stretch*float64(o.longestChain(j)))
+		objective := q.TargetLatency + time.Duration(q.Stretch*float64(o.criticalPath(j)))
 		c.Priority = q.Priority
 		due := j.AddedAt
 		if at := s.Due(); at > 0 {
 			due = now - (time.Duration(time.Now().UnixNano()) - at)
 		}
 		c.Deadline = due + objective
-		c.Lost = due + lostFactor*objective
+		c.Lost = due + missedObjectiveFactor*objective
 	}
-	c.Excess = j.Excess && now-j.AddedAt < excessPatience
+	c.Excess = j.Excess && now-j.AddedAt < maxExcessDelay
 	return c
 }
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// quietTime is how long a handover waits for orders and transactions under way.
-	quietTime = 600 * time.Millisecond
-	// quietPoll is how often that is looked at.
-	quietPoll = 5 * time.Millisecond
+	// quiesceTimeout is how long a handover waits for orders and transactions under way.
+	quiesceTimeout = 600 * time.Millisecond
+	// quiescePollInterval is how often that is looked at.
+	quiescePollInterval = 5 * time.Millisecond
 	// releaseTimeout bounds the handover's transaction.
 	releaseTimeout = 2 * time.Second
 )
@@ -29,7 +29,7 @@
 	o.releasing = true
 	o.mu.Unlock()
 	started := o.now()
-	quiet := o.awaitQuiet(ctx)
+	quiet := o.awaitQuiesced(ctx)
 	o.mu.Lock()
 	o.over = true
 	o.refuseQueued()
@@ -42,14 +42,14 @@
 	o.log.Info().Str("event", "shard_released").Str("next", next).Bool("quiet", quiet).Dur("took", o.now()-started).Err(err).Send()
 }
 
-// awaitQuiet waits until no order and no transaction is under way; it reports whether that came in time.
-func (o *Owner) awaitQuiet(ctx context.Context) bool {
-	end := time.Now().Add(quietTime)
+// awaitQuiesced waits until no order and no transaction is under way; it reports whether that came in time.
+func (o *Owner) awaitQuiesced(ctx context.Context) bool {
+	end := time.Now().Add(quiesceTimeout)
 	for time.Now().Before(end) && ctx.Err() == nil {
 		if o.quiet() {
 			return true
 		}
-		time.Sleep(quietPoll)
+		time.Sleep(quiescePollInterval)
 	}
 	return false
 }
@@ -75,7 +75,7 @@
 func (o *Owner) letGo(ctx context.Context, next string) (err error) {
 	to := Successor{Entry: next, Left: max(0, o.alone-o.now())}
 	unkept := o.unheard || len(o.dirty) > 0
-	txn, err := o.lastTxn()
+	txn, err := o.releaseTxn()
 	if err != nil {
 		return err
 	}
@@ -92,16 +92,16 @@
 	return o.claim.ReleaseWith(ctx, o.cfg.Rows, o.cfg.Pool, to, txn)
 }
 
-// lastTxn narrows the record of leased workers to those where something runs or may run, and says
+// releaseTxn narrows the record of leased workers to those where something runs or may run, and says
 // what, so that the next owner need not wait for others. A worker that this owner has not heard since
 // it took over may run tasks of a former owner, who may renew there still. It also keeps the
 // progress that is not kept yet, losses above all: a handover that waits for a silent worker as long
 // as it may can end right after that was counted, and the record names the worker no more. Such a
 // loss was forgotten, and a task brought six workers down (TestMostWorkersDown).
-func (o *Owner) lastTxn() (txn platform.RowTxn, err error) {
+func (o *Owner) releaseTxn() (txn platform.RowTxn, err error) {
 	b := &batch{}
 	b.txn.Expect = []platform.Row{{RowKey: commitKey(o.cfg.Pool), Version: o.chain}}
-	if err := o.putLeft(b); err != nil {
+	if err := o.putRemainingWorkers(b); err != nil {
 		return txn, err
 	}
 	o.putProgress(b)
@@ -113,16 +113,16 @@
 	return b.txn, err
 }
 
-// putLeft adds the narrowed record. If what may run at the workers is too much for it, it says
+// putRemainingWorkers adds the narrowed record. If what may run at the workers is too much for it, it says
 // of them only that anything may.
-func (o *Owner) putLeft(b *batch) error {
+func (o *Owner) putRemainingWorkers(b *batch) error {
 	var named, bare [recordParts][]leasedWorker
 	for _, s := range o.sessionsInOrder() {
 		if !s.recorded || s.known && !s.former.open && s.idle() {
 			continue
 		}
 		part := partOf(s.worker)
-		named[part] = append(named[part], s.leasedInTheEnd(o.claim.Term))
+		named[part] = append(named[part], s.finalRecordEntry(o.claim.Term))
 		bare[part] = append(bare[part], s.leased())
 	}
 	o.record.noteAll()
--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -12,8 +12,8 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// repeatedCourses is how many courses of each kind are played twice.
-const repeatedCourses = 40
+// scenariosPerKind is how many courses of each kind are played twice.
+const scenariosPerKind = 40
 
 // TestCoursesRepeat: the same seed failed in one run of three and passed in the others, so that
 // nothing could be traced by it (TestRestarts, seed 14215917: of 90 runs 41 failed). What differs
@@ -23,13 +23,13 @@
 // Courses have to repeat to the line of the owners' logs.
 func TestCoursesRepeat(t *testing.T) {
 	for name, course := range map[string]func(func(*estate)) func(*rapid.T){
-		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": shortLists,
+		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": incompleteLists,
 		"mixed": mixed, "rivals": rivals, "evacuations": evacuations,
 	} {
 		t.Run(name, func(t *testing.T) {
 			differ := 0
-			for seed := range uint64(repeatedCourses) {
-				first, second := courseLog(t, 1000+seed, course), courseLog(t, 1000+seed, course)
+			for seed := range uint64(scenariosPerKind) {
+				first, second := scenarioLog(t, 1000+seed, course), scenarioLog(t, 1000+seed, course)
 				if first == second {
 					continue
 				}
@@ -37,13 +37,13 @@
 					t.Logf("seed %d: %s", 1000+seed, firstDifference(first, second))
 				}
 			}
-			qt.Check(t, differ, qt.Equals, 0, qt.Commentf("of %d courses", repeatedCourses))
+			qt.Check(t, differ, qt.Equals, 0, qt.Commentf("of %d courses", scenariosPerKind))
 		})
 	}
 }
 
-// courseLog is what the owners of a course log, the first time that it is played.
-func courseLog(t *testing.T, seed uint64, course func(func(*estate)) func(*rapid.T)) string {
+// scenarioLog is what the owners of a course log, the first time that it is played.
+func scenarioLog(t *testing.T, seed uint64, course func(func(*estate)) func(*rapid.T)) string {
 	var first *estate
 	prop.Play(t, seed, course(func(e *estate) {
 		if first == nil {
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -8,14 +8,14 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// takeReport applies what a worker said in answer to a look sent at sentAt.
-func (o *Owner) takeReport(s *session, r *platform.WorkerReport, sentAt time.Duration) {
+// applyReport applies what a worker said in answer to a look sent at sentAt.
+func (o *Owner) applyReport(s *session, r *platform.WorkerReport, sentAt time.Duration) {
 	if r.Draining && !s.draining {
 		s.draining = true
 		o.log.Info().Str("event", "worker_draining").Str("boot", s.ref.Boot).Dur("remaining", r.Remaining).Send()
 	}
 	now := o.now()
-	o.takeEnds(s, r.Ended, now)
+	o.applyEnds(s, r.Ended, now)
 	if s.ends.open() {
 		// An end that changes nothing of a job is acknowledged by a look at what is
 		// to be written, which nothing else need bring about: in a quiet pool a VM
@@ -31,9 +31,9 @@
 	}
 	for i := range r.Running {
 		seen[r.Running[i].Task] = true
-		o.takeRunning(s, &r.Running[i], now)
+		o.applyRunning(s, &r.Running[i], now)
 	}
-	s.forgetUnlisted(r, sentAt)
+	s.forgetUnlistedForeign(r, sentAt)
 	o.pace(s, now)
 	o.dropVanished(s, seen, sentAt)
 }
@@ -45,7 +45,7 @@
 	for name, a := range s.attempts {
 		if seen[name] {
 			a.missing = false
-		} else if a.confirmedAt > 0 && a.confirmedAt < sentAt && a.missedTwice() {
+		} else if a.confirmedAt > 0 && a.confirmedAt < sentAt && a.markMissing() {
 			vanished = append(vanished, name)
 		}
 	}
@@ -57,10 +57,10 @@
 	}
 }
 
-func (o *Owner) takeRunning(s *session, r *platform.RunningAttempt, now time.Duration) {
+func (o *Owner) applyRunning(s *session, r *platform.RunningAttempt, now time.Duration) {
 	a := s.attempts[r.Task]
 	if a == nil || a.Number != r.Attempt {
-		a = o.takeForeign(s, r, now)
+		a = o.adoptOrStop(s, r, now)
 		if a == nil {
 			return
 		}
@@ -75,9 +75,9 @@
 	o.begun(s, a, now)
 }
 
-// takeEnds applies the ends that a worker lists, as far as they may be counted.
-func (o *Owner) takeEnds(s *session, listed []platform.AttemptEnd, now time.Duration) {
-	countable, missing := s.ends.countable(listed)
+// applyEnds applies the ends that a worker lists, as far as they may be counted.
+func (o *Owner) applyEnds(s *session, listed []platform.AttemptEnd, now time.Duration) {
+	countable, missing := s.ends.applicable(listed)
 	if missing > 0 {
 		o.log.Debug().Str("event", "end_missing").Str("boot", s.ref.Boot).Int64("end", missing).Int64("listed", s.ends.behind[0].Number).Send()
 	}
@@ -86,15 +86,15 @@
 		switch {
 		case e.Number > s.ends.counted:
 			s.ends.count(e.Number, e.Task)
-			o.takeEnd(s, e, now)
+			o.applyEnd(s, e, now)
 		case e.Number <= s.ends.kept:
-			o.passOver(s, e)
+			o.noteStaleEnd(s, e)
 		}
 	}
 }
 
-// takeEnd applies one end that a worker reports.
-func (o *Owner) takeEnd(s *session, e *platform.AttemptEnd, now time.Duration) {
+// applyEnd applies one end that a worker reports.
+func (o *Owner) applyEnd(s *session, e *platform.AttemptEnd, now time.Duration) {
 	t := o.book.Task(e.Task)
 	a := s.attempts[e.Task]
 	s.forgetForeign(foreignKey{task: e.Task, number: e.Attempt})
@@ -129,9 +129,9 @@
 	}
 }
 
-// passOver says that a worker has listed an end whose number it was told to forget. It has
+// noteStaleEnd says that a worker has listed an end whose number it was told to forget. It has
 // counted anew, or the answer was overtaken by a later one.
-func (o *Owner) passOver(s *session, e *platform.AttemptEnd) {
+func (o *Owner) noteStaleEnd(s *session, e *platform.AttemptEnd) {
 	o.cfg.Metrics.EndPassedOver()
 	o.log.Warn().Str("event", "end_passed_over").Str("task", e.Task).Int64("attempt", e.Attempt).Str("boot", s.ref.Boot).
 		Int64("end", e.Number).Int64("acknowledged", s.ends.kept).Str("reason", string(e.Reason)).Send()
@@ -149,7 +149,7 @@
 		// One list is believed of a start without an answer: with two, jobs had nothing running
 		// for 3 s where three orders in ten have none, and such days were worth 0.19 in place of
 		// 0.25 (four plays). What may have reached the next boot is rare.
-		if a.lostWith != "" && !a.missedTwice() {
+		if a.lostWith != "" && !a.markMissing() {
 			s.inDoubt = true
 			continue
 		}
@@ -172,9 +172,9 @@
 	}
 }
 
-// missedTwice notes that a list of its worker lacks an attempt that may be there, and tells
+// markMissing notes that a list of its worker lacks an attempt that may be there, and tells
 // whether the one before did: a list may lack an entry once.
-func (r *running) missedTwice() bool {
+func (r *running) markMissing() bool {
 	before := r.missing
 	r.missing = true
 	return before
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			e.t.Fatal(err)
 		}
-		e.clockBack = back
+		e.clockBehind = back
 		e.restart(arg("worker", ""), arg("silent", "") != "", after)
 		return ""
 	case "suspendable":
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -11,13 +11,13 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// lapsedEntryBack is how long after an outage of the table service the entry of a
+// relistDelay is how long after an outage of the table service the entry of a
 // worker that lives may stay away from the directory; the operators say about two
 // seconds.
-const lapsedEntryBack = 2500 * time.Millisecond
+const relistDelay = 2500 * time.Millisecond
 
-// rackLabel is how labels that name a rack begin.
-const rackLabel = "r"
+// rackLabelPrefix is how labels that name a rack begin.
+const rackLabelPrefix = "r"
 
 // session is what the owner knows of one boot of a worker. The owner's lock guards it.
 type session struct {
@@ -36,25 +36,25 @@
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
 
-	attempts   map[string]*running            // by task name; changed by hold and letGo only
-	foreign    map[foreignKey]*foreignAttempt // run there and are not wanted
-	hostCache  *placement.Host                // as placement saw the worker last, nil when that is out of date
-	token      int64                          // fencing token of the orders
-	orders     []*dispatch                    // that wait for their turn, in order
-	senders    int                            // goroutines that send them
-	inFlight   int                            // start orders without an answer yet
-	inDoubt    bool                           // a start order got no answer; a look with a higher token settles it
-	failures   int                            // looks and orders in a row without an answer
-	silentAt   time.Duration                  // when the first of them was noticed, 0 while there is none
-	askAgain   bool                           // the only one was a look: it is repeated without a pause
-	health     outcomes                       // to tell a bad worker
-	blamed     bool                           // its loss was counted against what is there
-	trial      *trial                         // what it is kept for, nil for nothing
-	pausedTo   time.Duration                  // no new tasks until then
-	cordonedTo time.Duration                  // the VM is to be empty until then
-	zoneOut    func(zone string) bool         // tells whether a zone is out of use
-
-	notEmptyLogged time.Duration // when the log last said why its VM is not empty
+	attempts    map[string]*running            // by task name; changed by hold and letGo only
+	foreign     map[foreignKey]*foreignAttempt // run there and are not wanted
+	hostCache   *placement.Host                // as placement saw the worker last, nil when that is out of date
+	token       int64                          // fencing token of the orders
+	orders      []*queuedOrder                 // that wait for their turn, in order
+	senders     int                            // goroutines that send them
+	inFlight    int                            // start orders without an answer yet
+	inDoubt     bool                           // a start order got no answer; a look with a higher token settles it
+	failures    int                            // looks and orders in a row without an answer
+	silentAt    time.Duration                  // when the first of them was noticed, 0 while there is none
+	retryNow    bool                           // the only one was a look: it is repeated without a pause
+	health      outcomes                       // to tell a bad worker
+	blamed      bool                           // its loss was counted against what is there
+	trial       *trial                         // what it is kept for, nil for nothing
+	pausedUntil time.Duration                  // no new tasks until then
+	cordonedTo  time.Duration                  // the VM is to be empty until then
+	zoneOut     func(zone string) bool         // tells whether a zone is out of use
+
+	notEmptyLoggedAt time.Duration // when the log last said why its VM is not empty
 
 	clockMs    int64         // the worker's clock in the last answer
 	clockAt    time.Duration // when that answer arrived
@@ -63,8 +63,8 @@
 
 	ends ends // that it has listed
 
-	lookedAt  time.Duration // when the last look was sent
-	interrupt func()        // ends the look under way, nil if none waits for an end
+	polledAt   time.Duration // when the last look was sent
+	cancelPoll func()        // ends the look under way, nil if none waits for an end
 
 	wake   chan struct{}      // a look is due, or the reasons for one have changed
 	cancel context.CancelFunc // ends the session's loop
@@ -73,16 +73,16 @@
 // running is an attempt at a worker.
 type running struct {
 	*jobs.Attempt
-	sentAt      time.Duration // when the start was last sent, 0 before
-	cut         bool          // the worker's end cut its answer off
-	confirmedAt time.Duration // when the worker said that it has it, 0 before
-	orderedEnd  time.Duration // when its end was last ordered, 0 for never
-	seenAt      time.Duration // when the worker last reported it
-	missing     bool          // the last list of its worker lacked it
-	replaced    bool          // it was given up as too slow
-	lostWith    string        // the boot before, with which it counts as lost until this one is heard
-	pace        int           // percent of its speed that it was limited to, 0 for not limited
-	pacedAt     time.Duration // when the pace was last ordered
+	sentAt        time.Duration // when the start was last sent, 0 before
+	cut           bool          // the worker's end cut its answer off
+	confirmedAt   time.Duration // when the worker said that it has it, 0 before
+	stopOrderedAt time.Duration // when its end was last ordered, 0 for never
+	seenAt        time.Duration // when the worker last reported it
+	missing       bool          // the last list of its worker lacked it
+	replaced      bool          // it was given up as too slow
+	lostWith      string        // the boot before, with which it counts as lost until this one is heard
+	pace          int           // percent of its speed that it was limited to, 0 for not limited
+	pacedAt       time.Duration // when the pace was last ordered
 }
 
 // kick lets the session's loop look again.
@@ -98,9 +98,9 @@
 
 // lookAgain ends a look that waits for an end, so that another one follows at once.
 func (s *session) lookAgain() {
-	if s.interrupt != nil {
-		s.interrupt()
-		s.interrupt = nil
+	if s.cancelPoll != nil {
+		s.cancelPoll()
+		s.cancelPoll = nil
 	}
 }
 
@@ -114,7 +114,7 @@
 
 // usable tells whether new tasks may start at the worker.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.known && !s.draining && !s.gone && !s.inDoubt && s.failures == 0 && now >= s.pausedTo && now >= s.cordonedTo && !s.outOfUse()
+	return s.listed && s.recorded && s.known && !s.draining && !s.gone && !s.inDoubt && s.failures == 0 && now >= s.pausedUntil && now >= s.cordonedTo && !s.outOfUse()
 }
 
 // outOfUse tells whether the worker's zone is out of use, so that nothing starts there.
@@ -131,11 +131,11 @@
 		return false
 	}
 	missing := now - s.unlistedAt
-	return missing > lapsedEntryBack || storeSteady-missing > lapsedEntryBack
+	return missing > relistDelay || storeSteady-missing > relistDelay
 }
 
-// wantsLook tells whether the worker has to be asked at all.
-func (s *session) wantsLook(now time.Duration) bool {
+// needsPoll tells whether the worker has to be asked at all.
+func (s *session) needsPoll(now time.Duration) bool {
 	return !s.gone && (!s.known || s.awaited(now) || s.failures > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
 }
 
@@ -149,10 +149,10 @@
 	return leasedWorker{Boot: s.ref.Boot, VM: s.vm, Address: s.ref.Address}
 }
 
-// leasedInTheEnd is how the owner of a term names the worker once no task starts there
+// finalRecordEntry is how the owner of a term names the worker once no task starts there
 // any more: with the tasks that may be there. One that it has not heard has what the
 // owner before has named, or any.
-func (s *session) leasedInTheEnd(term int64) leasedWorker {
+func (s *session) finalRecordEntry(term int64) leasedWorker {
 	w := s.leased()
 	if s.former.open && !s.former.complete {
 		return w
@@ -168,7 +168,7 @@
 	for key := range s.foreign {
 		w.Tasks = append(w.Tasks, key.task)
 	}
-	for _, e := range s.ends.toKeep {
+	for _, e := range s.ends.unstored {
 		w.Tasks = append(w.Tasks, e.task)
 	}
 	return w
@@ -231,7 +231,7 @@
 
 func rackOf(labels []string) string {
 	for _, l := range labels {
-		if strings.HasPrefix(l, rackLabel) && strings.ContainsRune(l, '-') {
+		if strings.HasPrefix(l, rackLabelPrefix) && strings.ContainsRune(l, '-') {
 			return l
 		}
 	}
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -8,10 +8,10 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// shortLists plays workers whose lists lack an entry now and then, each once at most, while
+// incompleteLists plays workers whose lists lack an entry now and then, each once at most, while
 // the owner is replaced and workers start again. Starts are answered: what became of one that was
 // not is told by one list.
-func shortLists(plant func(*estate)) func(*rapid.T) {
+func incompleteLists(plant func(*estate)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartingMachine(t, plant)
 		e := m.e
@@ -28,4 +28,4 @@
 }
 
 // TestShortLists holds the promises while lists of workers lack entries.
-func TestShortLists(t *testing.T) { prop.Check(t, shortLists(nil)) }
+func TestShortLists(t *testing.T) { prop.Check(t, incompleteLists(nil)) }
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -19,26 +19,26 @@
 // A pool in its turn, of 30 workers with twelve tasks or so on each, and jobs among the
 // others that have a task which brings down the worker that starts it.
 const (
-	stormWorkers = 30
-	stormJobs    = 600
-	stormLasting = 8
-	stormLength  = 15 * time.Second
-	stormWatched = 60 * time.Second // from the first job to the end
-	stormInTime  = 3 * time.Second  // for jobs of 1.3 s of work
-	stormPoll    = 10 * time.Millisecond
+	stormWorkers     = 30
+	stormJobs        = 600
+	stormLongRunning = 8
+	stormSubmitTime  = 15 * time.Second
+	stormDuration    = 60 * time.Second // from the first job to the end
+	stormInTime      = 3 * time.Second  // for jobs of 1.3 s of work
+	stormPoll        = 10 * time.Millisecond
 )
 
-// storm is what came of it.
-type storm struct {
+// stormResult is what came of it.
+type stormResult struct {
 	inTime, late, open, wronglyFailed int // jobs without a crashing task
 	down                              []int
-	caughtAfter                       []time.Duration // from the submission of a crashing task to its job's end, by job
-	uncaught                          int
-	lasting                           int // long-running tasks at work in the end
+	detectedAfter                     []time.Duration // from the submission of a crashing task to its job's end, by job
+	undetected                        int
+	longRunning                       int // long-running tasks at work in the end
 }
 
-// playStorm plays one; replaced is when another entry takes the shard over, 0 for never.
-func playStorm(t fataler, seed uint64, crashers int, replaced time.Duration) (got storm) {
+// runStorm plays one; replaced is when another entry takes the shard over, 0 for never.
+func runStorm(t fataler, seed uint64, crashers int, replaced time.Duration) (got stormResult) {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	e := newEstate(t)
 	defer e.close()
@@ -49,7 +49,7 @@
 	start := time.Now()
 	open := map[string]stormJob{}
 	owner := "a"
-	for now := time.Duration(0); now < stormWatched; now = time.Since(start) {
+	for now := time.Duration(0); now < stormDuration; now = time.Since(start) {
 		for len(plan) > 0 && plan[0].at <= now {
 			s := plan[0]
 			plan = plan[1:]
@@ -75,15 +75,15 @@
 	for _, s := range open {
 		switch s.kind {
 		case crashing:
-			got.uncaught++
+			got.undetected++
 		case ordinary:
 			got.open++
 		}
 	}
 	got.down = slices.Collect(maps.Values(e.witness.down))
-	for i := range stormLasting {
+	for i := range stormLongRunning {
 		for k := range 5 {
-			got.lasting += len(e.witness.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
+			got.longRunning += len(e.witness.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
 		}
 	}
 	if kept := e.witness.promises(); kept != "kept\n" {
@@ -96,9 +96,9 @@
 type stormKind string
 
 const (
-	ordinary stormKind = "ordinary"
-	lasting  stormKind = "lasting"
-	crashing stormKind = "crashing"
+	ordinary    stormKind = "ordinary"
+	longRunning stormKind = "lasting"
+	crashing    stormKind = "crashing"
 )
 
 type stormJob struct {
@@ -111,16 +111,16 @@
 // planStorm returns the jobs in the order in which they come.
 func planStorm(e *estate, rnd *rand.Rand, crashers int) (plan []stormJob) {
 	for i := range stormJobs {
-		at := time.Duration(i) * stormLength / stormJobs
+		at := time.Duration(i) * stormSubmitTime / stormJobs
 		plan = append(plan, stormJob{at: at, id: fmt.Sprintf("a%015x", i), text: "6x2300/640ms 6x2300/640ms<0", kind: ordinary})
 	}
-	for i := range stormLasting {
-		plan = append(plan, stormJob{at: time.Second, id: fmt.Sprintf("c%015x", i), text: "5x2300/0s+apart:2", kind: lasting})
+	for i := range stormLongRunning {
+		plan = append(plan, stormJob{at: time.Second, id: fmt.Sprintf("c%015x", i), text: "5x2300/0s+apart:2", kind: longRunning})
 	}
 	for i := range crashers {
 		id := fmt.Sprintf("b%015x", i)
 		e.crashing[id+".0.0.0"] = time.Duration(rnd.IntN(3)) * 5 * time.Millisecond
-		at := time.Duration(rnd.Int64N(int64(stormLength / 3)))
+		at := time.Duration(rnd.Int64N(int64(stormSubmitTime / 3)))
 		plan = append(plan, stormJob{at: at, id: id, text: "1x2300/640ms", kind: crashing})
 	}
 	slices.SortStableFunc(plan, func(a, b stormJob) int { return cmp.Compare(a.at, b.at) })
@@ -128,10 +128,10 @@
 }
 
 // ended notes the end of a job.
-func (s *storm) ended(j stormJob, state jobs.State, took time.Duration) {
+func (s *stormResult) ended(j stormJob, state jobs.State, took time.Duration) {
 	switch {
 	case j.kind == crashing:
-		s.caughtAfter = append(s.caughtAfter, took)
+		s.detectedAfter = append(s.detectedAfter, took)
 	case state != jobs.StateCompleted:
 		s.wronglyFailed++
 	case took <= stormInTime:
@@ -142,21 +142,21 @@
 }
 
 // lost is how many workers were brought down.
-func (s *storm) lost() (sum int) {
+func (s *stormResult) lost() (sum int) {
 	for _, n := range s.down {
 		sum += n
 	}
 	return sum
 }
 
-func (s *storm) String() string {
-	slices.Sort(s.caughtAfter)
+func (s *stormResult) String() string {
+	slices.Sort(s.detectedAfter)
 	caught := time.Duration(0)
-	if len(s.caughtAfter) > 0 {
-		caught = s.caughtAfter[len(s.caughtAfter)/2]
+	if len(s.detectedAfter) > 0 {
+		caught = s.detectedAfter[len(s.detectedAfter)/2]
 	}
 	return fmt.Sprintf("in time %d, late %d, open %d, wrongly failed %d; workers lost %d, most by one task %d; caught %d of %d, half within %s; long-running tasks at work %d",
-		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.down, 0)), len(s.caughtAfter), len(s.caughtAfter)+s.uncaught, caught.Round(100*time.Millisecond), s.lasting)
+		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.down, 0)), len(s.detectedAfter), len(s.detectedAfter)+s.undetected, caught.Round(100*time.Millisecond), s.longRunning)
 }
 
 // BenchmarkStorm states what callers get of it and what it costs in workers, for a seed.
@@ -170,7 +170,7 @@
 func BenchmarkStorm(b *testing.B) {
 	for i := range b.N {
 		synctest.Test(new(testing.T), func(*testing.T) {
-			got := playStorm(b, uint64(i), 20, 0)
+			got := runStorm(b, uint64(i), 20, 0)
 			b.ReportMetric(float64(got.inTime), "in-time")
 			b.ReportMetric(float64(got.wronglyFailed), "wrongly-failed")
 			b.ReportMetric(float64(got.open), "not-done")
@@ -188,12 +188,12 @@
 		}
 		t.Run(fmt.Sprintf("seed=%d,crashers=%d,replaced=%s", seed, crashers, replaced), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				got := playStorm(t, seed, crashers, replaced)
+				got := runStorm(t, seed, crashers, replaced)
 				t.Log(&got)
 				qt.Check(t, got.wronglyFailed, qt.Equals, 0)
 				qt.Check(t, got.open, qt.Equals, 0)
-				qt.Check(t, got.uncaught, qt.Equals, 0)
-				qt.Check(t, got.lasting, qt.Equals, 5*stormLasting)
+				qt.Check(t, got.undetected, qt.Equals, 0)
+				qt.Check(t, got.longRunning, qt.Equals, 5*stormLongRunning)
 			})
 		})
 	}
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// stragglerLeast is how long a task runs before it is judged at all.
-	stragglerLeast = 500 * time.Millisecond
-	// stallTime is how long the progress of a task may stand still; reports come
+	// minStragglerRuntime is how long a task runs before it is judged at all.
+	minStragglerRuntime = 500 * time.Millisecond
+	// stallTimeout is how long the progress of a task may stand still; reports come
 	// each second at least.
-	stallTime = 1600 * time.Millisecond
+	stallTimeout = 1600 * time.Millisecond
 	// siblingFactor is how many times longer than the others of its step a task
 	// must take; those differ by a third or so among themselves.
 	siblingFactor = 2.2
-	// siblingPercent is the progress from which a running task tells how long it takes.
-	siblingPercent = 8
-	// enoughSiblings is how many others are needed for a comparison.
-	enoughSiblings = 2
-	// mostSiblings bounds those that are looked at, spread over the step: among all of them a
+	// minSiblingPercent is the progress from which a running task tells how long it takes.
+	minSiblingPercent = 8
+	// minSiblings is how many others are needed for a comparison.
+	minSiblings = 2
+	// maxSiblings bounds those that are looked at, spread over the step: among all of them a
 	// step of 3,000 tasks took nine million comparisons each 150 ms.
-	mostSiblings = 64
-	// roughFactor widens an estimate that stands in for a comparison.
-	roughFactor = 3
-	// roundedPercent is what the rounding of a reported progress may hide.
-	roundedPercent = 0.5
-	// stragglerFactor is how many times longer the rest must take than a new
+	maxSiblings = 64
+	// estimateFactor widens an estimate that stands in for a comparison.
+	estimateFactor = 3
+	// roundingPercent is what the rounding of a reported progress may hide.
+	roundingPercent = 0.5
+	// restartGainFactor is how many times longer the rest must take than a new
 	// attempt elsewhere, so that a restart pays though estimates are rough.
-	stragglerFactor = 1.5
+	restartGainFactor = 1.5
 	// restartCost is about what a stop and another start take beside the work.
 	restartCost = time.Second
-	// awayFactor allows for work away from the rack of its data.
-	awayFactor = 3
-	// mostPatience bounds the doublings of patience with a task that crawled before.
-	mostPatience = 6
+	// remoteDataFactor allows for work away from the rack of its data.
+	remoteDataFactor = 3
+	// maxPatienceDoublings bounds the doublings of patience with a task that crawled before.
+	maxPatienceDoublings = 6
 	// stallWeight is what a straggler counts against its worker, in failed attempts.
 	stallWeight = 3
 )
@@ -51,27 +51,27 @@
 			continue
 		}
 		crawling := func(r *running) bool {
-			_, crawls := o.crawls(s, r)
+			_, crawls := o.isStraggler(s, r)
 			return crawls
 		}
-		for _, name := range namesWhere(s.attempts, crawling) {
+		for _, name := range sortedKeysWhere(s.attempts, crawling) {
 			r := s.attempts[name]
-			if left, crawls := o.crawls(s, r); crawls { // still, after those before it
+			if left, crawls := o.isStraggler(s, r); crawls { // still, after those before it
 				o.replaceStraggler(s, name, r, left, now)
 			}
 		}
 	}
 }
 
-// crawls tells whether an attempt stands still, or takes much longer than the
+// isStraggler tells whether an attempt stands still, or takes much longer than the
 // other tasks of its step and than a restart would.
-func (o *Owner) crawls(s *session, r *running) (left time.Duration, crawls bool) {
+func (o *Owner) isStraggler(s *session, r *running) (left time.Duration, crawls bool) {
 	step := r.Task.Step
 	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 || r.replaced {
 		return 0, false
 	}
 	ran := r.seenAt - r.confirmedAt
-	if ran < stragglerLeast {
+	if ran < minStragglerRuntime {
 		return 0, false
 	}
 	total := r.total()
@@ -79,46 +79,46 @@
 	// A task that crawls wherever it runs does so by itself. With the same patience each
 	// time one that stood still was started 29 times in a minute, and held against each
 	// worker in turn; so it is 6 times.
-	patience := time.Duration(1) << min(r.Task.Replaced, mostPatience)
-	if r.seenAt-r.ProgressAt > patience*stallTime {
+	patience := time.Duration(1) << min(r.Task.Replaced, maxPatienceDoublings)
+	if r.seenAt-r.ProgressAt > patience*stallTimeout {
 		return left, true
 	}
-	if float64(left) <= stragglerFactor*float64(restartCost) {
+	if float64(left) <= restartGainFactor*float64(restartCost) {
 		return left, false // however fast the others are
 	}
-	usual := patience * o.usualTotal(s, r)
-	return left, float64(total) > siblingFactor*float64(usual) && float64(left) > stragglerFactor*float64(usual+restartCost)
+	usual := patience * o.typicalDuration(s, r)
+	return left, float64(total) > siblingFactor*float64(usual) && float64(left) > restartGainFactor*float64(usual+restartCost)
 }
 
 // total is how long the attempt will have taken at its present speed.
 func (r *running) total() time.Duration {
-	return time.Duration(float64(r.seenAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundedPercent))
+	return time.Duration(float64(r.seenAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
 }
 
-// usualTotal is the median of what the step's other tasks take at other workers;
+// typicalDuration is the median of what the step's other tasks take at other workers;
 // with too few of them, a generous estimate.
-func (o *Owner) usualTotal(s *session, r *running) time.Duration {
+func (o *Owner) typicalDuration(s *session, r *running) time.Duration {
 	step := r.Task.Step
 	var totals []time.Duration
-	for i := 0; i < len(step.Tasks); i += 1 + (len(step.Tasks)-1)/mostSiblings {
+	for i := 0; i < len(step.Tasks); i += 1 + (len(step.Tasks)-1)/maxSiblings {
 		t := step.Tasks[i]
 		switch {
 		case t == r.Task:
 		case t.Took > 0:
 			totals = append(totals, t.Took)
 		case len(t.Attempts) > 0 && t.Attempts[0].Boot != s.ref.Boot:
-			if other := o.running(t.Attempts[0]); other != nil && other.Percent >= siblingPercent {
+			if other := o.running(t.Attempts[0]); other != nil && other.Percent >= minSiblingPercent {
 				totals = append(totals, other.total())
 			}
 		}
 	}
-	if len(totals) >= enoughSiblings {
+	if len(totals) >= minSiblings {
 		slices.Sort(totals)
 		return totals[len(totals)/2]
 	}
-	usual := roughFactor * max(step.Spec.Estimate, o.durations[step.Job.Queue].expect(step.Spec.Estimate))
+	usual := estimateFactor * max(step.Spec.Estimate, o.durations[step.Job.Queue].expected(step.Spec.Estimate))
 	if step.Spec.DataRack != "" && step.Spec.DataRack != rackOf(s.info.Labels) {
-		usual *= awayFactor
+		usual *= remoteDataFactor
 	}
 	return usual
 }
@@ -139,7 +139,7 @@
 func (o *Owner) replaceStraggler(s *session, name string, r *running, left, now time.Duration) {
 	r.replaced = true
 	r.Task.Replaced++
-	s.health.stalled(now)
+	s.health.noteStalled(now)
 	o.log.Info().Str("event", "straggler").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
 		Int("percent", r.Percent).Dur("ran", r.seenAt-r.confirmedAt).Dur("left", left).Send()
 	if r.Task.Step.Spec.Speculative {
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -34,8 +34,8 @@
 	now := o.now()
 	o.askOwnership(now)
 	for _, s := range o.sessionsInOrder() {
-		o.expire(s)
-		o.repeatStops(s, now)
+		o.expireLeases(s)
+		o.retryStops(s, now)
 		if s.listed && !s.recorded && now >= s.cordonedTo {
 			o.record.note(s.worker)
 			o.kickCommit()
@@ -48,17 +48,17 @@
 	}
 	o.checkHeld()
 	o.askMachines(now)
-	o.forgetFinals(now)
+	o.removeExpiredJobs(now)
 	o.checkStragglers(now)
-	o.judgeRate(now)
+	o.updateRateLimit(now)
 	o.logLoad(now)
-	if o.idleTasks || o.book.Timed() {
+	if o.tasksWaiting || o.book.Timed() {
 		o.kickPlacement()
 	}
 }
 
-// judgeRate sees whether this owner has come to its own limit.
-func (o *Owner) judgeRate(now time.Duration) {
+// updateRateLimit sees whether this owner has come to its own limit.
+func (o *Owner) updateRateLimit(now time.Duration) {
 	w, changed := o.rate.Judge(now)
 	if !changed {
 		return
@@ -67,8 +67,8 @@
 		Dur("fastest_answer", w.Fastest).Int("answered", w.Answered).Int("lost", w.Lost).Send()
 }
 
-// forgetFinals removes jobs that callers no longer ask for.
-func (o *Owner) forgetFinals(now time.Duration) {
+// removeExpiredJobs removes jobs that callers no longer ask for.
+func (o *Owner) removeExpiredJobs(now time.Duration) {
 	for len(o.finals) > 0 && now-o.finals[0].at > o.cfg.Retention {
 		d := dropped{id: o.finals[0].id, rows: 1}
 		o.finals = o.finals[1:]
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -22,8 +22,8 @@
 	}
 	o.sessions[ref.Boot] = s
 	o.present[worker] = s
-	o.inOrder = nil
-	o.wg.Go(func() { o.sessionLoop(ctx, s) })
+	o.sortedSessions = nil
+	o.wg.Go(func() { o.pollLoop(ctx, s) })
 	return s
 }
 
@@ -56,7 +56,7 @@
 			continue
 		}
 		if s.failures > 0 {
-			o.expire(s)
+			o.expireLeases(s)
 		} else if s.known && s.idle() && !s.former.open {
 			o.bootEnded(s, "it is not listed and has nothing to do")
 		}
@@ -111,8 +111,8 @@
 	return o.sessions[w.Boot], false
 }
 
-// expire frees the tasks of a silent worker once its leases have run out.
-func (o *Owner) expire(s *session) {
+// expireLeases frees the tasks of a silent worker once its leases have run out.
+func (o *Owner) expireLeases(s *session) {
 	now := o.now()
 	if s.failures == 0 || !s.lapsed(now) {
 		return
@@ -151,7 +151,7 @@
 		// refused, took that for a later owner's doing and gave the shard up.
 		o.tokens[s.worker] = s.token
 	}
-	o.inOrder = nil
+	o.sortedSessions = nil
 	o.record.note(s.worker)
 	o.checkHeld()
 	o.kickCommit()
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -21,8 +21,8 @@
 	mu  sync.Mutex // apart from the estate's, since owners ask while they hold their own lock
 	vms map[string]string
 	out map[string]time.Time // since when
-	// mishear is how an entry takes what it is told, nil for as it is.
-	mishear func(told func(zone string) bool) func(zone string) bool
+	// wrapReport is how an entry takes what it is told, nil for as it is.
+	wrapReport func(told func(zone string) bool) func(zone string) bool
 }
 
 // put notes the zone of a VM.
@@ -67,16 +67,16 @@
 	return zone, time.Since(at), out
 }
 
-// toldTo is what an entry is told of the zones that are out of use.
-func (z *zones) toldTo(string) func(zone string) bool {
+// reportTo is what an entry is told of the zones that are out of use.
+func (z *zones) reportTo(string) func(zone string) bool {
 	told := func(zone string) bool {
 		z.mu.Lock()
 		defer z.mu.Unlock()
 		_, out := z.out[zone]
 		return out
 	}
-	if z.mishear != nil {
-		return z.mishear(told)
+	if z.wrapReport != nil {
+		return z.wrapReport(told)
 	}
 	return told
 }
@@ -145,7 +145,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			plant := func(e *estate) { e.zones.mishear = mishear }
+			plant := func(e *estate) { e.zones.wrapReport = mishear }
 			qt.Assert(t, prop.Finds(t, evacuations(plant)), qt.IsTrue)
 		})
 	}
