--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -92,8 +92,8 @@
 	m.commits.WithLabelValues(outcome(err)).Observe(d.Seconds())
 }
 
-// Look implements shard.Metrics.
-func (m *metrics) Look(err error) { m.looks.WithLabelValues(outcome(err)).Inc() }
+// Poll implements shard.Metrics.
+func (m *metrics) Poll(err error) { m.looks.WithLabelValues(outcome(err)).Inc() }
 
 // Order implements shard.Metrics.
 func (m *metrics) Order(err error) { m.orders.WithLabelValues(outcome(err)).Inc() }
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -359,7 +359,7 @@
 type noMetrics struct{}
 
 func (noMetrics) Commit(time.Duration, error) {}
-func (noMetrics) Look(error)                  {}
+func (noMetrics) Poll(error)                  {}
 func (noMetrics) Order(error)                 {}
 func (noMetrics) End(platform.EndReason)      {}
 func (noMetrics) EndPassedOver()              {}
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -109,16 +109,16 @@
 		return
 	}
 	if err != nil {
-		o.cfg.Metrics.Look(err)
+		o.cfg.Metrics.Poll(err)
 		o.pollFailed(s, &order, err)
 		return
 	}
 	if boot := s.answeredBy(report.Born); boot != s.ref.Boot {
-		o.cfg.Metrics.Look(platform.ErrOtherBoot{Boot: boot})
+		o.cfg.Metrics.Poll(platform.ErrOtherBoot{Boot: boot})
 		o.restarted(s, platform.WorkerRef{Boot: boot, Address: s.ref.Address})
 		return
 	}
-	o.cfg.Metrics.Look(nil)
+	o.cfg.Metrics.Poll(nil)
 	s.ends.tell(order.AckedEnd)
 	s.heardAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -21,8 +21,8 @@
 type Metrics interface {
 	// Commit counts a try of a transaction, and how long it took.
 	Commit(d time.Duration, err error)
-	// Look counts a renewal of leases.
-	Look(err error)
+	// Poll counts a renewal of leases.
+	Poll(err error)
 	// Order counts a start, a stop or a pace.
 	Order(err error)
 	// End counts an end that a worker reports.
