--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -101,8 +101,8 @@
 // End implements shard.Metrics.
 func (m *metrics) End(reason platform.EndReason) { m.ends.WithLabelValues(string(reason)).Inc() }
 
-// EndPassedOver implements shard.Metrics.
-func (m *metrics) EndPassedOver() { m.passed.Inc() }
+// StaleEnd implements shard.Metrics.
+func (m *metrics) StaleEnd() { m.passed.Inc() }
 
 // AttemptLost implements shard.Metrics.
 func (m *metrics) AttemptLost(kind shard.LossKind) { m.lost.WithLabelValues(string(kind)).Inc() }
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -27,8 +27,8 @@
 	Order(err error)
 	// End counts an end that a worker reports.
 	End(reason platform.EndReason)
-	// EndPassedOver counts an end that a worker lists though it was told to forget it.
-	EndPassedOver()
+	// StaleEnd counts an end that a worker lists though it was told to forget it.
+	StaleEnd()
 	// PredecessorDone counts a wait for the owner before, and how long it took.
 	PredecessorDone(end PredecessorEnd, waited time.Duration)
 	// AttemptLost counts an attempt that was lost, without an end that counts.
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -132,7 +132,7 @@
 // noteStaleEnd says that a worker has listed an end whose number it was told to forget. It has
 // counted anew, or the answer was overtaken by a later one.
 func (o *Owner) noteStaleEnd(s *session, e *platform.AttemptEnd) {
-	o.cfg.Metrics.EndPassedOver()
+	o.cfg.Metrics.StaleEnd()
 	o.log.Warn().Str("event", "end_passed_over").Str("task", e.Task).Int64("attempt", e.Attempt).Str("boot", s.ref.Boot).
 		Int64("end", e.Number).Int64("acknowledged", s.ends.kept).Str("reason", string(e.Reason)).Send()
 }
