--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -48,8 +48,8 @@
 	Clock     *elapsed.Clock // of the entry, by which rights and beliefs expire
 	Retention time.Duration  // how long final jobs can be asked for
 
-	LongestLease time.Duration // that workers grant
-	RowBytes     int           // the longest value that a row may have, 0 for the usual one
+	MaxLease time.Duration // that workers grant
+	RowBytes int           // the longest value that a row may have, 0 for the usual one
 
 	// HasEnded tells whether the process of the owner in a row is known to have ended; nil
 	// knows of none.
