--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -43,8 +43,8 @@
 	}
 	o, err := shard.Open(ctx, shard.Config{
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), MaxLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
-		RowBytes: n.settings.Store.RowBytes,
-		Rows:     n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
+		MaxRowBytes: n.settings.Store.RowBytes,
+		Rows:        n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
 		Metrics: n.metrics, Log: n.log, StoreSteady: n.rows.okFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.has, Sending: events.Sending, OnOver: events.Over,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -165,10 +165,10 @@
 		if !b.room() {
 			break
 		}
-		rows, err := j.Progress().Encode(o.cfg.RowBytes)
+		rows, err := j.Progress().Encode(o.cfg.MaxRowBytes)
 		if err != nil {
 			o.failUnkept(j, err)
-			rows, err = j.Progress().Encode(o.cfg.RowBytes)
+			rows, err = j.Progress().Encode(o.cfg.MaxRowBytes)
 		}
 		if err != nil {
 			o.log.Error().Str("event", "progress_encode_failed").Str("job", j.ID).Err(err).Send()
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -48,8 +48,8 @@
 	Clock     *elapsed.Clock // of the entry, by which rights and beliefs expire
 	Retention time.Duration  // how long final jobs can be asked for
 
-	MaxLease time.Duration // that workers grant
-	RowBytes int           // the longest value that a row may have, 0 for the usual one
+	MaxLease    time.Duration // that workers grant
+	MaxRowBytes int           // the longest value that a row may have, 0 for the usual one
 
 	// HasEnded tells whether the process of the owner in a row is known to have ended; nil
 	// knows of none.
@@ -146,8 +146,8 @@
 func Open(ctx context.Context, cfg Config, seen Seen, cat *catalog.Catalog, workers []platform.Worker) (o *Owner, err error) {
 	ctx, done := context.WithTimeout(ctx, takeoverReadTimeout)
 	defer done()
-	if cfg.RowBytes == 0 {
-		cfg.RowBytes = platform.UsualRowBytes
+	if cfg.MaxRowBytes == 0 {
+		cfg.MaxRowBytes = platform.UsualRowBytes
 	}
 	if cfg.ZoneOut == nil {
 		cfg.ZoneOut = func(string) bool { return false }
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -129,7 +129,7 @@
 	if _, err := o.record.put(b, o.cfg.Pool, &named); err != nil {
 		return err
 	}
-	if b.size < maxTxnBytes && b.longest() <= o.cfg.RowBytes {
+	if b.size < maxTxnBytes && b.longest() <= o.cfg.MaxRowBytes {
 		return nil
 	}
 	o.log.Warn().Str("event", "record_shortened").Int("bytes", b.size).Int("longest_row", b.longest()).Send()
