--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -284,7 +284,7 @@
 		Pool: pool, Self: shard.Identity{Entry: entry, Start: e.starts, Address: entry},
 		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, MaxLease: fake.LongestLease,
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
-		StoreSteady: func() time.Duration { return time.Since(e.since) },
+		StoreUptime: func() time.Duration { return time.Since(e.since) },
 		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.reportTo(entry),
 		OnOver: func(error) {}, Sending: func() {},
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -66,7 +66,7 @@
 	Metrics Metrics
 	Log     zerolog.Logger
 
-	StoreSteady func() time.Duration // for how long the table service has answered this entry, 0 while it does not
+	StoreUptime func() time.Duration // for how long the table service has answered this entry, 0 while it does not
 
 	// ZoneOut tells whether the operator has taken an availability zone out of use; nil for none.
 	ZoneOut func(zone string) bool
