--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -71,8 +71,8 @@
 	// ZoneOut tells whether the operator has taken an availability zone out of use; nil for none.
 	ZoneOut func(zone string) bool
 
-	Sending func()      // called before the takeover's transaction is sent
-	OnOver  func(error) // called once when the shard is given up
+	BeforeTakeover func()      // called before the takeover's transaction is sent
+	OnOver         func(error) // called once when the shard is given up
 }
 
 // Owner owns one shard until it is given up or another entry takes it over.
@@ -152,7 +152,7 @@
 	if cfg.ZoneOut == nil {
 		cfg.ZoneOut = func(string) bool { return false }
 	}
-	c, err := TakeOver(ctx, cfg.Rows, cfg.Clock, cfg.Pool, cfg.Self, seen, cfg.HasEnded, cfg.Sending)
+	c, err := TakeOver(ctx, cfg.Rows, cfg.Clock, cfg.Pool, cfg.Self, seen, cfg.HasEnded, cfg.BeforeTakeover)
 	if err != nil {
 		return nil, err
 	}
