--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), MaxLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		MaxRowBytes: n.settings.Store.RowBytes,
 		Rows:        n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.okFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.has, BeforeTakeover: events.Sending, OnOver: events.Over,
+		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.okFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.has, BeforeTakeover: events.Sending, OnGivenUp: events.Over,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -286,7 +286,7 @@
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
 		StoreUptime: func() time.Duration { return time.Since(e.since) },
 		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.reportTo(entry),
-		OnOver: func(error) {}, BeforeTakeover: func() {},
+		OnGivenUp: func(error) {}, BeforeTakeover: func() {},
 	}
 	o, err := shard.Open(context.Background(), cfg, shard.Seen{Version: row.Version}, e.catalog(), e.directory())
 	if err != nil {
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -72,7 +72,7 @@
 	ZoneOut func(zone string) bool
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
-	OnOver         func(error) // called once when the shard is given up
+	OnGivenUp      func(error) // called once when the shard is given up
 }
 
 // Owner owns one shard until it is given up or another entry takes it over.
@@ -251,7 +251,7 @@
 	o.refuseQueued()
 	o.cancel()
 	o.log.Warn().Str("event", "shard_given_up").Err(cause).Send()
-	go o.cfg.OnOver(cause)
+	go o.cfg.OnGivenUp(cause)
 }
 
 // Close ends the ownership without handing it over.
