--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -54,7 +54,7 @@
 func (o *Owner) TakeGrant(g allowance.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over || o.releasing || !o.accounts.shares.Take(g) {
+	if o.closed || o.releasing || !o.accounts.shares.Take(g) {
 		return
 	}
 	o.log.Info().Str("event", "shares_taken").Int64("holder_term", g.Term).Int64("seq", g.Seq).Int("accounts", len(g.Shares)).Send()
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -28,7 +28,7 @@
 // may be, so that an account does not learn of the jobs of others.
 func (o *Owner) Submit(ctx context.Context, id string, r jobs.Record) Outcome {
 	o.mu.Lock()
-	if o.over || o.releasing {
+	if o.closed || o.releasing {
 		o.mu.Unlock()
 		return schema.CallOutcomeNotOwner
 	}
@@ -156,7 +156,7 @@
 
 // find returns a job that the asker may see; one of another account is not there. The lock is held.
 func (o *Owner) find(id string, by Asker) (*jobs.Job, Outcome) {
-	if o.over {
+	if o.closed {
 		return nil, schema.CallOutcomeNotOwner
 	}
 	if j := o.book.Job(id); j != nil && by.maySee(&j.Record) {
@@ -175,7 +175,7 @@
 func (o *Owner) Waiting(queue string) (int, Outcome) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
+	if o.closed {
 		return 0, schema.CallOutcomeNotOwner
 	}
 	return o.book.Waiting(queue), schema.CallOutcomeOk
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -81,7 +81,7 @@
 		o.batchKept(b, version)
 		return true
 	}
-	return ctx.Err() == nil && !o.over
+	return ctx.Err() == nil && !o.closed
 }
 
 // settle carries a transaction out. A try without an answer is repeated, with
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -24,7 +24,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	if o.over || !o.confirmed(now) {
+	if o.closed || !o.confirmed(now) {
 		return false
 	}
 	empty = true
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -91,7 +91,7 @@
 	commitPace commitPace // used by the loop of transactions only
 
 	mu        sync.Mutex
-	over      bool
+	closed    bool
 	releasing bool // it is being handed over: nothing new is begun
 
 	catalog        *catalog.Catalog
@@ -244,10 +244,10 @@
 
 // giveUp ends the ownership; the lock is held.
 func (o *Owner) giveUp(cause error) {
-	if o.over {
+	if o.closed {
 		return
 	}
-	o.over = true
+	o.closed = true
 	o.refuseQueued()
 	o.cancel()
 	o.log.Warn().Str("event", "shard_given_up").Err(cause).Send()
@@ -257,7 +257,7 @@
 // Close ends the ownership without handing it over.
 func (o *Owner) Close() {
 	o.mu.Lock()
-	o.over = true
+	o.closed = true
 	o.refuseQueued()
 	o.mu.Unlock()
 	o.cancel()
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -48,7 +48,7 @@
 func (o *Owner) place() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over || o.releasing || o.catalog == nil {
+	if o.closed || o.releasing || o.catalog == nil {
 		return
 	}
 	now := o.now()
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -69,7 +69,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.over {
+	if o.closed {
 		return
 	}
 	now := o.now()
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -22,7 +22,7 @@
 // keep and lets go of the owner row; next names who should take over, if not empty.
 func (o *Owner) Release(ctx context.Context, next string) {
 	o.mu.Lock()
-	if o.over || o.releasing {
+	if o.closed || o.releasing {
 		o.mu.Unlock()
 		return
 	}
@@ -31,7 +31,7 @@
 	started := o.now()
 	quiet := o.awaitQuiesced(ctx)
 	o.mu.Lock()
-	o.over = true
+	o.closed = true
 	o.refuseQueued()
 	o.mu.Unlock()
 	o.cancel()
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -31,7 +31,7 @@
 func (o *Owner) SetWorkers(workers []platform.Worker) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if !o.over {
+	if !o.closed {
 		o.setWorkers(workers)
 	}
 }
