--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -36,7 +36,7 @@
 		o.mu.Unlock()
 		return o.submittedBefore(id, &j.Record, &r)
 	}
-	if o.unread[id] {
+	if o.unreadableJobs[id] {
 		o.mu.Unlock()
 		return schema.CallOutcomeUnknown
 	}
@@ -165,7 +165,7 @@
 	if s := o.pending[id]; s != nil && by.maySee(&s.record) {
 		return nil, schema.CallOutcomeUnknown
 	}
-	if o.unread[id] {
+	if o.unreadableJobs[id] {
 		return nil, schema.CallOutcomeUnknown
 	}
 	return nil, schema.CallOutcomeNotFound
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -96,7 +96,7 @@
 
 	catalog        *catalog.Catalog
 	book           *jobs.Book
-	unread         map[string]bool           // IDs of jobs that are kept and can't be read
+	unreadableJobs map[string]bool           // IDs of jobs that are kept and can't be read
 	blind          bool                      // the record of a former owner's workers could not be read
 	accounts       accounts                  // their shares and limits
 	sessions       map[string]*session       // by boot
@@ -167,7 +167,7 @@
 	o = &Owner{
 		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.chain,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
-		catalog: cat, book: k.book, unread: k.unreadable, blind: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
+		catalog: cat, book: k.book, unreadableJobs: k.unreadable, blind: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
 		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
