--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -62,8 +62,8 @@
 	now := o.now()
 	// Without the record any worker of a former owner may run any task until its leases
 	// have run out, wherever it is.
-	o.blind = o.blind && now < o.heldTo
-	o.held, o.heldAll = o.blind, o.blind
+	o.recordUnreadable = o.recordUnreadable && now < o.heldTo
+	o.held, o.heldAll = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsInOrder() {
 		if s.heardAlone() || now >= s.former.until {
 			o.closeFormer(s)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -94,23 +94,23 @@
 	closed    bool
 	releasing bool // it is being handed over: nothing new is begun
 
-	catalog        *catalog.Catalog
-	book           *jobs.Book
-	unreadableJobs map[string]bool           // IDs of jobs that are kept and can't be read
-	blind          bool                      // the record of a former owner's workers could not be read
-	accounts       accounts                  // their shares and limits
-	sessions       map[string]*session       // by boot
-	present        map[string]*session       // of the last boot of each worker, by its ID
-	tokens         map[string]int64          // the last ones shown to workers that have ended, where raised, by ID
-	sortedSessions []*session                // sessions by boot, nil when out of date
-	advices        map[*jobs.StepRun]*advice // of steps whose queue has advice
-	durations      map[string]*durationStats // by queue
-	suspects       map[*jobs.Task]struct{}   // that lost workers are counted against
-	noted          map[*jobs.Job][]noted     // starts that are sent once what is noted ahead is kept
-	unheard        bool                      // a former owner's worker was lost before this one heard it
-	rate           startrate.Rate            // of starts, while this owner is at its own limit
-	arrivals       arrivals                  // of jobs, which tell how much work is on its way
-	tasksWaiting   bool                      // tasks wait for room, or for a time
+	catalog          *catalog.Catalog
+	book             *jobs.Book
+	unreadableJobs   map[string]bool           // IDs of jobs that are kept and can't be read
+	recordUnreadable bool                      // the record of a former owner's workers could not be read
+	accounts         accounts                  // their shares and limits
+	sessions         map[string]*session       // by boot
+	present          map[string]*session       // of the last boot of each worker, by its ID
+	tokens           map[string]int64          // the last ones shown to workers that have ended, where raised, by ID
+	sortedSessions   []*session                // sessions by boot, nil when out of date
+	advices          map[*jobs.StepRun]*advice // of steps whose queue has advice
+	durations        map[string]*durationStats // by queue
+	suspects         map[*jobs.Task]struct{}   // that lost workers are counted against
+	noted            map[*jobs.Job][]noted     // starts that are sent once what is noted ahead is kept
+	unheard          bool                      // a former owner's worker was lost before this one heard it
+	rate             startrate.Rate            // of starts, while this owner is at its own limit
+	arrivals         arrivals                  // of jobs, which tell how much work is on its way
+	tasksWaiting     bool                      // tasks wait for room, or for a time
 
 	confirmedAt time.Duration // when this entry certainly was the owner
 	asking      bool          // the owner row is being read
@@ -167,7 +167,7 @@
 	o = &Owner{
 		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.chain,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
-		catalog: cat, book: k.book, unreadableJobs: k.unreadable, blind: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
+		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
 		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -152,7 +152,7 @@
 // confirmUnrecorded makes sure of the losses at boots that the record of workers does not name any
 // more: it names each to which a start was sent until that has ended or nothing of ours is there.
 func (o *Owner) confirmUnrecorded(t *jobs.Task) {
-	if o.blind {
+	if o.recordUnreadable {
 		return
 	}
 	for _, l := range t.Losses {
