--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -100,8 +100,8 @@
 	recordUnreadable bool                      // the record of a former owner's workers could not be read
 	accounts         accounts                  // their shares and limits
 	sessions         map[string]*session       // by boot
-	present          map[string]*session       // of the last boot of each worker, by its ID
-	tokens           map[string]int64          // the last ones shown to workers that have ended, where raised, by ID
+	currentSessions  map[string]*session       // of the last boot of each worker, by its ID
+	raisedTokens     map[string]int64          // the last ones shown to workers that have ended, where raised, by ID
 	sortedSessions   []*session                // sessions by boot, nil when out of date
 	advices          map[*jobs.StepRun]*advice // of steps whose queue has advice
 	durations        map[string]*durationStats // by queue
@@ -168,7 +168,7 @@
 		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.chain,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
 		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
-		sessions: map[string]*session{}, present: map[string]*session{}, tokens: map[string]int64{},
+		sessions: map[string]*session{}, currentSessions: map[string]*session{}, raisedTokens: map[string]int64{},
 		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -17,11 +17,11 @@
 	ctx, cancel := context.WithCancel(o.ctx)
 	worker, _ := platform.SplitBoot(ref.Boot)
 	s := &session{
-		ref: ref, worker: worker, vm: vm, attempts: map[string]*running{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.tokens[worker]),
+		ref: ref, worker: worker, vm: vm, attempts: map[string]*running{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.raisedTokens[worker]),
 		wake: make(chan struct{}, 1), cancel: cancel, lapsesAt: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
 	}
 	o.sessions[ref.Boot] = s
-	o.present[worker] = s
+	o.currentSessions[worker] = s
 	o.sortedSessions = nil
 	o.wg.Go(func() { o.pollLoop(ctx, s) })
 	return s
@@ -90,11 +90,11 @@
 // not known. An entry that does not say when its worker started is of the boot that is there.
 // An entry may be late: of a boot before the one of that session.
 func (o *Owner) sessionFor(w platform.Worker) (s *session, late bool) {
-	if s = o.sessions[w.Boot]; s != nil && o.present[s.worker] == s {
+	if s = o.sessions[w.Boot]; s != nil && o.currentSessions[s.worker] == s {
 		return s, false // nearly all entries, each time that any has changed
 	}
 	id, born := platform.SplitBoot(w.Boot)
-	s = o.present[id]
+	s = o.currentSessions[id]
 	if s != nil && born == 0 {
 		return s, false
 	}
@@ -143,13 +143,13 @@
 	o.closeFormer(s)
 	s.cancel()
 	delete(o.sessions, s.ref.Boot)
-	if o.present[s.worker] == s {
-		delete(o.present, s.worker)
+	if o.currentSessions[s.worker] == s {
+		delete(o.currentSessions, s.worker)
 	}
 	if s.token > o.firstToken() {
 		// Its row may only have lapsed. An owner that began anew with its first token was
 		// refused, took that for a later owner's doing and gave the shard up.
-		o.tokens[s.worker] = s.token
+		o.raisedTokens[s.worker] = s.token
 	}
 	o.sortedSessions = nil
 	o.record.note(s.worker)
