--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -41,14 +41,14 @@
 // askOwnership reads the owner row when nothing else has confirmed it of late,
 // or while the table service is in trouble; the lock is held.
 func (o *Owner) askOwnership(now time.Duration) {
-	if o.asking || !o.troubled && now-o.confirmedAt < ConfirmedFor/2 {
+	if o.readingOwnerRow || !o.troubled && now-o.confirmedAt < ConfirmedFor/2 {
 		return
 	}
 	if !o.confirmed(now) && !o.unconfirmed {
 		o.unconfirmed = true
 		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.confirmedAt).Send()
 	}
-	o.asking = true
+	o.readingOwnerRow = true
 	o.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(o.ctx, answerTimeout)
 		defer cancel()
@@ -56,7 +56,7 @@
 		stands, err := o.claim.Stands(ctx, o.cfg.Rows, o.cfg.Pool)
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		o.asking = false
+		o.readingOwnerRow = false
 		if err != nil {
 			o.log.Debug().Str("event", "ownership_not_read").Err(err).Send()
 			return
