--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -44,8 +44,8 @@
 	if o.readingOwnerRow || !o.troubled && now-o.confirmedAt < ConfirmedFor/2 {
 		return
 	}
-	if !o.confirmed(now) && !o.unconfirmed {
-		o.unconfirmed = true
+	if !o.confirmed(now) && !o.unconfirmedLogged {
+		o.unconfirmedLogged = true
 		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.confirmedAt).Send()
 	}
 	o.readingOwnerRow = true
@@ -65,7 +65,7 @@
 			o.giveUp(ErrNotOwner{Owner: OwnerRow{Entry: "the writer of a later owner row"}})
 			return
 		}
-		o.unconfirmed = false
+		o.unconfirmedLogged = false
 		if o.troubled && len(o.dirty) == 0 {
 			// Nothing else would find out that transactions may be carried out again.
 			o.noteTrouble(false, nil)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -112,9 +112,9 @@
 	arrivals         arrivals                  // of jobs, which tell how much work is on its way
 	tasksWaiting     bool                      // tasks wait for room, or for a time
 
-	confirmedAt     time.Duration // when this entry certainly was the owner
-	readingOwnerRow bool          // the owner row is being read
-	unconfirmed     bool          // that was said in the log
+	confirmedAt       time.Duration // when this entry certainly was the owner
+	readingOwnerRow   bool          // the owner row is being read
+	unconfirmedLogged bool          // that was said in the log
 
 	held          bool          // a worker of a former owner has not been heard
 	heldAll       bool          // at one of them any task may be
