--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -32,7 +32,7 @@
 		if s.vm != vm {
 			continue
 		}
-		if s.former.open || o.held && !s.known {
+		if s.former.open || o.formerPending && !s.known {
 			empty = false // a former owner's tasks may be there
 			continue
 		}
@@ -106,7 +106,7 @@
 			w.stopping++
 		case !step.Spec.LongRunning:
 			w.finishing++
-		case limited && step.Spec.Limited && (o.held || room.now-o.openedAt < evacuationDelay || !o.mayMiss(step, r.Task)):
+		case limited && step.Spec.Limited && (o.formerPending || room.now-o.openedAt < evacuationDelay || !o.mayMiss(step, r.Task)):
 			w.limited++
 		case !room.reserve(step):
 			w.noRoom++
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -29,7 +29,7 @@
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.complete, s.former.tasks = true, w.Tasks
 	}
-	o.held = true
+	o.formerPending = true
 	o.heldAll = o.heldAll || !s.former.complete
 	for _, name := range s.former.tasks {
 		if t := o.book.Task(name); t != nil {
@@ -56,24 +56,24 @@
 
 // checkHeld sees whether tasks of a former owner may still be somewhere unseen.
 func (o *Owner) checkHeld() {
-	if !o.held {
+	if !o.formerPending {
 		return
 	}
 	now := o.now()
 	// Without the record any worker of a former owner may run any task until its leases
 	// have run out, wherever it is.
 	o.recordUnreadable = o.recordUnreadable && now < o.heldTo
-	o.held, o.heldAll = o.recordUnreadable, o.recordUnreadable
+	o.formerPending, o.heldAll = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsInOrder() {
 		if s.heardAlone() || now >= s.former.until {
 			o.closeFormer(s)
 		}
 		if s.former.open {
-			o.held = true
+			o.formerPending = true
 			o.heldAll = o.heldAll || !s.former.complete
 		}
 	}
-	if !o.held {
+	if !o.formerPending {
 		o.allHeard()
 		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.openedAt).Send()
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -116,7 +116,7 @@
 	readingOwnerRow   bool          // the owner row is being read
 	unconfirmedLogged bool          // that was said in the log
 
-	held          bool          // a worker of a former owner has not been heard
+	formerPending bool          // a worker of a former owner has not been heard
 	heldAll       bool          // at one of them any task may be
 	heldTo        time.Duration // when its leases have run out
 	openedAt      time.Duration // when this entry took over
@@ -199,7 +199,7 @@
 		s.recorded = true
 		o.inherit(s, w)
 	}
-	o.held = o.held || k.blind
+	o.formerPending = o.formerPending || k.blind
 	o.heldAll = o.heldAll || k.blind
 	o.arrivals.since = now
 	o.restoreSuspects()
@@ -207,13 +207,13 @@
 	o.log.Info().Str("event", "shard_owned").Int("jobs", jobCount).Int("active", len(o.book.Active())).
 		Int("workers", len(o.sessions)).Int("leased", len(k.workers)).Send()
 	o.checkHeld()
-	if !o.held {
+	if !o.formerPending {
 		o.allHeard()
 	}
 	o.wg.Go(func() { o.commitLoop(o.ctx) })
 	o.wg.Go(func() { o.placeLoop(o.ctx) })
 	o.wg.Go(func() { o.upkeepLoop(o.ctx) })
-	if o.held && o.alone > now {
+	if o.formerPending && o.alone > now {
 		o.wg.Go(o.awaitPredecessor)
 	}
 	o.askOwnership(now)
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -43,7 +43,7 @@
 // checkStragglers starts tasks elsewhere that stand still or crawl where they
 // are, by what their workers report of their progress; the lock is held.
 func (o *Owner) checkStragglers(now time.Duration) {
-	if !o.confirmed(now) || o.held {
+	if !o.confirmed(now) || o.formerPending {
 		return
 	}
 	for _, s := range o.sessionsInOrder() {
