--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -94,7 +94,7 @@
 			add(st.account, st.needs)
 		}
 	}
-	if o.heldAll {
+	if o.formerAnyTask {
 		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unseen()) })
 		return sum
 	}
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -30,7 +30,7 @@
 		s.former.complete, s.former.tasks = true, w.Tasks
 	}
 	o.formerPending = true
-	o.heldAll = o.heldAll || !s.former.complete
+	o.formerAnyTask = o.formerAnyTask || !s.former.complete
 	for _, name := range s.former.tasks {
 		if t := o.book.Task(name); t != nil {
 			t.MaybeAt++
@@ -63,14 +63,14 @@
 	// Without the record any worker of a former owner may run any task until its leases
 	// have run out, wherever it is.
 	o.recordUnreadable = o.recordUnreadable && now < o.heldTo
-	o.formerPending, o.heldAll = o.recordUnreadable, o.recordUnreadable
+	o.formerPending, o.formerAnyTask = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsInOrder() {
 		if s.heardAlone() || now >= s.former.until {
 			o.closeFormer(s)
 		}
 		if s.former.open {
 			o.formerPending = true
-			o.heldAll = o.heldAll || !s.former.complete
+			o.formerAnyTask = o.formerAnyTask || !s.former.complete
 		}
 	}
 	if !o.formerPending {
@@ -89,5 +89,5 @@
 // maybeElsewhere tells whether a task may be, or may have ended, at a worker that has
 // not been heard since the takeover.
 func (o *Owner) maybeElsewhere(t *jobs.Task) bool {
-	return t.MaybeAt > 0 || o.heldAll && t.Step.Job.Restored
+	return t.MaybeAt > 0 || o.formerAnyTask && t.Step.Job.Restored
 }
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -117,7 +117,7 @@
 	unconfirmedLogged bool          // that was said in the log
 
 	formerPending bool          // a worker of a former owner has not been heard
-	heldAll       bool          // at one of them any task may be
+	formerAnyTask bool          // at one of them any task may be
 	heldTo        time.Duration // when its leases have run out
 	openedAt      time.Duration // when this entry took over
 	alone         time.Duration // from when on no owner before can act any more
@@ -200,7 +200,7 @@
 		o.inherit(s, w)
 	}
 	o.formerPending = o.formerPending || k.blind
-	o.heldAll = o.heldAll || k.blind
+	o.formerAnyTask = o.formerAnyTask || k.blind
 	o.arrivals.since = now
 	o.restoreSuspects()
 	o.setWorkers(workers)
