--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -25,7 +25,7 @@
 // a start is not written anywhere: the word of an owner two terms ago says nothing of what
 // the last one has started.
 func (o *Owner) inherit(s *session, w leasedWorker) {
-	s.former = former{open: true, from: o.alone, until: o.heldTo}
+	s.former = former{open: true, from: o.alone, until: o.formerLeasesUntil}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.complete, s.former.tasks = true, w.Tasks
 	}
@@ -62,7 +62,7 @@
 	now := o.now()
 	// Without the record any worker of a former owner may run any task until its leases
 	// have run out, wherever it is.
-	o.recordUnreadable = o.recordUnreadable && now < o.heldTo
+	o.recordUnreadable = o.recordUnreadable && now < o.formerLeasesUntil
 	o.formerPending, o.formerAnyTask = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsInOrder() {
 		if s.heardAlone() || now >= s.former.until {
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -116,12 +116,12 @@
 	readingOwnerRow   bool          // the owner row is being read
 	unconfirmedLogged bool          // that was said in the log
 
-	formerPending bool          // a worker of a former owner has not been heard
-	formerAnyTask bool          // at one of them any task may be
-	heldTo        time.Duration // when its leases have run out
-	openedAt      time.Duration // when this entry took over
-	alone         time.Duration // from when on no owner before can act any more
-	askedMachines time.Duration // when the VM list was last asked for, 0 for never
+	formerPending     bool          // a worker of a former owner has not been heard
+	formerAnyTask     bool          // at one of them any task may be
+	formerLeasesUntil time.Duration // when its leases have run out
+	openedAt          time.Duration // when this entry took over
+	alone             time.Duration // from when on no owner before can act any more
+	askedMachines     time.Duration // when the VM list was last asked for, 0 for never
 
 	pending    map[string]*submission       // by job ID, until their row is written or refused
 	queued     []*submission                // of those, the ones not in a transaction yet
@@ -190,7 +190,7 @@
 		}
 	})
 	o.advanceSchedules() // a former owner may have started what is due
-	o.heldTo = o.formerLeasesEnd(now)
+	o.formerLeasesUntil = o.formerLeasesEnd(now)
 	for _, w := range k.workers {
 		if o.sessions[w.Boot] != nil {
 			continue // an earlier version's record and ours both name it
