--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -106,7 +106,7 @@
 			w.stopping++
 		case !step.Spec.LongRunning:
 			w.finishing++
-		case limited && step.Spec.Limited && (o.formerPending || room.now-o.openedAt < evacuationDelay || !o.mayMiss(step, r.Task)):
+		case limited && step.Spec.Limited && (o.formerPending || room.now-o.tookOverAt < evacuationDelay || !o.mayMiss(step, r.Task)):
 			w.limited++
 		case !room.reserve(step):
 			w.noRoom++
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -75,7 +75,7 @@
 	}
 	if !o.formerPending {
 		o.allHeard()
-		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.openedAt).Send()
+		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.tookOverAt).Send()
 	}
 	o.kickPlacement()
 }
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -119,7 +119,7 @@
 	formerPending     bool          // a worker of a former owner has not been heard
 	formerAnyTask     bool          // at one of them any task may be
 	formerLeasesUntil time.Duration // when its leases have run out
-	openedAt          time.Duration // when this entry took over
+	tookOverAt        time.Duration // when this entry took over
 	alone             time.Duration // from when on no owner before can act any more
 	askedMachines     time.Duration // when the VM list was last asked for, 0 for never
 
@@ -173,7 +173,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.openedAt, o.confirmedAt, o.alone = openedAt, c.at, openedAt+c.left
+	o.tookOverAt, o.confirmedAt, o.alone = openedAt, c.at, openedAt+c.left
 	o.start(k, workers, cfg.Clock.Now())
 	return o, nil
 }
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -73,8 +73,8 @@
 		return
 	}
 	now := o.now()
-	o.cfg.Metrics.PredecessorDone(end, now-o.openedAt)
-	o.log.Info().Str("event", "predecessor_done").Str("entry", o.claim.former.Entry).Str("end", string(end)).Dur("after", now-o.openedAt).Send()
+	o.cfg.Metrics.PredecessorDone(end, now-o.tookOverAt)
+	o.log.Info().Str("event", "predecessor_done").Str("entry", o.claim.former.Entry).Str("end", string(end)).Dur("after", now-o.tookOverAt).Send()
 	o.alone = now
 	for _, s := range o.sessionsInOrder() {
 		if s.former.open {
