--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -115,7 +115,7 @@
 		b.acks = nil
 		return b, nil
 	}
-	raw, err := encode(commitRow{Entry: o.cfg.Self.Entry, Start: o.cfg.Self.Start, Term: o.claim.Term, Seq: b.seq, Alone: o.now() >= o.alone})
+	raw, err := encode(commitRow{Entry: o.cfg.Self.Entry, Start: o.cfg.Self.Start, Term: o.claim.Term, Seq: b.seq, Alone: o.now() >= o.soleOwnerAt})
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -25,7 +25,7 @@
 // a start is not written anywhere: the word of an owner two terms ago says nothing of what
 // the last one has started.
 func (o *Owner) inherit(s *session, w leasedWorker) {
-	s.former = former{open: true, from: o.alone, until: o.formerLeasesUntil}
+	s.former = former{open: true, from: o.soleOwnerAt, until: o.formerLeasesUntil}
 	if w.LetGo > 0 && w.LetGo == o.claim.Term-1 {
 		s.former.complete, s.former.tasks = true, w.Tasks
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -120,7 +120,7 @@
 	formerAnyTask     bool          // at one of them any task may be
 	formerLeasesUntil time.Duration // when its leases have run out
 	tookOverAt        time.Duration // when this entry took over
-	alone             time.Duration // from when on no owner before can act any more
+	soleOwnerAt       time.Duration // from when on no owner before can act any more
 	askedMachines     time.Duration // when the VM list was last asked for, 0 for never
 
 	pending    map[string]*submission       // by job ID, until their row is written or refused
@@ -173,7 +173,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.confirmedAt, o.alone = openedAt, c.at, openedAt+c.left
+	o.tookOverAt, o.confirmedAt, o.soleOwnerAt = openedAt, c.at, openedAt+c.left
 	o.start(k, workers, cfg.Clock.Now())
 	return o, nil
 }
@@ -213,7 +213,7 @@
 	o.wg.Go(func() { o.commitLoop(o.ctx) })
 	o.wg.Go(func() { o.placeLoop(o.ctx) })
 	o.wg.Go(func() { o.upkeepLoop(o.ctx) })
-	if o.formerPending && o.alone > now {
+	if o.formerPending && o.soleOwnerAt > now {
 		o.wg.Go(o.awaitPredecessor)
 	}
 	o.askOwnership(now)
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -61,7 +61,7 @@
 
 // awaitPredecessor has all workers of its time asked when no owner before this one can act any more.
 func (o *Owner) awaitPredecessor() {
-	ctx, done := context.WithTimeout(o.ctx, o.alone-o.now())
+	ctx, done := context.WithTimeout(o.ctx, o.soleOwnerAt-o.now())
 	defer done()
 	end := PredecessorLapsed
 	if pause.For(ctx, o.claim.earlier) == nil {
@@ -75,7 +75,7 @@
 	now := o.now()
 	o.cfg.Metrics.PredecessorDone(end, now-o.tookOverAt)
 	o.log.Info().Str("event", "predecessor_done").Str("entry", o.claim.former.Entry).Str("end", string(end)).Dur("after", now-o.tookOverAt).Send()
-	o.alone = now
+	o.soleOwnerAt = now
 	for _, s := range o.sessionsInOrder() {
 		if s.former.open {
 			s.former.from = now
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -73,7 +73,7 @@
 // letGo writes the owner row, and with it what the next owner has to know. If a transaction is under
 // way of which it is not known whether it happens, the record of leased workers stays as it was.
 func (o *Owner) letGo(ctx context.Context, next string) (err error) {
-	to := Successor{Entry: next, Left: max(0, o.alone-o.now())}
+	to := Successor{Entry: next, Left: max(0, o.soleOwnerAt-o.now())}
 	unkept := o.unheard || len(o.dirty) > 0
 	txn, err := o.releaseTxn()
 	if err != nil {
