--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -21,10 +21,10 @@
 // The directory does not tell that: a heartbeat that was held up on the way may
 // write the row of an ended boot after that of its successor. The lock is held.
 func (o *Owner) askMachines(now time.Duration) {
-	if !o.formerPending || now < o.tookOverAt+trustList || now < o.askedMachines+askListAgain {
+	if !o.formerPending || now < o.tookOverAt+trustList || now < o.machinesReadAt+askListAgain {
 		return
 	}
-	o.askedMachines = now
+	o.machinesReadAt = now
 	o.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(o.ctx, answerTimeout)
 		defer cancel()
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -121,7 +121,7 @@
 	formerLeasesUntil time.Duration // when its leases have run out
 	tookOverAt        time.Duration // when this entry took over
 	soleOwnerAt       time.Duration // from when on no owner before can act any more
-	askedMachines     time.Duration // when the VM list was last asked for, 0 for never
+	machinesReadAt    time.Duration // when the VM list was last asked for, 0 for never
 
 	pending    map[string]*submission       // by job ID, until their row is written or refused
 	queued     []*submission                // of those, the ones not in a transaction yet
