--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -93,8 +93,8 @@
 
 // nextBatch takes what waits to be written, as much as fits; the lock is held.
 func (o *Owner) nextBatch() (b *batch, err error) {
-	b = &batch{acks: map[*session]int64{}, seq: o.seq + 1, single: o.singly > 0}
-	o.singly = max(0, o.singly-1)
+	b = &batch{acks: map[*session]int64{}, seq: o.seq + 1, single: o.singleItemTxns > 0}
+	o.singleItemTxns = max(0, o.singleItemTxns-1)
 	if o.record.dirty {
 		// Before the jobs: without its row in the record a worker gets no tasks.
 		if err := o.putWorkers(b); err != nil {
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -20,7 +20,7 @@
 	o.log.Error().Str("event", "transaction_refused").Int("rows", len(b.txn.Put)+len(b.txn.Remove)).Int("bytes", b.size).
 		Int("longest_row", b.longest()).Int("things", b.things()).Err(cause).Send()
 	if n := b.things(); n > 1 {
-		o.singly += n
+		o.singleItemTxns += n
 		o.queued = append(b.submissions, o.queued...)
 		o.putBack(b)
 		o.kickCommit()
