--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -136,9 +136,9 @@
 
 // removeForgotten removes the rows of jobs whose retention is over.
 func (o *Owner) removeForgotten(b *batch) {
-	for len(o.drops) > 0 && b.room() {
-		d := o.drops[0]
-		o.drops = o.drops[1:]
+	for len(o.removals) > 0 && b.room() {
+		d := o.removals[0]
+		o.removals = o.removals[1:]
 		b.drops = append(b.drops, d)
 		b.txn.Remove = append(b.txn.Remove, jobKey(o.cfg.Pool, d.id))
 		b.txn.Remove = append(b.txn.Remove, progressKeys(o.cfg.Pool, d.id, d.rows)...)
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -70,7 +70,7 @@
 	for _, j := range b.jobs {
 		o.dirty[j] = struct{}{}
 	}
-	o.drops = append(o.drops, b.drops...)
+	o.removals = append(o.removals, b.drops...)
 	o.record.settle(b, false)
 	o.accounts.changed = o.accounts.changed || b.shares != nil
 }
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -127,7 +127,7 @@
 	queued         []*submission                // of those, the ones not in a transaction yet
 	dirty          map[*jobs.Job]struct{}       // whose progress is to be written
 	singleItemTxns int                          // transactions to come that take one thing each
-	drops          []dropped                    // jobs whose rows are to be removed
+	removals       []dropped                    // jobs whose rows are to be removed
 	record         record                       // of leased workers
 	urgent         bool                         // someone waits for the next transaction
 	committing     bool                         // a transaction is under way
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -76,7 +76,7 @@
 			d.rows = j.Rows()
 		}
 		o.book.Remove(d.id)
-		o.drops = append(o.drops, d)
+		o.removals = append(o.removals, d)
 		o.kickCommit()
 	}
 }
