--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -24,7 +24,7 @@
 	t := r.Task
 	maybeLost := o.unheard && t.Step.Job.Restored
 	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.Strong()
-	if !maybeLost && !t.Suspect() || o.troubled && !strong {
+	if !maybeLost && !t.Suspect() || o.commitsFailing && !strong {
 		return false
 	}
 	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.tries(r), Ahead: true}))
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -49,7 +49,7 @@
 		o.mu.Unlock()
 		return o.awaitSubmission(ctx, s)
 	}
-	if o.troubled {
+	if o.commitsFailing {
 		o.mu.Unlock()
 		return schema.CallOutcomeRefused
 	}
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -154,10 +154,10 @@
 
 // noteTrouble does what setTrouble does; the lock is held.
 func (o *Owner) noteTrouble(on bool, cause error) {
-	if on == o.troubled {
+	if on == o.commitsFailing {
 		return
 	}
-	o.troubled = on
+	o.commitsFailing = on
 	if on {
 		o.log.Warn().Str("event", "table_service_lost").Err(cause).Send()
 		o.refuseQueued()
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -41,7 +41,7 @@
 // askOwnership reads the owner row when nothing else has confirmed it of late,
 // or while the table service is in trouble; the lock is held.
 func (o *Owner) askOwnership(now time.Duration) {
-	if o.readingOwnerRow || !o.troubled && now-o.confirmedAt < ConfirmedFor/2 {
+	if o.readingOwnerRow || !o.commitsFailing && now-o.confirmedAt < ConfirmedFor/2 {
 		return
 	}
 	if !o.confirmed(now) && !o.unconfirmedLogged {
@@ -66,7 +66,7 @@
 			return
 		}
 		o.unconfirmedLogged = false
-		if o.troubled && len(o.dirty) == 0 {
+		if o.commitsFailing && len(o.dirty) == 0 {
 			// Nothing else would find out that transactions may be carried out again.
 			o.noteTrouble(false, nil)
 		}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -131,7 +131,7 @@
 	record         record                       // of leased workers
 	urgent         bool                         // someone waits for the next transaction
 	committing     bool                         // a transaction is under way
-	troubled       bool                         // the table service carries out no transactions
+	commitsFailing bool                         // the table service carries out no transactions
 	chain          int64                        // version of the commit row
 	seq            int64                        // of the last transaction in this term
 	waiters        map[*jobs.Job][]chan Outcome // callers that wait for a final state to be kept
