--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -120,7 +120,7 @@
 		return nil, err
 	}
 	b.put(commitKey(o.cfg.Pool), raw)
-	b.txn.Expect = []platform.Row{{RowKey: commitKey(o.cfg.Pool), Version: o.chain}}
+	b.txn.Expect = []platform.Row{{RowKey: commitKey(o.cfg.Pool), Version: o.commitVersion}}
 	return b, nil
 }
 
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -9,7 +9,7 @@
 
 // batchKept applies a transaction that happened.
 func (o *Owner) batchKept(b *batch, version int64) {
-	o.chain, o.seq = version, b.seq
+	o.commitVersion, o.seq = version, b.seq
 	now := o.now()
 	for _, s := range b.submissions {
 		delete(o.pending, s.id)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -132,7 +132,7 @@
 	urgent         bool                         // someone waits for the next transaction
 	committing     bool                         // a transaction is under way
 	commitsFailing bool                         // the table service carries out no transactions
-	chain          int64                        // version of the commit row
+	commitVersion  int64                        // version of the commit row
 	seq            int64                        // of the last transaction in this term
 	waiters        map[*jobs.Job][]chan Outcome // callers that wait for a final state to be kept
 	setApart       map[*jobs.Job]error          // whose progress was refused alone, until something else is taken
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	o = &Owner{
-		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, chain: c.chain,
+		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, commitVersion: c.chain,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
 		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, currentSessions: map[string]*session{}, raisedTokens: map[string]int64{},
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -100,7 +100,7 @@
 // loss was forgotten, and a task brought six workers down (TestMostWorkersDown).
 func (o *Owner) releaseTxn() (txn platform.RowTxn, err error) {
 	b := &batch{}
-	b.txn.Expect = []platform.Row{{RowKey: commitKey(o.cfg.Pool), Version: o.chain}}
+	b.txn.Expect = []platform.Row{{RowKey: commitKey(o.cfg.Pool), Version: o.commitVersion}}
 	if err := o.putRemainingWorkers(b); err != nil {
 		return txn, err
 	}
