--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -148,7 +148,7 @@
 // noteAcks notes the ends that may be acknowledged once the batch is kept: those
 // seen by now, if the batch leaves no changed job for a later one.
 func (o *Owner) noteAcks(b *batch) {
-	if len(o.dirty)+len(o.setApart) > 0 {
+	if len(o.dirty)+len(o.refusedProgress) > 0 {
 		return
 	}
 	for _, s := range o.sessions {
@@ -178,7 +178,7 @@
 			break
 		}
 		delete(o.dirty, j)
-		delete(o.setApart, j)
+		delete(o.refusedProgress, j)
 		j.NoteRows(len(rows))
 		b.jobs = append(b.jobs, j)
 		b.states = append(b.states, j.State)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -123,20 +123,20 @@
 	soleOwnerAt       time.Duration // from when on no owner before can act any more
 	machinesReadAt    time.Duration // when the VM list was last asked for, 0 for never
 
-	pending        map[string]*submission       // by job ID, until their row is written or refused
-	queued         []*submission                // of those, the ones not in a transaction yet
-	dirty          map[*jobs.Job]struct{}       // whose progress is to be written
-	singleItemTxns int                          // transactions to come that take one thing each
-	removals       []dropped                    // jobs whose rows are to be removed
-	record         record                       // of leased workers
-	urgent         bool                         // someone waits for the next transaction
-	committing     bool                         // a transaction is under way
-	commitsFailing bool                         // the table service carries out no transactions
-	commitVersion  int64                        // version of the commit row
-	seq            int64                        // of the last transaction in this term
-	waiters        map[*jobs.Job][]chan Outcome // callers that wait for a final state to be kept
-	setApart       map[*jobs.Job]error          // whose progress was refused alone, until something else is taken
-	finals         []finalJob                   // in the order in which they are forgotten
+	pending         map[string]*submission       // by job ID, until their row is written or refused
+	queued          []*submission                // of those, the ones not in a transaction yet
+	dirty           map[*jobs.Job]struct{}       // whose progress is to be written
+	singleItemTxns  int                          // transactions to come that take one thing each
+	removals        []dropped                    // jobs whose rows are to be removed
+	record          record                       // of leased workers
+	urgent          bool                         // someone waits for the next transaction
+	committing      bool                         // a transaction is under way
+	commitsFailing  bool                         // the table service carries out no transactions
+	commitVersion   int64                        // version of the commit row
+	seq             int64                        // of the last transaction in this term
+	waiters         map[*jobs.Job][]chan Outcome // callers that wait for a final state to be kept
+	refusedProgress map[*jobs.Job]error          // whose progress was refused alone, until something else is taken
+	finals          []finalJob                   // in the order in which they are forgotten
 
 	loadLoggedAt time.Duration // when the load was last written to the log
 }
@@ -170,7 +170,7 @@
 		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, currentSessions: map[string]*session{}, raisedTokens: map[string]int64{},
 		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
-		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, setApart: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
+		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
 	o.tookOverAt, o.confirmedAt, o.soleOwnerAt = openedAt, c.at, openedAt+c.left
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -32,7 +32,7 @@
 		s.settle(schema.CallOutcomeRefused)
 	}
 	for _, j := range b.jobs {
-		o.setApart[j] = cause
+		o.refusedProgress[j] = cause
 	}
 	if b.record || b.shares != nil {
 		// Nothing starts at the workers whose names are not kept.
@@ -45,9 +45,9 @@
 // failSetApart ends the jobs whose progress the table service has refused, now that it has taken
 // something else: it is not the service that is at fault. Those that are final are written again.
 func (o *Owner) failSetApart() {
-	for _, j := range byID(o.setApart) {
-		cause := o.setApart[j]
-		delete(o.setApart, j)
+	for _, j := range byID(o.refusedProgress) {
+		cause := o.refusedProgress[j]
+		delete(o.refusedProgress, j)
 		if j.State.Final() {
 			o.keep(j, false) // there is nothing less to be kept of it
 			continue
