--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -23,7 +23,7 @@
 		o.sendNoted(j)
 		if b.states[i].Final() {
 			j.Kept = b.states[i]
-			o.finals = append(o.finals, finalJob{id: j.ID, at: now})
+			o.finalJobs = append(o.finalJobs, finalJob{id: j.ID, at: now})
 		}
 		o.answerWaiters(j)
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -136,7 +136,7 @@
 	seq             int64                        // of the last transaction in this term
 	waiters         map[*jobs.Job][]chan Outcome // callers that wait for a final state to be kept
 	refusedProgress map[*jobs.Job]error          // whose progress was refused alone, until something else is taken
-	finals          []finalJob                   // in the order in which they are forgotten
+	finalJobs       []finalJob                   // in the order in which they are forgotten
 
 	loadLoggedAt time.Duration // when the load was last written to the log
 }
@@ -186,7 +186,7 @@
 	o.book.All(func(j *jobs.Job) {
 		jobCount++
 		if j.State.Final() {
-			o.finals = append(o.finals, finalJob{id: j.ID, at: now})
+			o.finalJobs = append(o.finalJobs, finalJob{id: j.ID, at: now})
 		}
 	})
 	o.advanceSchedules() // a former owner may have started what is due
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -69,9 +69,9 @@
 
 // removeExpiredJobs removes jobs that callers no longer ask for.
 func (o *Owner) removeExpiredJobs(now time.Duration) {
-	for len(o.finals) > 0 && now-o.finals[0].at > o.cfg.Retention {
-		d := dropped{id: o.finals[0].id, rows: 1}
-		o.finals = o.finals[1:]
+	for len(o.finalJobs) > 0 && now-o.finalJobs[0].at > o.cfg.Retention {
+		d := dropped{id: o.finalJobs[0].id, rows: 1}
+		o.finalJobs = o.finalJobs[1:]
 		if j := o.book.Job(d.id); j != nil {
 			d.rows = j.Rows()
 		}
