--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -22,7 +22,7 @@
 // start, while the table service carries out no transactions: they would wait for its return.
 func (o *Owner) noteAhead(s *session, r *running) bool {
 	t := r.Task
-	maybeLost := o.unheard && t.Step.Job.Restored
+	maybeLost := o.unheardLoss && t.Step.Job.Restored
 	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.Strong()
 	if !maybeLost && !t.Suspect() || o.commitsFailing && !strong {
 		return false
@@ -71,8 +71,8 @@
 // of that time may have brought it down, and is noted before it starts again.
 func (o *Owner) lostUnheard(s *session) {
 	if !s.former.complete {
-		if !o.unheard {
-			o.unheard = true
+		if !o.unheardLoss {
+			o.unheardLoss = true
 			o.record.note(s.worker) // the next record does not name it any more
 			o.kickCommit()
 		}
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -203,11 +203,11 @@
 // putUnheard keeps that a worker was lost before an owner has heard it, for as long as a job
 // of that time goes on.
 func (o *Owner) putUnheard(b *batch) error {
-	if !o.unheard {
+	if !o.unheardLoss {
 		return nil
 	}
 	if !slices.ContainsFunc(o.book.Active(), func(j *jobs.Job) bool { return j.Restored }) {
-		o.unheard = false
+		o.unheardLoss = false
 		b.txn.Remove = append(b.txn.Remove, unheardRowKey(o.cfg.Pool))
 		return nil
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -107,7 +107,7 @@
 	durations        map[string]*durationStats // by queue
 	suspects         map[*jobs.Task]struct{}   // that lost workers are counted against
 	noted            map[*jobs.Job][]noted     // starts that are sent once what is noted ahead is kept
-	unheard          bool                      // a former owner's worker was lost before this one heard it
+	unheardLoss      bool                      // a former owner's worker was lost before this one heard it
 	rate             startrate.Rate            // of starts, while this owner is at its own limit
 	arrivals         arrivals                  // of jobs, which tell how much work is on its way
 	tasksWaiting     bool                      // tasks wait for room, or for a time
@@ -167,7 +167,7 @@
 	o = &Owner{
 		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, commitVersion: c.chain,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
-		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.blind, unheard: k.unheard, accounts: newAccounts(k.shares), record: k.record,
+		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.blind, unheardLoss: k.unheard, accounts: newAccounts(k.shares), record: k.record,
 		sessions: map[string]*session{}, currentSessions: map[string]*session{}, raisedTokens: map[string]int64{},
 		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]noted{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -74,7 +74,7 @@
 // way of which it is not known whether it happens, the record of leased workers stays as it was.
 func (o *Owner) letGo(ctx context.Context, next string) (err error) {
 	to := Successor{Entry: next, Left: max(0, o.soleOwnerAt-o.now())}
-	unkept := o.unheard || len(o.dirty) > 0
+	unkept := o.unheardLoss || len(o.dirty) > 0
 	txn, err := o.releaseTxn()
 	if err != nil {
 		return err
@@ -105,7 +105,7 @@
 		return txn, err
 	}
 	o.putProgress(b)
-	if o.unheard || len(o.dirty) > 0 {
+	if o.unheardLoss || len(o.dirty) > 0 {
 		// The record that would have told of it may be on its way still. Forgotten, it hid a
 		// second loss: a task was started after it had brought five workers down (TestRestarts).
 		err = o.putUnheardRow(&b.txn)
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		left := t.Losses.Without(s.ref.Boot)
-		if n, runs := runningThere(r, t.Name()); runs && (len(left) > 0 || o.unheard && t.Step.Job.Restored) {
+		if n, runs := runningThere(r, t.Name()); runs && (len(left) > 0 || o.unheardLoss && t.Step.Job.Restored) {
 			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
