--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -32,7 +32,7 @@
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
 		o.kickPlacement()
-		for _, s := range o.sessionsInOrder() {
+		for _, s := range o.sessionsByBoot() {
 			s.kick()
 		}
 	}
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -28,7 +28,7 @@
 		return false
 	}
 	empty = true
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.vm != vm {
 			continue
 		}
@@ -123,7 +123,7 @@
 // at once; a long-running task that waits goes before them. Without this a VM with
 // such tasks was not empty for 7 to 17 s in a pool in demand, and its wave late.
 func (o *Owner) futureHosts(now time.Duration) (hosts []*placement.Host) {
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.open(now) {
 			hosts = append(hosts, s.hostSoon())
 		}
--- a/pkg/shard/held.go
+++ b/pkg/shard/held.go
@@ -64,7 +64,7 @@
 	// have run out, wherever it is.
 	o.recordUnreadable = o.recordUnreadable && now < o.formerLeasesUntil
 	o.formerPending, o.formerAnyTask = o.recordUnreadable, o.recordUnreadable
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.heardAlone() || now >= s.former.until {
 			o.closeFormer(s)
 		}
--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -45,7 +45,7 @@
 	for _, m := range list {
 		byVM[m.VM] = m
 	}
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if !s.recorded || s.known || s.vm == "" {
 			continue
 		}
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -109,7 +109,7 @@
 // hosts returns the workers that may get tasks, in an order that does not depend
 // on chance. What is placed on them is to be ordered before the lock is let go.
 func (o *Owner) hosts(now time.Duration) (hosts []*placement.Host) {
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.open(now) {
 			hosts = append(hosts, s.host(now))
 		}
@@ -120,7 +120,7 @@
 // scratchHosts returns the same workers as hosts does, to try placements on that may
 // not be ordered: what they are charged with is not kept.
 func (o *Owner) scratchHosts(now time.Duration) (hosts []*placement.Host) {
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.open(now) {
 			hosts = append(hosts, s.newHost())
 		}
@@ -128,9 +128,9 @@
 	return hosts
 }
 
-// sessionsInOrder returns the sessions by boot; they are sorted again only after
+// sessionsByBoot returns the sessions by boot; they are sorted again only after
 // one has come or gone, since each pass of placement asks for them.
-func (o *Owner) sessionsInOrder() []*session {
+func (o *Owner) sessionsByBoot() []*session {
 	if o.sortedSessions == nil {
 		o.sortedSessions = slices.SortedFunc(maps.Values(o.sessions), func(a, b *session) int { return cmp.Compare(a.ref.Boot, b.ref.Boot) })
 	}
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -76,7 +76,7 @@
 	o.cfg.Metrics.PredecessorDone(end, now-o.tookOverAt)
 	o.log.Info().Str("event", "predecessor_done").Str("entry", o.claim.former.Entry).Str("end", string(end)).Dur("after", now-o.tookOverAt).Send()
 	o.soleOwnerAt = now
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.former.open {
 			s.former.from = now
 			s.lookAgain()
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -89,7 +89,7 @@
 // putWorkers adds what has changed in the record of workers that may hold a lease.
 func (o *Owner) putWorkers(b *batch) (err error) {
 	b.leased = &[recordParts][]leasedWorker{}
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		part := partOf(s.worker)
 		if !o.record.changed[part] || s.gone || s.cordonedTo > o.now() && s.idle() {
 			continue // it is named already, or cannot hold a lease
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -117,7 +117,7 @@
 // of them only that anything may.
 func (o *Owner) putRemainingWorkers(b *batch) error {
 	var named, bare [recordParts][]leasedWorker
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if !s.recorded || s.known && !s.former.open && s.idle() {
 			continue
 		}
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -46,7 +46,7 @@
 	if !o.confirmed(now) || o.formerPending {
 		return
 	}
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.failures > 0 || s.draining {
 			continue
 		}
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -87,7 +87,7 @@
 
 // keptFor returns the workers that are kept for a trial, by its first task.
 func (o *Owner) keptFor(t *jobs.Task) (kept []*session) {
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.trial != nil && s.trial.tasks[0] == t {
 			kept = append(kept, s)
 		}
@@ -108,7 +108,7 @@
 // the first one of a trial counts against the part of the workers that may be kept.
 func (o *Owner) keepWorker(c *placement.Candidate, first bool, now time.Duration) (chosen *session) {
 	usable, kept := 0, 0
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if !s.usable(now) {
 			continue
 		}
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -33,7 +33,7 @@
 	defer o.mu.Unlock()
 	now := o.now()
 	o.askOwnership(now)
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		o.expireLeases(s)
 		o.retryStops(s, now)
 		if s.listed && !s.recorded && now >= s.cordonedTo {
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -47,7 +47,7 @@
 			listed[s.ref.Boot] = true
 		}
 	}
-	for _, s := range o.sessionsInOrder() {
+	for _, s := range o.sessionsByBoot() {
 		if s.unlistedAt == 0 && !listed[s.ref.Boot] {
 			s.listed, s.unlistedAt = false, o.now()
 			o.log.Info().Str("event", "worker_unlisted").Str("boot", s.ref.Boot).Send()
