--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -50,7 +50,7 @@
 	}
 	limited := func(account string) bool { return o.limitOf(account) != (platform.Resources{}) }
 	// Tasks that must wait for the end of a takeover are in besides.
-	o.eachIdle(false, func(s *jobs.StepRun, idle []*jobs.Task) {
+	o.eachStartable(false, func(s *jobs.StepRun, idle []*jobs.Task) {
 		if account := s.Job.Account; limited(account) {
 			addWaiting(use(account), s.Spec, len(idle), o.limitOf(account))
 		}
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -108,7 +108,7 @@
 	l.AtLimit = o.rate.AtLimit()
 	l.Arriving = o.arrivals.demand(now)
 	demand := o.newDemand()
-	o.eachIdle(true, func(s *jobs.StepRun, idle []*jobs.Task) {
+	o.eachStartable(true, func(s *jobs.StepRun, idle []*jobs.Task) {
 		l.Tasks += len(idle)
 		n := demand.startable(s, len(idle))
 		charge := placement.Charge(s.Spec)
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -142,7 +142,7 @@
 func (o *Owner) candidates(now time.Duration) (cs, onTrial []placement.Candidate) {
 	left := map[*jobs.Job]time.Duration{}
 	budgets := o.newBudgets()
-	o.eachIdle(false, func(s *jobs.StepRun, idle []*jobs.Task) {
+	o.eachStartable(false, func(s *jobs.StepRun, idle []*jobs.Task) {
 		if _, ok := left[s.Job]; !ok {
 			left[s.Job] = o.remainingPath(s.Job, now)
 		}
@@ -194,9 +194,9 @@
 	return free, onTrial
 }
 
-// eachIdle calls f for each step with tasks that may start, in order of
+// eachStartable calls f for each step with tasks that may start, in order of
 // acceptance; with held also those that must wait for the end of a takeover.
-func (o *Owner) eachIdle(withHeld bool, f func(s *jobs.StepRun, idle []*jobs.Task)) {
+func (o *Owner) eachStartable(withHeld bool, f func(s *jobs.StepRun, idle []*jobs.Task)) {
 	wall := time.Duration(time.Now().UnixNano())
 	for _, j := range o.book.Active() {
 		for _, s := range j.Steps {
