--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -203,16 +203,16 @@
 			if !s.Open() || s.Finished() || s.Due() > wall {
 				continue
 			}
-			if idle := o.idle(s, withHeld); len(idle) > 0 {
+			if idle := o.startableTasks(s, withHeld); len(idle) > 0 {
 				f(s, idle)
 			}
 		}
 	}
 }
 
-// idle returns the tasks of a step that may start now, with held also those that
+// startableTasks returns the tasks of a step that may start now, with held also those that
 // must wait for the end of a takeover.
-func (o *Owner) idle(s *jobs.StepRun, withHeld bool) (tasks []*jobs.Task) {
+func (o *Owner) startableTasks(s *jobs.StepRun, withHeld bool) (tasks []*jobs.Task) {
 	if s.Waiting() == 0 && !s.Spec.Speculative {
 		return nil
 	}
