--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -120,7 +120,7 @@
 	}
 	o.cfg.Metrics.Poll(nil)
 	s.ends.tell(order.AckedEnd)
-	s.heardAt = sentAt
+	s.answeredPollAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
 		o.settled(s, sentAt)
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -129,4 +129,4 @@
 
 // heardAlone tells whether a worker has listed what is there since no former owner could start
 // anything there any more.
-func (s *session) heardAlone() bool { return s.synced && s.heardAt >= s.former.from }
+func (s *session) heardAlone() bool { return s.synced && s.answeredPollAt >= s.former.from }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -26,13 +26,13 @@
 	vm     string
 	info   platform.Worker // as last seen in the directory
 
-	listed   bool          // it is in the directory
-	recorded bool          // the partition names it, so that a next owner will ask it
-	synced   bool          // it has listed what runs there since our first token reached it
-	heardAt  time.Duration // when the last look was sent that it has answered
-	draining bool
-	gone     bool // the boot has ended
-	former   former
+	listed         bool          // it is in the directory
+	recorded       bool          // the partition names it, so that a next owner will ask it
+	synced         bool          // it has listed what runs there since our first token reached it
+	answeredPollAt time.Duration // when the last look was sent that it has answered
+	draining       bool
+	gone           bool // the boot has ended
+	former         former
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
 
