--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -84,7 +84,7 @@
 			continue // the owner that let go may have counted it
 		}
 		// Its attempt is not known: numbers of attempts are above 0.
-		t.SetLosses(t.Losses.With(blame.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Sure: s.gone}))
+		t.SetLosses(t.Losses.With(blame.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Sure: s.ended}))
 		o.suspects[t] = struct{}{}
 		o.keep(t.Step.Job, false)
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -31,7 +31,7 @@
 	synced         bool          // it has listed what runs there since our first token reached it
 	answeredPollAt time.Duration // when the last look was sent that it has answered
 	draining       bool
-	gone           bool // the boot has ended
+	ended          bool // the boot has ended
 	former         former
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
@@ -114,7 +114,7 @@
 
 // usable tells whether new tasks may start at the worker.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.synced && !s.draining && !s.gone && !s.inDoubt && s.failures == 0 && now >= s.pausedUntil && now >= s.cordonedTo && !s.outOfUse()
+	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.failures == 0 && now >= s.pausedUntil && now >= s.cordonedTo && !s.outOfUse()
 }
 
 // outOfUse tells whether the worker's zone is out of use, so that nothing starts there.
@@ -136,7 +136,7 @@
 
 // needsPoll tells whether the worker has to be asked at all.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.gone && (!s.synced || s.awaited(now) || s.failures > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
+	return !s.ended && (!s.synced || s.awaited(now) || s.failures > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
 }
 
 // idle tells whether nothing of ours is or may be at the worker.
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -134,12 +134,12 @@
 
 // bootEnded notes that a boot has ended for certain; what ran there is lost.
 func (o *Owner) bootEnded(s *session, why string) {
-	if s.gone {
+	if s.ended {
 		return
 	}
 	o.log.Info().Str("event", "worker_ended").Str("boot", s.ref.Boot).Str("vm", s.vm).Str("why", why).Int("attempts", len(s.attempts)).Send()
 	o.lose(s, LossEnded)
-	s.gone = true
+	s.ended = true
 	o.closeFormer(s)
 	s.cancel()
 	delete(o.sessions, s.ref.Boot)
