--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -70,7 +70,7 @@
 // sendOrder sends one order and passes its answer on; it lets the lock go meanwhile.
 func (o *Owner) sendOrder(s *session, d *queuedOrder) {
 	if d.start != nil {
-		s.inFlight++
+		s.startsInFlight++
 	}
 	sentAt := o.now()
 	wait := orderTimeout
@@ -84,7 +84,7 @@
 	cancel()
 	o.mu.Lock()
 	if d.start != nil {
-		s.inFlight--
+		s.startsInFlight--
 	}
 	o.cfg.Metrics.Order(err)
 	o.noteAnswerTime(o.now()-sentAt, err)
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -42,11 +42,11 @@
 		return pollPlan{after: pollRetryDelay, onWake: true}
 	case atLimit && s.synced && s.failures == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{after: s.polledAt + minPollInterval - now}
-	case s.ends.ackDue() && s.inFlight > 0 && s.synced && s.failures == 0 && !s.inDoubt:
+	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.failures == 0 && !s.inDoubt:
 		// The look that acknowledges ends has to come when they are answered or given up; one
 		// before it may be another that has no answer.
 		return pollPlan{after: orderTimeout}
-	case s.inDoubt && s.inFlight > 0:
+	case s.inDoubt && s.startsInFlight > 0:
 		return pollPlan{after: orderPollDelay, onWake: !s.ends.open() || s.failures > 0}
 	case s.ends.open():
 		return pollPlan{after: ackDelay, onWake: s.failures > 0}
@@ -97,7 +97,7 @@
 func (o *Owner) look(ctx context.Context, s *session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	settles := s.inDoubt && s.inFlight == 0
+	settles := s.inDoubt && s.startsInFlight == 0
 	if settles {
 		s.token++
 	}
@@ -159,7 +159,7 @@
 // renewal is the order to send with a look; the lock is held.
 func (o *Owner) renewal(s *session, now time.Duration) platform.RenewOrder {
 	// A start that has no answer yet, or a look without one, may have reached a later boot.
-	safe := s.failures == 0 && !s.inDoubt && s.inFlight == 0
+	safe := s.failures == 0 && !s.inDoubt && s.startsInFlight == 0
 	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.ackNumber(safe)}
 	if s.failures == 0 && o.confirmed(now) {
 		// A look without an answer may still arrive; were each of them to renew,
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -36,23 +36,23 @@
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
 
-	attempts    map[string]*running            // by task name; changed by hold and letGo only
-	foreign     map[foreignKey]*foreignAttempt // run there and are not wanted
-	hostCache   *placement.Host                // as placement saw the worker last, nil when that is out of date
-	token       int64                          // fencing token of the orders
-	orders      []*queuedOrder                 // that wait for their turn, in order
-	senders     int                            // goroutines that send them
-	inFlight    int                            // start orders without an answer yet
-	inDoubt     bool                           // a start order got no answer; a look with a higher token settles it
-	failures    int                            // looks and orders in a row without an answer
-	silentAt    time.Duration                  // when the first of them was noticed, 0 while there is none
-	retryNow    bool                           // the only one was a look: it is repeated without a pause
-	health      outcomes                       // to tell a bad worker
-	blamed      bool                           // its loss was counted against what is there
-	trial       *trial                         // what it is kept for, nil for nothing
-	pausedUntil time.Duration                  // no new tasks until then
-	cordonedTo  time.Duration                  // the VM is to be empty until then
-	zoneOut     func(zone string) bool         // tells whether a zone is out of use
+	attempts       map[string]*running            // by task name; changed by hold and letGo only
+	foreign        map[foreignKey]*foreignAttempt // run there and are not wanted
+	hostCache      *placement.Host                // as placement saw the worker last, nil when that is out of date
+	token          int64                          // fencing token of the orders
+	orders         []*queuedOrder                 // that wait for their turn, in order
+	senders        int                            // goroutines that send them
+	startsInFlight int                            // start orders without an answer yet
+	inDoubt        bool                           // a start order got no answer; a look with a higher token settles it
+	failures       int                            // looks and orders in a row without an answer
+	silentAt       time.Duration                  // when the first of them was noticed, 0 while there is none
+	retryNow       bool                           // the only one was a look: it is repeated without a pause
+	health         outcomes                       // to tell a bad worker
+	blamed         bool                           // its loss was counted against what is there
+	trial          *trial                         // what it is kept for, nil for nothing
+	pausedUntil    time.Duration                  // no new tasks until then
+	cordonedTo     time.Duration                  // the VM is to be empty until then
+	zoneOut        func(zone string) bool         // tells whether a zone is out of use
 
 	notEmptyLoggedAt time.Duration // when the log last said why its VM is not empty
 
@@ -141,7 +141,7 @@
 
 // idle tells whether nothing of ours is or may be at the worker.
 func (s *session) idle() bool {
-	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.inFlight == 0 && !s.inDoubt && !s.ends.open()
+	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.inDoubt && !s.ends.open()
 }
 
 // leased is how the partition names the worker while tasks may start there at any time.
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -138,7 +138,7 @@
 
 // quiet tells whether what else is at a worker has run for a while.
 func (s *session) quiet(now time.Duration) bool {
-	if !s.usable(now) || len(s.trial.attempts) > 0 || s.inFlight > 0 || len(s.orders) > 0 {
+	if !s.usable(now) || len(s.trial.attempts) > 0 || s.startsInFlight > 0 || len(s.orders) > 0 {
 		return false
 	}
 	for _, r := range s.attempts {
