--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -64,7 +64,7 @@
 
 // mayStart tells whether a start that was decided some time ago may still be sent.
 func (o *Owner) mayStart(s *session, now time.Duration) bool {
-	return !o.closed && !o.releasing && !s.ended && !s.inDoubt && s.failures == 0 && !s.draining && !s.outOfUse() && o.confirmed(now)
+	return !o.closed && !o.releasing && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && !s.draining && !s.outOfUse() && o.confirmed(now)
 }
 
 // sendOrder sends one order and passes its answer on; it lets the lock go meanwhile.
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -74,7 +74,7 @@
 	o.log.Info().Str("event", "worker_not_empty").Str("boot", s.ref.Boot).Str("vm", s.vm).
 		Int("finishing", w.finishing).Int("stopping", w.stopping).Int("limited", w.limited).Int("no_room", w.noRoom).
 		Int("foreign", len(s.foreign)).Bool("in_doubt", s.inDoubt).Int64("ends_not_kept", s.ends.counted-s.ends.kept).
-		Int("failures", s.failures).Send()
+		Int("failures", s.unansweredCalls).Send()
 }
 
 // spareRoom is the room for tasks that are to leave their worker. Most workers that are to be empty
@@ -148,7 +148,7 @@
 func (o *Owner) serves(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
 		s := o.sessions[a.Boot]
-		if s != nil && s.failures == 0 && a.Phase == jobs.PhaseRunning && a.Percent >= servingPercent {
+		if s != nil && s.unansweredCalls == 0 && a.Phase == jobs.PhaseRunning && a.Percent >= servingPercent {
 			return true
 		}
 	}
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -38,18 +38,18 @@
 	switch {
 	case !s.needsPoll(now):
 		return pollPlan{after: -1}
-	case s.failures > 0 && !s.retryNow:
+	case s.unansweredCalls > 0 && !s.retryNow:
 		return pollPlan{after: pollRetryDelay, onWake: true}
-	case atLimit && s.synced && s.failures == 0 && now < s.polledAt+minPollInterval:
+	case atLimit && s.synced && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{after: s.polledAt + minPollInterval - now}
-	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.failures == 0 && !s.inDoubt:
+	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.unansweredCalls == 0 && !s.inDoubt:
 		// The look that acknowledges ends has to come when they are answered or given up; one
 		// before it may be another that has no answer.
 		return pollPlan{after: orderTimeout}
 	case s.inDoubt && s.startsInFlight > 0:
-		return pollPlan{after: orderPollDelay, onWake: !s.ends.open() || s.failures > 0}
+		return pollPlan{after: orderPollDelay, onWake: !s.ends.open() || s.unansweredCalls > 0}
 	case s.ends.open():
-		return pollPlan{after: ackDelay, onWake: s.failures > 0}
+		return pollPlan{after: ackDelay, onWake: s.unansweredCalls > 0}
 	default:
 		return pollPlan{}
 	}
@@ -159,14 +159,14 @@
 // renewal is the order to send with a look; the lock is held.
 func (o *Owner) renewal(s *session, now time.Duration) platform.RenewOrder {
 	// A start that has no answer yet, or a look without one, may have reached a later boot.
-	safe := s.failures == 0 && !s.inDoubt && s.startsInFlight == 0
+	safe := s.unansweredCalls == 0 && !s.inDoubt && s.startsInFlight == 0
 	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.ackNumber(safe)}
-	if s.failures == 0 && o.confirmed(now) {
+	if s.unansweredCalls == 0 && o.confirmed(now) {
 		// A look without an answer may still arrive; were each of them to renew,
 		// the leases of a worker that is gone would never run out.
 		order.LeaseUntil = s.lease(now)
 	}
-	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.failures == 0 && order.LeaseUntil > 0 {
+	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.counted == max(s.ends.told, order.AckedEnd) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
 		if s.watches() {
 			order.Wait = watchLook
@@ -177,10 +177,10 @@
 
 // pollAnswered takes the report that answers a look; the lock is held.
 func (o *Owner) pollAnswered(s *session, report *platform.WorkerReport, sentAt time.Duration) {
-	if s.failures > 0 {
-		o.log.Info().Str("event", "worker_regained").Str("boot", s.ref.Boot).Int("failures", s.failures).Send()
+	if s.unansweredCalls > 0 {
+		o.log.Info().Str("event", "worker_regained").Str("boot", s.ref.Boot).Int("failures", s.unansweredCalls).Send()
 	}
-	s.failures, s.silentAt = 0, 0
+	s.unansweredCalls, s.silentAt = 0, 0
 	if s.blamed || !s.synced {
 		o.pardon(s, report)
 	}
@@ -204,11 +204,11 @@
 		s.inDoubt = true // a higher token keeps its acknowledgement from a later boot
 	}
 	s.unanswered(o.now())
-	s.retryNow = s.failures == 1
-	if s.failures == 1 {
+	s.retryNow = s.unansweredCalls == 1
+	if s.unansweredCalls == 1 {
 		o.log.Warn().Str("event", "worker_lost").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Err(err).Send()
 	}
-	if s.failures >= blameAfter {
+	if s.unansweredCalls >= blameAfter {
 		o.blame(s)
 	}
 	o.expireLeases(s)
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -63,7 +63,7 @@
 	for _, s := range o.sessions {
 		// What becomes of an order to a worker that does not answer is not waited for:
 		// the next owner is told of it.
-		if s.failures == 0 && (s.startsInFlight > 0 || s.inDoubt) {
+		if s.unansweredCalls == 0 && (s.startsInFlight > 0 || s.inDoubt) {
 			return false
 		}
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -36,23 +36,23 @@
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
 
-	attempts       map[string]*running            // by task name; changed by hold and letGo only
-	foreign        map[foreignKey]*foreignAttempt // run there and are not wanted
-	hostCache      *placement.Host                // as placement saw the worker last, nil when that is out of date
-	token          int64                          // fencing token of the orders
-	orders         []*queuedOrder                 // that wait for their turn, in order
-	senders        int                            // goroutines that send them
-	startsInFlight int                            // start orders without an answer yet
-	inDoubt        bool                           // a start order got no answer; a look with a higher token settles it
-	failures       int                            // looks and orders in a row without an answer
-	silentAt       time.Duration                  // when the first of them was noticed, 0 while there is none
-	retryNow       bool                           // the only one was a look: it is repeated without a pause
-	health         outcomes                       // to tell a bad worker
-	blamed         bool                           // its loss was counted against what is there
-	trial          *trial                         // what it is kept for, nil for nothing
-	pausedUntil    time.Duration                  // no new tasks until then
-	cordonedTo     time.Duration                  // the VM is to be empty until then
-	zoneOut        func(zone string) bool         // tells whether a zone is out of use
+	attempts        map[string]*running            // by task name; changed by hold and letGo only
+	foreign         map[foreignKey]*foreignAttempt // run there and are not wanted
+	hostCache       *placement.Host                // as placement saw the worker last, nil when that is out of date
+	token           int64                          // fencing token of the orders
+	orders          []*queuedOrder                 // that wait for their turn, in order
+	senders         int                            // goroutines that send them
+	startsInFlight  int                            // start orders without an answer yet
+	inDoubt         bool                           // a start order got no answer; a look with a higher token settles it
+	unansweredCalls int                            // looks and orders in a row without an answer
+	silentAt        time.Duration                  // when the first of them was noticed, 0 while there is none
+	retryNow        bool                           // the only one was a look: it is repeated without a pause
+	health          outcomes                       // to tell a bad worker
+	blamed          bool                           // its loss was counted against what is there
+	trial           *trial                         // what it is kept for, nil for nothing
+	pausedUntil     time.Duration                  // no new tasks until then
+	cordonedTo      time.Duration                  // the VM is to be empty until then
+	zoneOut         func(zone string) bool         // tells whether a zone is out of use
 
 	notEmptyLoggedAt time.Duration // when the log last said why its VM is not empty
 
@@ -106,15 +106,15 @@
 
 // unanswered notes that the worker did not answer.
 func (s *session) unanswered(now time.Duration) {
-	if s.failures == 0 {
+	if s.unansweredCalls == 0 {
 		s.silentAt = now
 	}
-	s.failures++
+	s.unansweredCalls++
 }
 
 // usable tells whether new tasks may start at the worker.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.failures == 0 && now >= s.pausedUntil && now >= s.cordonedTo && !s.outOfUse()
+	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedTo && !s.outOfUse()
 }
 
 // outOfUse tells whether the worker's zone is out of use, so that nothing starts there.
@@ -136,7 +136,7 @@
 
 // needsPoll tells whether the worker has to be asked at all.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.failures > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
+	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
 }
 
 // idle tells whether nothing of ours is or may be at the worker.
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -47,7 +47,7 @@
 		return
 	}
 	for _, s := range o.sessionsByBoot() {
-		if s.failures > 0 || s.draining {
+		if s.unansweredCalls > 0 || s.draining {
 			continue
 		}
 		crawling := func(r *running) bool {
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -55,7 +55,7 @@
 		if s.listed {
 			continue
 		}
-		if s.failures > 0 {
+		if s.unansweredCalls > 0 {
 			o.expireLeases(s)
 		} else if s.synced && s.idle() && !s.former.open {
 			o.bootEnded(s, "it is not listed and has nothing to do")
@@ -114,7 +114,7 @@
 // expireLeases frees the tasks of a silent worker once its leases have run out.
 func (o *Owner) expireLeases(s *session) {
 	now := o.now()
-	if s.failures == 0 || !s.lapsed(now) {
+	if s.unansweredCalls == 0 || !s.lapsed(now) {
 		return
 	}
 	if len(s.attempts) > 0 {
