--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -180,7 +180,7 @@
 	if s.unansweredCalls > 0 {
 		o.log.Info().Str("event", "worker_regained").Str("boot", s.ref.Boot).Int("failures", s.unansweredCalls).Send()
 	}
-	s.unansweredCalls, s.silentAt = 0, 0
+	s.unansweredCalls, s.silentSince = 0, 0
 	if s.blamed || !s.synced {
 		o.pardon(s, report)
 	}
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -49,8 +49,8 @@
 
 // lostAt is when a worker that is lost fell silent, as far as was noticed.
 func (s *session) lostAt(now time.Duration) time.Duration {
-	if s.silentAt > 0 {
-		return s.silentAt
+	if s.silentSince > 0 {
+		return s.silentSince
 	}
 	return now
 }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -45,7 +45,7 @@
 	startsInFlight  int                            // start orders without an answer yet
 	inDoubt         bool                           // a start order got no answer; a look with a higher token settles it
 	unansweredCalls int                            // looks and orders in a row without an answer
-	silentAt        time.Duration                  // when the first of them was noticed, 0 while there is none
+	silentSince     time.Duration                  // when the first of them was noticed, 0 while there is none
 	retryNow        bool                           // the only one was a look: it is repeated without a pause
 	health          outcomes                       // to tell a bad worker
 	blamed          bool                           // its loss was counted against what is there
@@ -107,7 +107,7 @@
 // unanswered notes that the worker did not answer.
 func (s *session) unanswered(now time.Duration) {
 	if s.unansweredCalls == 0 {
-		s.silentAt = now
+		s.silentSince = now
 	}
 	s.unansweredCalls++
 }
