--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -181,7 +181,7 @@
 		o.log.Info().Str("event", "worker_regained").Str("boot", s.ref.Boot).Int("failures", s.unansweredCalls).Send()
 	}
 	s.unansweredCalls, s.silentSince = 0, 0
-	if s.blamed || !s.synced {
+	if s.lossCounted || !s.synced {
 		o.pardon(s, report)
 	}
 	s.noteClock(report.ClockMs, o.now())
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -48,7 +48,7 @@
 	silentSince     time.Duration                  // when the first of them was noticed, 0 while there is none
 	retryNow        bool                           // the only one was a look: it is repeated without a pause
 	health          outcomes                       // to tell a bad worker
-	blamed          bool                           // its loss was counted against what is there
+	lossCounted     bool                           // its loss was counted against what is there
 	trial           *trial                         // what it is kept for, nil for nothing
 	pausedUntil     time.Duration                  // no new tasks until then
 	cordonedTo      time.Duration                  // the VM is to be empty until then
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -22,10 +22,10 @@
 // blame counts the loss of a worker against the tasks there.
 func (o *Owner) blame(s *session) {
 	now := o.now()
-	if s.blamed || s.leavesByPlan(now) {
+	if s.lossCounted || s.leavesByPlan(now) {
 		return
 	}
-	s.blamed = true
+	s.lossCounted = true
 	var at []*running
 	var attempts []blame.Attempt
 	for _, r := range byName(s.attempts) {
@@ -62,7 +62,7 @@
 // for it again. A next owner that knew of neither started a crashing task beside the one on trial,
 // and gave up its job, which had done nothing (TestInnocentOnTrialAtTakeover).
 func (o *Owner) pardon(s *session, r *platform.WorkerReport) {
-	s.blamed = false
+	s.lossCounted = false
 	for _, t := range o.suspectsInOrder() {
 		if !t.Losses.At(s.ref.Boot) {
 			continue
