--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -36,10 +36,10 @@
 			empty = false // a former owner's tasks may be there
 			continue
 		}
-		if s.cordonedTo < now {
+		if s.cordonedUntil < now {
 			o.log.Info().Str("event", "worker_cordoned").Str("boot", s.ref.Boot).Str("vm", vm).Int("attempts", len(s.attempts)).Send()
 		}
-		s.cordonedTo = now + cordonDuration
+		s.cordonedUntil = now + cordonDuration
 		waits := o.evacuate(s, true, "its VM is to be empty")
 		if !s.idle() {
 			empty = false
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -151,7 +151,7 @@
 // serviceable tells whether a worker counts for the size of the pool: it is
 // usable but for what passes within a moment.
 func (s *session) serviceable(now time.Duration) bool {
-	return s.listed && !s.draining && !s.ended && s.unansweredCalls < maxUnansweredCalls && now >= s.cordonedTo
+	return s.listed && !s.draining && !s.ended && s.unansweredCalls < maxUnansweredCalls && now >= s.cordonedUntil
 }
 
 // logLoad writes the load to the log from time to time; the lock is held.
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -91,7 +91,7 @@
 	b.leased = &[recordParts][]leasedWorker{}
 	for _, s := range o.sessionsByBoot() {
 		part := partOf(s.worker)
-		if !o.record.changed[part] || s.ended || s.cordonedTo > o.now() && s.idle() {
+		if !o.record.changed[part] || s.ended || s.cordonedUntil > o.now() && s.idle() {
 			continue // it is named already, or cannot hold a lease
 		}
 		b.leased[part] = append(b.leased[part], s.leased())
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -51,7 +51,7 @@
 	lossCounted     bool                           // its loss was counted against what is there
 	trial           *trial                         // what it is kept for, nil for nothing
 	pausedUntil     time.Duration                  // no new tasks until then
-	cordonedTo      time.Duration                  // the VM is to be empty until then
+	cordonedUntil   time.Duration                  // the VM is to be empty until then
 	zoneOut         func(zone string) bool         // tells whether a zone is out of use
 
 	notEmptyLoggedAt time.Duration // when the log last said why its VM is not empty
@@ -114,7 +114,7 @@
 
 // usable tells whether new tasks may start at the worker.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedTo && !s.outOfUse()
+	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
 }
 
 // outOfUse tells whether the worker's zone is out of use, so that nothing starts there.
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -45,7 +45,7 @@
 // says nothing of its tasks. One that leaves without a word answers after its row has gone;
 // the row of one that was brought down may go before its silence is noticed.
 func (s *session) leavesByPlan(now time.Duration) bool {
-	return s.draining || s.cordonedTo > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
+	return s.draining || s.cordonedUntil > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
 
 func (o *Owner) countLoss(s *session, r *running, a blame.Attempt) {
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -36,7 +36,7 @@
 	for _, s := range o.sessionsByBoot() {
 		o.expireLeases(s)
 		o.retryStops(s, now)
-		if s.listed && !s.recorded && now >= s.cordonedTo {
+		if s.listed && !s.recorded && now >= s.cordonedUntil {
 			o.record.note(s.worker)
 			o.kickCommit()
 		}
