--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -21,7 +21,7 @@
 
 // lapsed tells whether all leases given there have certainly run out.
 func (s *session) lapsed(now time.Duration) bool {
-	if now < s.lapsesAt {
+	if now < s.earlierLeasesUntil {
 		return false
 	}
 	if s.clockAt == 0 {
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -40,7 +40,7 @@
 		next = o.addSession(ref, s.vm)
 	}
 	next.token = max(next.token, s.token+1) // orders that are on their way still are void there
-	next.lapsesAt = o.strangeLeasesEnd(o.now())
+	next.earlierLeasesUntil = o.strangeLeasesEnd(o.now())
 	o.blame(s)
 	o.passAttempts(s, next)
 	o.passFormer(s, next)
@@ -79,7 +79,7 @@
 		left.from = max(left.from, next.former.from)
 		left.tasks = append(left.tasks, next.former.tasks...)
 	}
-	left.until = next.lapsesAt
+	left.until = next.earlierLeasesUntil
 	next.former, s.former = left, former{}
 }
 
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -56,10 +56,10 @@
 
 	notEmptyLoggedAt time.Duration // when the log last said why its VM is not empty
 
-	clockMs    int64         // the worker's clock in the last answer
-	clockAt    time.Duration // when that answer arrived
-	leaseUntil int64         // highest deadline that was sent, by the worker's clock
-	lapsesAt   time.Duration // when leases have run out that a former owner gave, or that were given by the clock of the boot before
+	clockMs            int64         // the worker's clock in the last answer
+	clockAt            time.Duration // when that answer arrived
+	leaseUntil         int64         // highest deadline that was sent, by the worker's clock
+	earlierLeasesUntil time.Duration // when leases have run out that a former owner gave, or that were given by the clock of the boot before
 
 	ends ends // that it has listed
 
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -18,7 +18,7 @@
 	worker, _ := platform.SplitBoot(ref.Boot)
 	s := &session{
 		ref: ref, worker: worker, vm: vm, attempts: map[string]*running{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.raisedTokens[worker]),
-		wake: make(chan struct{}, 1), cancel: cancel, lapsesAt: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
+		wake: make(chan struct{}, 1), cancel: cancel, earlierLeasesUntil: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
 	}
 	o.sessions[ref.Boot] = s
 	o.currentSessions[worker] = s
