--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -97,7 +97,7 @@
 		s.doubt()
 		if current && r.confirmedAt == 0 {
 			r.Phase = jobs.PhaseInDoubt
-			r.cut = now-r.sentAt < orderTimeout
+			r.connLost = now-r.sentAt < orderTimeout
 		}
 	}
 	if r.Task.Step.Spec.Gang {
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -74,7 +74,7 @@
 type running struct {
 	*jobs.Attempt
 	sentAt        time.Duration // when the start was last sent, 0 before
-	cut           bool          // the worker's end cut its answer off
+	connLost      bool          // the worker's end cut its answer off
 	confirmedAt   time.Duration // when the worker said that it has it, 0 before
 	stopOrderedAt time.Duration // when its end was last ordered, 0 for never
 	seenAt        time.Duration // when the worker last reported it
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -50,10 +50,10 @@
 
 func (o *Owner) countLoss(s *session, r *running, a blame.Attempt) {
 	t := r.Task
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Firm: r.confirmedAt > 0 || r.cut}))
+	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Firm: r.confirmedAt > 0 || r.connLost}))
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.cut).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
+		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
 	o.keep(t.Step.Job, true)
 }
 
