--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -68,7 +68,7 @@
 	if r.Percent > a.Percent {
 		a.ProgressAt = now
 	}
-	a.Percent, a.Load, a.seenAt = r.Percent, r.Load, now
+	a.Percent, a.Load, a.reportedAt = r.Percent, r.Load, now
 	if r.Checkpoint != "" {
 		a.Checkpoint = r.Checkpoint
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -51,7 +51,7 @@
 // may have reached the next one. The others were lost with it.
 func (o *Owner) passAttempts(s, next *session) {
 	for name, r := range byName(s.attempts) {
-		if !r.sent() || r.seenAt > 0 {
+		if !r.sent() || r.reportedAt > 0 {
 			continue
 		}
 		s.letGo(name)
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -77,7 +77,7 @@
 	connLost      bool          // the worker's end cut its answer off
 	confirmedAt   time.Duration // when the worker said that it has it, 0 before
 	stopOrderedAt time.Duration // when its end was last ordered, 0 for never
-	seenAt        time.Duration // when the worker last reported it
+	reportedAt    time.Duration // when the worker last reported it
 	missing       bool          // the last list of its worker lacked it
 	replaced      bool          // it was given up as too slow
 	lostWith      string        // the boot before, with which it counts as lost until this one is heard
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -70,7 +70,7 @@
 	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 || r.replaced {
 		return 0, false
 	}
-	ran := r.seenAt - r.confirmedAt
+	ran := r.reportedAt - r.confirmedAt
 	if ran < minStragglerRuntime {
 		return 0, false
 	}
@@ -80,7 +80,7 @@
 	// time one that stood still was started 29 times in a minute, and held against each
 	// worker in turn; so it is 6 times.
 	patience := time.Duration(1) << min(r.Task.Replaced, maxPatienceDoublings)
-	if r.seenAt-r.ProgressAt > patience*stallTimeout {
+	if r.reportedAt-r.ProgressAt > patience*stallTimeout {
 		return left, true
 	}
 	if float64(left) <= restartGainFactor*float64(restartCost) {
@@ -92,7 +92,7 @@
 
 // total is how long the attempt will have taken at its present speed.
 func (r *running) total() time.Duration {
-	return time.Duration(float64(r.seenAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
+	return time.Duration(float64(r.reportedAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
 }
 
 // typicalDuration is the median of what the step's other tasks take at other workers;
@@ -141,7 +141,7 @@
 	r.Task.Replaced++
 	s.health.noteStalled(now)
 	o.log.Info().Str("event", "straggler").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Int("percent", r.Percent).Dur("ran", r.seenAt-r.confirmedAt).Dur("left", left).Send()
+		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.confirmedAt).Dur("left", left).Send()
 	if r.Task.Step.Spec.Speculative {
 		r.Task.WantsCopy = true
 		o.kickPlacement()
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -172,11 +172,11 @@
 		}
 		for _, a := range t.Attempts {
 			r := o.running(a)
-			if r == nil || r.confirmedAt == 0 || r.seenAt-r.confirmedAt < t.Losses.WatchFor() {
+			if r == nil || r.confirmedAt == 0 || r.reportedAt-r.confirmedAt < t.Losses.WatchFor() {
 				continue
 			}
 			o.log.Info().Str("event", "task_cleared").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", a.Boot).
-				Dur("ran", r.seenAt-r.confirmedAt).Int("losses", len(t.Losses)).Send()
+				Dur("ran", r.reportedAt-r.confirmedAt).Int("losses", len(t.Losses)).Send()
 			t.SetLosses(nil)
 			o.keep(t.Step.Job, false)
 			delete(o.suspects, t)
