--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -149,7 +149,7 @@
 		// One list is believed of a start without an answer: with two, jobs had nothing running
 		// for 3 s where three orders in ten have none, and such days were worth 0.19 in place of
 		// 0.25 (four plays). What may have reached the next boot is rare.
-		if a.lostWith != "" && !a.markMissing() {
+		if a.lostWithBoot != "" && !a.markMissing() {
 			s.inDoubt = true
 			continue
 		}
@@ -165,8 +165,8 @@
 		o.forgetAhead(a.Attempt)
 		s.letGo(name)
 		o.book.Drop(a.Attempt)
-		if a.lostWith != "" {
-			o.convict(a.Task, a.lostWith)
+		if a.lostWithBoot != "" {
+			o.convict(a.Task, a.lostWithBoot)
 		}
 		o.kickPlacement()
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -55,8 +55,8 @@
 			continue
 		}
 		s.letGo(name)
-		if r.lostWith == "" {
-			r.lostWith = s.ref.Boot // the loss that was counted, also when a further boot follows
+		if r.lostWithBoot == "" {
+			r.lostWithBoot = s.ref.Boot // the loss that was counted, also when a further boot follows
 		}
 		r.Boot, r.Phase, r.confirmedAt, r.missing = next.ref.Boot, jobs.PhaseInDoubt, 0, false
 		next.hold(name, r)
@@ -86,10 +86,10 @@
 // absolve takes back the loss that was counted against a task when its boot ended, since the
 // attempt is or was at the next one.
 func (o *Owner) absolve(r *running) {
-	if r.lostWith == "" {
+	if r.lostWithBoot == "" {
 		return
 	}
-	r.lostWith = ""
+	r.lostWithBoot = ""
 	r.Task.SetLosses(r.Task.Losses.WithoutAttempt(r.Number))
 	o.keep(r.Task.Step.Job, false)
 }
@@ -106,7 +106,7 @@
 // started at.
 func (o *Owner) unsettled(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
-		if r := o.running(a); r != nil && r.lostWith != "" {
+		if r := o.running(a); r != nil && r.lostWithBoot != "" {
 			return true
 		}
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -80,7 +80,7 @@
 	reportedAt    time.Duration // when the worker last reported it
 	missing       bool          // the last list of its worker lacked it
 	replaced      bool          // it was given up as too slow
-	lostWith      string        // the boot before, with which it counts as lost until this one is heard
+	lostWithBoot  string        // the boot before, with which it counts as lost until this one is heard
 	pace          int           // percent of its speed that it was limited to, 0 for not limited
 	pacedAt       time.Duration // when the pace was last ordered
 }
