--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -35,7 +35,7 @@
 		if !r.Task.Step.Spec.Filler || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 {
 			continue
 		}
-		if next := nextPace(r, worst, now); next != r.pace {
+		if next := nextPace(r, worst, now); next != r.pacePercent {
 			o.setPace(s, name, r, next, worst, now)
 		}
 	}
@@ -43,7 +43,7 @@
 
 // nextPace is the share of its speed that a filling task should have.
 func nextPace(r *running, worst float64, now time.Duration) int {
-	current := r.pace
+	current := r.pacePercent
 	if current == 0 {
 		current = fullPace
 	}
@@ -53,19 +53,19 @@
 	case worst < paceUpShare && now-r.pacedAt >= paceUpAfter && current < fullPace:
 		return min(fullPace, current+paceIncrement)
 	default:
-		return r.pace
+		return r.pacePercent
 	}
 }
 
 func (o *Owner) setPace(s *session, name string, r *running, percent int, worst float64, now time.Duration) {
-	r.pace, r.pacedAt = percent, now
+	r.pacePercent, r.pacedAt = percent, now
 	o.log.Info().Str("event", "pace_ordered").Str("task", name).Str("boot", s.ref.Boot).Int("percent", percent).Float64("tail_of_target", worst).Send()
 	order := platform.PaceOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
 	o.enqueueOrder(s, &queuedOrder{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.PaceAttempt(ctx, s.ref, order) },
 		answered: func(err error) {
 			if err != nil {
-				r.pace, r.pacedAt = 0, 0 // not known; the next report decides anew
+				r.pacePercent, r.pacedAt = 0, 0 // not known; the next report decides anew
 				o.log.Warn().Str("event", "pace_failed").Str("task", name).Str("boot", s.ref.Boot).Err(err).Send()
 			}
 		},
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -81,7 +81,7 @@
 	missing       bool          // the last list of its worker lacked it
 	replaced      bool          // it was given up as too slow
 	lostWithBoot  string        // the boot before, with which it counts as lost until this one is heard
-	pace          int           // percent of its speed that it was limited to, 0 for not limited
+	pacePercent   int           // percent of its speed that it was limited to, 0 for not limited
 	pacedAt       time.Duration // when the pace was last ordered
 }
 
