--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -10,7 +10,7 @@
 // noted is a start that waits until a loss that is noted ahead of it is kept.
 type noted struct {
 	session  *session
-	running  *running
+	running  *workerAttempt
 	evidence int // number of the change that has to be kept
 }
 
@@ -20,7 +20,7 @@
 // down six workers and more (TestCrashes with workers that fall silent). Tasks that nothing
 // is known against start at once. So do those whose one worker was not lost right after their
 // start, while the table service carries out no transactions: they would wait for its return.
-func (o *Owner) noteAhead(s *session, r *running) bool {
+func (o *Owner) noteAhead(s *session, r *workerAttempt) bool {
 	t := r.Task
 	maybeLost := o.unheardLoss && t.Step.Job.Restored
 	strong := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.Strong()
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -46,7 +46,7 @@
 }
 
 // learn takes the duration of a task that was done.
-func (o *Owner) learn(a *running, now time.Duration) {
+func (o *Owner) learn(a *workerAttempt, now time.Duration) {
 	step := a.Task.Step
 	if step.Spec.LongRunning || a.confirmedAt == 0 || a.Checkpoint != "" {
 		return
--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -29,7 +29,7 @@
 // adoptOrStop decides on an attempt that runs at a worker without our having
 // ordered it: a former owner did, or our order was taken for lost. It returns
 // nil for one that is not wanted.
-func (o *Owner) adoptOrStop(s *session, r *platform.RunningAttempt, now time.Duration) *running {
+func (o *Owner) adoptOrStop(s *session, r *platform.RunningAttempt, now time.Duration) *workerAttempt {
 	key := foreignKey{task: r.Task, number: r.Attempt}
 	if st := s.foreign[key]; st != nil {
 		if now-st.stopOrderedAt > stopRetryInterval {
@@ -42,7 +42,7 @@
 	o.log.Info().Str("event", "attempt_found").Str("task", r.Task).Int64("attempt", r.Attempt).
 		Str("boot", s.ref.Boot).Bool("adopted", wanted).Send()
 	if wanted {
-		a := &running{Attempt: o.book.Adopt(t, r.Attempt, s.ref.Boot, now), confirmedAt: now}
+		a := &workerAttempt{Attempt: o.book.Adopt(t, r.Attempt, s.ref.Boot, now), confirmedAt: now}
 		s.hold(r.Task, a)
 		if s.trial != nil && slices.Contains(s.trial.tasks, t) {
 			s.trial.attempts = append(s.trial.attempts, a.Attempt)
--- a/pkg/shard/look_test.go
+++ b/pkg/shard/look_test.go
@@ -13,7 +13,7 @@
 func TestPlanLook(t *testing.T) {
 	const now = 10 * time.Second
 	busy := func(s session) session {
-		s.attempts = map[string]*running{"t": {Attempt: &jobs.Attempt{}}}
+		s.attempts = map[string]*workerAttempt{"t": {Attempt: &jobs.Attempt{}}}
 		return s
 	}
 	for name, tc := range map[string]struct {
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -36,11 +36,11 @@
 }
 
 // sent tells whether the worker may have been given the attempt.
-func (r *running) sent() bool { return r.sentAt > 0 || r.confirmedAt > 0 }
+func (r *workerAttempt) sent() bool { return r.sentAt > 0 || r.confirmedAt > 0 }
 
 // ranFor is how long an attempt had run when its worker was last heard, 0 for one
 // that had no answer.
-func (s *session) ranFor(r *running, now time.Duration) time.Duration {
+func (s *session) ranFor(r *workerAttempt, now time.Duration) time.Duration {
 	if r.Phase == jobs.PhaseOrdered || r.Phase == jobs.PhaseInDoubt {
 		return 0
 	}
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -29,7 +29,7 @@
 func (o *Owner) order(a *jobs.Attempt) {
 	s := o.sessions[a.Boot]
 	name := a.Task.Name()
-	r := &running{Attempt: a}
+	r := &workerAttempt{Attempt: a}
 	s.hold(name, r)
 	if o.noteAhead(s, r) {
 		return // it is sent once that is kept
@@ -38,7 +38,7 @@
 }
 
 // sendStart has a start sent when its turn comes; the lock is held.
-func (o *Owner) sendStart(s *session, name string, r *running) {
+func (o *Owner) sendStart(s *session, name string, r *workerAttempt) {
 	a := r.Attempt
 	o.enqueueOrder(s, &queuedOrder{
 		start: func(now time.Duration) func(ctx context.Context) (int64, error) {
@@ -59,7 +59,7 @@
 }
 
 // started applies the answer to a start order; the lock is held.
-func (o *Owner) started(s *session, name string, r *running, err error) {
+func (o *Owner) started(s *session, name string, r *workerAttempt, err error) {
 	now := o.now()
 	current := s.attempts[name] == r
 	if errors.Is(err, errStartWithdrawn) {
@@ -107,7 +107,7 @@
 }
 
 // startWithdrawn forgets an attempt whose start was not sent; the lock is held.
-func (o *Owner) startWithdrawn(s *session, name string, r *running) {
+func (o *Owner) startWithdrawn(s *session, name string, r *workerAttempt) {
 	if s.attempts[name] == r && r.confirmedAt == 0 {
 		o.log.Info().Str("event", "start_withdrawn").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).Send()
 		o.drop(s, name)
@@ -117,7 +117,7 @@
 	}
 }
 
-func (o *Owner) startRefused(s *session, name string, r *running, refused platform.ErrOrderRefused, now time.Duration) {
+func (o *Owner) startRefused(s *session, name string, r *workerAttempt, refused platform.ErrOrderRefused, now time.Duration) {
 	switch refused.Reason {
 	case platform.RefusedToken:
 		if s.inDoubt || r.Attempt.Phase == jobs.PhaseInDoubt {
@@ -139,7 +139,7 @@
 }
 
 // begun notes that the worker has the attempt, and stops one that should not run; the lock is held.
-func (o *Owner) begun(s *session, r *running, now time.Duration) {
+func (o *Owner) begun(s *session, r *workerAttempt, now time.Duration) {
 	if r.confirmedAt == 0 {
 		r.confirmedAt = now
 		o.absolve(r)
@@ -200,7 +200,7 @@
 
 // stop orders the end of an attempt; one whose start is on its way is stopped
 // when the start's answer is known.
-func (o *Owner) stop(s *session, r *running, why string) {
+func (o *Owner) stop(s *session, r *workerAttempt, why string) {
 	if r.confirmedAt == 0 || r.Phase == jobs.PhaseStopped {
 		return
 	}
@@ -210,7 +210,7 @@
 }
 
 // orderStop sends the order to end an attempt and notes when.
-func (o *Owner) orderStop(s *session, r *running) {
+func (o *Owner) orderStop(s *session, r *workerAttempt) {
 	r.stopOrderedAt = o.now()
 	o.enqueueStop(s, r.Task.Name(), r.Number)
 }
@@ -231,7 +231,9 @@
 
 // retryStops orders ends again that have not come.
 func (o *Owner) retryStops(s *session, now time.Duration) {
-	overdue := func(r *running) bool { return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopRetryInterval }
+	overdue := func(r *workerAttempt) bool {
+		return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopRetryInterval
+	}
 	for _, name := range sortedKeysWhere(s.attempts, overdue) {
 		o.orderStop(s, s.attempts[name])
 	}
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -42,7 +42,7 @@
 }
 
 // nextPace is the share of its speed that a filling task should have.
-func nextPace(r *running, worst float64, now time.Duration) int {
+func nextPace(r *workerAttempt, worst float64, now time.Duration) int {
 	current := r.pacePercent
 	if current == 0 {
 		current = fullPace
@@ -57,7 +57,7 @@
 	}
 }
 
-func (o *Owner) setPace(s *session, name string, r *running, percent int, worst float64, now time.Duration) {
+func (o *Owner) setPace(s *session, name string, r *workerAttempt, percent int, worst float64, now time.Duration) {
 	r.pacePercent, r.pacedAt = percent, now
 	o.log.Info().Str("event", "pace_ordered").Str("task", name).Str("boot", s.ref.Boot).Int("percent", percent).Float64("tail_of_target", worst).Send()
 	order := platform.PaceOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -174,7 +174,7 @@
 
 // markMissing notes that a list of its worker lacks an attempt that may be there, and tells
 // whether the one before did: a list may lack an entry once.
-func (r *running) markMissing() bool {
+func (r *workerAttempt) markMissing() bool {
 	before := r.missing
 	r.missing = true
 	return before
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -85,7 +85,7 @@
 
 // absolve takes back the loss that was counted against a task when its boot ended, since the
 // attempt is or was at the next one.
-func (o *Owner) absolve(r *running) {
+func (o *Owner) absolve(r *workerAttempt) {
 	if r.lostWithBoot == "" {
 		return
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -36,7 +36,7 @@
 
 	unlistedAt time.Duration // when it was first missing from the directory, 0 while it is listed
 
-	attempts        map[string]*running            // by task name; changed by hold and letGo only
+	attempts        map[string]*workerAttempt      // by task name; changed by hold and letGo only
 	foreign         map[foreignKey]*foreignAttempt // run there and are not wanted
 	hostCache       *placement.Host                // as placement saw the worker last, nil when that is out of date
 	token           int64                          // fencing token of the orders
@@ -70,8 +70,8 @@
 	cancel context.CancelFunc // ends the session's loop
 }
 
-// running is an attempt at a worker.
-type running struct {
+// workerAttempt is an attempt at a worker.
+type workerAttempt struct {
 	*jobs.Attempt
 	sentAt        time.Duration // when the start was last sent, 0 before
 	connLost      bool          // the worker's end cut its answer off
@@ -181,7 +181,7 @@
 }
 
 // hold notes an attempt that is or may be at the worker.
-func (s *session) hold(task string, r *running) {
+func (s *session) hold(task string, r *workerAttempt) {
 	s.attempts[task] = r
 	s.hostCache = nil
 }
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -50,7 +50,7 @@
 		if s.unansweredCalls > 0 || s.draining {
 			continue
 		}
-		crawling := func(r *running) bool {
+		crawling := func(r *workerAttempt) bool {
 			_, crawls := o.isStraggler(s, r)
 			return crawls
 		}
@@ -65,7 +65,7 @@
 
 // isStraggler tells whether an attempt stands still, or takes much longer than the
 // other tasks of its step and than a restart would.
-func (o *Owner) isStraggler(s *session, r *running) (left time.Duration, crawls bool) {
+func (o *Owner) isStraggler(s *session, r *workerAttempt) (left time.Duration, crawls bool) {
 	step := r.Task.Step
 	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 || r.replaced {
 		return 0, false
@@ -91,13 +91,13 @@
 }
 
 // total is how long the attempt will have taken at its present speed.
-func (r *running) total() time.Duration {
+func (r *workerAttempt) total() time.Duration {
 	return time.Duration(float64(r.reportedAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
 }
 
 // typicalDuration is the median of what the step's other tasks take at other workers;
 // with too few of them, a generous estimate.
-func (o *Owner) typicalDuration(s *session, r *running) time.Duration {
+func (o *Owner) typicalDuration(s *session, r *workerAttempt) time.Duration {
 	step := r.Task.Step
 	var totals []time.Duration
 	for i := 0; i < len(step.Tasks); i += 1 + (len(step.Tasks)-1)/maxSiblings {
@@ -124,7 +124,7 @@
 }
 
 // running returns the session's view of an attempt, nil if it is not at its worker any more.
-func (o *Owner) running(a *jobs.Attempt) *running {
+func (o *Owner) running(a *jobs.Attempt) *workerAttempt {
 	s := o.sessions[a.Boot]
 	if s == nil {
 		return nil
@@ -136,7 +136,7 @@
 }
 
 // replaceStraggler starts a copy where the step allows it and stops the attempt otherwise.
-func (o *Owner) replaceStraggler(s *session, name string, r *running, left, now time.Duration) {
+func (o *Owner) replaceStraggler(s *session, name string, r *workerAttempt, left, now time.Duration) {
 	r.replaced = true
 	r.Task.Replaced++
 	s.health.noteStalled(now)
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -26,7 +26,7 @@
 		return
 	}
 	s.lossCounted = true
-	var at []*running
+	var at []*workerAttempt
 	var attempts []blame.Attempt
 	for _, r := range byName(s.attempts) {
 		if r.sent() {
@@ -48,7 +48,7 @@
 	return s.draining || s.cordonedUntil > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
 
-func (o *Owner) countLoss(s *session, r *running, a blame.Attempt) {
+func (o *Owner) countLoss(s *session, r *workerAttempt, a blame.Attempt) {
 	t := r.Task
 	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Firm: r.confirmedAt > 0 || r.connLost}))
 	o.suspects[t] = struct{}{}
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -31,7 +31,7 @@
 }
 
 // tries tells whether an attempt is on trial at the worker.
-func (s *session) tries(r *running) bool {
+func (s *session) tries(r *workerAttempt) bool {
 	return s.trial != nil && slices.Contains(s.trial.attempts, r.Attempt)
 }
 
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithCancel(o.ctx)
 	worker, _ := platform.SplitBoot(ref.Boot)
 	s := &session{
-		ref: ref, worker: worker, vm: vm, attempts: map[string]*running{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.raisedTokens[worker]),
+		ref: ref, worker: worker, vm: vm, attempts: map[string]*workerAttempt{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.raisedTokens[worker]),
 		wake: make(chan struct{}, 1), cancel: cancel, earlierLeasesUntil: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
 	}
 	o.sessions[ref.Boot] = s
