--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -33,7 +33,7 @@
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
 		o.kickPlacement()
 		for _, s := range o.sessionsByBoot() {
-			s.kick()
+			s.requestPoll()
 		}
 	}
 }
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -70,7 +70,7 @@
 		if current {
 			o.begun(s, r, now)
 		}
-		s.kick()
+		s.requestPoll()
 		return
 	}
 	if current {
@@ -103,7 +103,7 @@
 	if r.Task.Step.Spec.Gang {
 		o.breakGang(r.Task.Step, r.Number)
 	}
-	s.kick()
+	s.requestPoll()
 }
 
 // startWithdrawn forgets an attempt whose start was not sent; the lock is held.
@@ -224,7 +224,7 @@
 			if err != nil {
 				o.log.Warn().Str("event", "stop_failed").Str("task", task).Str("boot", s.ref.Boot).Err(err).Send()
 			}
-			s.kick()
+			s.requestPoll()
 		},
 	})
 }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -30,7 +30,7 @@
 	o.record.settle(b, true)
 	for _, s := range b.workers {
 		s.recorded = true
-		s.kick()
+		s.requestPoll()
 	}
 	if b.shares != nil {
 		o.accounts.shares.Keep(*b.shares)
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -80,7 +80,7 @@
 		if s.former.open {
 			s.former.from = now
 			s.lookAgain()
-			s.kick()
+			s.requestPoll()
 		}
 	}
 }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -85,8 +85,8 @@
 	pacedAt       time.Duration // when the pace was last ordered
 }
 
-// kick lets the session's loop look again.
-func (s *session) kick() { pause.Wake(s.wake) }
+// requestPoll lets the session's loop look again.
+func (s *session) requestPoll() { pause.Wake(s.wake) }
 
 // doubt notes that an order may or may not have been carried out, so that the
 // worker gets no tasks until a look has settled it; a look that waits for an end
@@ -177,7 +177,7 @@
 // acknowledge notes that ends up to one are kept.
 func (s *session) acknowledge(number int64) {
 	s.ends.keep(number)
-	s.kick()
+	s.requestPoll()
 }
 
 // hold notes an attempt that is or may be at the worker.
