--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -94,7 +94,7 @@
 		}
 	default:
 		s.health.unanswered(now)
-		s.doubt()
+		s.markInDoubt()
 		if current && r.confirmedAt == 0 {
 			r.Phase = jobs.PhaseInDoubt
 			r.connLost = now-r.sentAt < orderTimeout
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -88,10 +88,10 @@
 // requestPoll lets the session's loop look again.
 func (s *session) requestPoll() { pause.Wake(s.wake) }
 
-// doubt notes that an order may or may not have been carried out, so that the
+// markInDoubt notes that an order may or may not have been carried out, so that the
 // worker gets no tasks until a look has settled it; a look that waits for an end
 // is not waited for, which would take up to a second.
-func (s *session) doubt() {
+func (s *session) markInDoubt() {
 	s.inDoubt = true
 	s.lookAgain()
 }
