--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -144,7 +144,7 @@
 		r.confirmedAt = now
 		o.absolve(r)
 		if len(r.Task.Losses) > 0 {
-			s.lookAgain()
+			s.interruptPoll()
 		}
 	}
 	if r.Phase != jobs.PhaseStopped {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -79,7 +79,7 @@
 	for _, s := range o.sessionsByBoot() {
 		if s.former.open {
 			s.former.from = now
-			s.lookAgain()
+			s.interruptPoll()
 			s.requestPoll()
 		}
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -93,11 +93,11 @@
 // is not waited for, which would take up to a second.
 func (s *session) markInDoubt() {
 	s.inDoubt = true
-	s.lookAgain()
+	s.interruptPoll()
 }
 
-// lookAgain ends a look that waits for an end, so that another one follows at once.
-func (s *session) lookAgain() {
+// interruptPoll ends a look that waits for an end, so that another one follows at once.
+func (s *session) interruptPoll() {
 	if s.cancelPoll != nil {
 		s.cancelPoll()
 		s.cancelPoll = nil
