--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -124,7 +124,7 @@
 // such tasks was not empty for 7 to 17 s in a pool in demand, and its wave late.
 func (o *Owner) futureHosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
-		if s.open(now) {
+		if s.acceptsTasks(now) {
 			hosts = append(hosts, s.hostSoon())
 		}
 	}
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -203,7 +203,7 @@
 	if order.AckedEnd > 0 && !platform.IsNotDone(err) {
 		s.inDoubt = true // a higher token keeps its acknowledgement from a later boot
 	}
-	s.unanswered(o.now())
+	s.noteUnanswered(o.now())
 	s.retryNow = s.unansweredCalls == 1
 	if s.unansweredCalls == 1 {
 		o.log.Warn().Str("event", "worker_lost").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Err(err).Send()
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -87,7 +87,7 @@
 	case errors.As(err, &refused):
 		o.startRefused(s, name, r, refused, now)
 	case platform.IsNotDone(err):
-		s.unanswered(now)
+		s.noteUnanswered(now)
 		s.retryNow = false // what did not reach the worker is not sent again at once
 		if current && r.confirmedAt == 0 {
 			o.drop(s, name)
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -110,7 +110,7 @@
 // on chance. What is placed on them is to be ordered before the lock is let go.
 func (o *Owner) hosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
-		if s.open(now) {
+		if s.acceptsTasks(now) {
 			hosts = append(hosts, s.host(now))
 		}
 	}
@@ -121,7 +121,7 @@
 // not be ordered: what they are charged with is not kept.
 func (o *Owner) scratchHosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
-		if s.open(now) {
+		if s.acceptsTasks(now) {
 			hosts = append(hosts, s.newHost())
 		}
 	}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// unanswered notes that the worker did not answer.
-func (s *session) unanswered(now time.Duration) {
+// noteUnanswered notes that the worker did not answer.
+func (s *session) noteUnanswered(now time.Duration) {
 	if s.unansweredCalls == 0 {
 		s.silentSince = now
 	}
@@ -120,13 +120,13 @@
 // outOfUse tells whether the worker's zone is out of use, so that nothing starts there.
 func (s *session) outOfUse() bool { return s.zoneOut(s.info.Zone) }
 
-// open tells whether any task may start at the worker.
-func (s *session) open(now time.Duration) bool { return s.usable(now) && s.trial == nil }
+// acceptsTasks tells whether any task may start at the worker.
+func (s *session) acceptsTasks(now time.Duration) bool { return s.usable(now) && s.trial == nil }
 
-// leaves tells whether the worker is about to leave without having said so: its
+// leaving tells whether the worker is about to leave without having said so: its
 // entry is gone from the directory. Entries also lapse while the table service is
 // away; they are back a moment after it answers again.
-func (s *session) leaves(now, storeSteady time.Duration) bool {
+func (s *session) leaving(now, storeSteady time.Duration) bool {
 	if s.listed || s.unlistedAt == 0 {
 		return false
 	}
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -42,7 +42,7 @@
 		}
 		if s.draining {
 			o.evacuate(s, false, "its worker is leaving")
-		} else if s.leaves(now, o.cfg.StoreUptime()) {
+		} else if s.leaving(now, o.cfg.StoreUptime()) {
 			o.evacuate(s, true, "its worker is no longer listed")
 		}
 	}
