--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -94,7 +94,7 @@
 		if !o.record.changed[part] || s.ended || s.cordonedUntil > o.now() && s.idle() {
 			continue // it is named already, or cannot hold a lease
 		}
-		b.leased[part] = append(b.leased[part], s.leased())
+		b.leased[part] = append(b.leased[part], s.recordEntry())
 		if !s.recorded {
 			b.workers = append(b.workers, s)
 		}
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -123,7 +123,7 @@
 		}
 		part := partOf(s.worker)
 		named[part] = append(named[part], s.finalRecordEntry(o.claim.Term))
-		bare[part] = append(bare[part], s.leased())
+		bare[part] = append(bare[part], s.recordEntry())
 	}
 	o.record.noteAll()
 	if _, err := o.record.put(b, o.cfg.Pool, &named); err != nil {
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -144,8 +144,8 @@
 	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.inDoubt && !s.ends.open()
 }
 
-// leased is how the partition names the worker while tasks may start there at any time.
-func (s *session) leased() leasedWorker {
+// recordEntry is how the partition names the worker while tasks may start there at any time.
+func (s *session) recordEntry() leasedWorker {
 	return leasedWorker{Boot: s.ref.Boot, VM: s.vm, Address: s.ref.Address}
 }
 
@@ -153,7 +153,7 @@
 // any more: with the tasks that may be there. One that it has not heard has what the
 // owner before has named, or any.
 func (s *session) finalRecordEntry(term int64) leasedWorker {
-	w := s.leased()
+	w := s.recordEntry()
 	if s.former.open && !s.former.complete {
 		return w
 	}
