--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -42,7 +42,7 @@
 
 func (o *Owner) acknowledge(b *batch) {
 	for s, n := range b.acks {
-		s.acknowledge(n)
+		s.markEndsStored(n)
 	}
 }
 
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -174,8 +174,8 @@
 	return w
 }
 
-// acknowledge notes that ends up to one are kept.
-func (s *session) acknowledge(number int64) {
+// markEndsStored notes that ends up to one are kept.
+func (s *session) markEndsStored(number int64) {
 	s.ends.keep(number)
 	s.requestPoll()
 }
