--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -43,7 +43,7 @@
 		Str("boot", s.ref.Boot).Bool("adopted", wanted).Send()
 	if wanted {
 		a := &workerAttempt{Attempt: o.book.Adopt(t, r.Attempt, s.ref.Boot, now), confirmedAt: now}
-		s.hold(r.Task, a)
+		s.addAttempt(r.Task, a)
 		if s.trial != nil && slices.Contains(s.trial.tasks, t) {
 			s.trial.attempts = append(s.trial.attempts, a.Attempt)
 		}
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -30,7 +30,7 @@
 	s := o.sessions[a.Boot]
 	name := a.Task.Name()
 	r := &workerAttempt{Attempt: a}
-	s.hold(name, r)
+	s.addAttempt(name, r)
 	if o.noteAhead(s, r) {
 		return // it is sent once that is kept
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -59,7 +59,7 @@
 			r.lostWithBoot = s.ref.Boot // the loss that was counted, also when a further boot follows
 		}
 		r.Boot, r.Phase, r.confirmedAt, r.missing = next.ref.Boot, jobs.PhaseInDoubt, 0, false
-		next.hold(name, r)
+		next.addAttempt(name, r)
 		next.inDoubt = true
 	}
 }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -180,8 +180,8 @@
 	s.requestPoll()
 }
 
-// hold notes an attempt that is or may be at the worker.
-func (s *session) hold(task string, r *workerAttempt) {
+// addAttempt notes an attempt that is or may be at the worker.
+func (s *session) addAttempt(task string, r *workerAttempt) {
 	s.attempts[task] = r
 	s.hostCache = nil
 }
