--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -110,7 +110,7 @@
 		o.absolve(a)
 		attempt = a.Attempt
 		o.forgetAhead(attempt)
-		s.letGo(e.Task)
+		s.removeAttempt(e.Task)
 		if e.Reason == platform.EndDone {
 			o.learn(a, now)
 		}
@@ -163,7 +163,7 @@
 func (o *Owner) drop(s *session, name string) {
 	if a := s.attempts[name]; a != nil {
 		o.forgetAhead(a.Attempt)
-		s.letGo(name)
+		s.removeAttempt(name)
 		o.book.Drop(a.Attempt)
 		if a.lostWithBoot != "" {
 			o.convict(a.Task, a.lostWithBoot)
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -54,7 +54,7 @@
 		if !r.sent() || r.reportedAt > 0 {
 			continue
 		}
-		s.letGo(name)
+		s.removeAttempt(name)
 		if r.lostWithBoot == "" {
 			r.lostWithBoot = s.ref.Boot // the loss that was counted, also when a further boot follows
 		}
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -186,8 +186,8 @@
 	s.hostCache = nil
 }
 
-// letGo forgets an attempt.
-func (s *session) letGo(task string) {
+// removeAttempt forgets an attempt.
+func (s *session) removeAttempt(task string) {
 	delete(s.attempts, task)
 	s.hostCache = nil
 }
