--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -125,7 +125,7 @@
 func (o *Owner) futureHosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
 		if s.acceptsTasks(now) {
-			hosts = append(hosts, s.hostSoon())
+			hosts = append(hosts, s.futureHost())
 		}
 	}
 	return hosts
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -218,8 +218,8 @@
 	return h
 }
 
-// hostSoon describes the worker as it will be when what comes to an end there has ended.
-func (s *session) hostSoon() *placement.Host {
+// futureHost describes the worker as it will be when what comes to an end there has ended.
+func (s *session) futureHost() *placement.Host {
 	h := s.newHost()
 	for _, r := range s.attempts {
 		if !r.Task.Step.Spec.LongRunning {
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -99,7 +99,7 @@
 // has ended.
 func roomSoon(ss []*session, step *jobs.StepRun) (n int) {
 	for _, s := range ss {
-		n += s.hostSoon().Room(step)
+		n += s.futureHost().Room(step)
 	}
 	return n
 }
@@ -117,7 +117,7 @@
 			kept++
 			continue
 		}
-		if s.hostSoon().Room(c.Step) == 0 || c.Allowed != nil && !c.Allowed(s.ref.Boot) {
+		if s.futureHost().Room(c.Step) == 0 || c.Allowed != nil && !c.Allowed(s.ref.Boot) {
 			continue
 		}
 		if chosen == nil || len(s.attempts) < len(chosen.attempts) {
