--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -66,14 +66,14 @@
 			plan = pollPlan{after: -1}
 		}
 		o.mu.Unlock()
-		if s.rest(ctx, plan) {
-			o.look(ctx, s)
+		if s.awaitPoll(ctx, plan) {
+			o.poll(ctx, s)
 		}
 	}
 }
 
-// rest waits as a plan says; it reports whether the look is due.
-func (s *session) rest(ctx context.Context, plan pollPlan) (due bool) {
+// awaitPoll waits as a plan says; it reports whether the look is due.
+func (s *session) awaitPoll(ctx context.Context, plan pollPlan) (due bool) {
 	if plan.after == 0 {
 		return true
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// look renews the leases at a worker and takes its report.
-func (o *Owner) look(ctx context.Context, s *session) {
+// poll renews the leases at a worker and takes its report.
+func (o *Owner) poll(ctx context.Context, s *session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	settles := s.inDoubt && s.startsInFlight == 0
@@ -103,7 +103,7 @@
 	}
 	sentAt := o.now()
 	s.polledAt = sentAt
-	order := o.renewal(s, sentAt)
+	order := o.renewOrder(s, sentAt)
 	report, err := o.sendPoll(ctx, s, order)
 	if ctx.Err() != nil || errors.Is(err, errPollInterrupted) {
 		return
@@ -156,8 +156,8 @@
 	return report, err
 }
 
-// renewal is the order to send with a look; the lock is held.
-func (o *Owner) renewal(s *session, now time.Duration) platform.RenewOrder {
+// renewOrder is the order to send with a look; the lock is held.
+func (o *Owner) renewOrder(s *session, now time.Duration) platform.RenewOrder {
 	// A start that has no answer yet, or a look without one, may have reached a later boot.
 	safe := s.unansweredCalls == 0 && !s.inDoubt && s.startsInFlight == 0
 	order := platform.RenewOrder{Token: s.token, AckedEnd: s.ends.ackNumber(safe)}
