--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -50,7 +50,7 @@
 	}
 	o.readingOwnerRow = true
 	o.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(o.ctx, answerTimeout)
+		ctx, cancel := context.WithTimeout(o.ctx, pollTimeout)
 		defer cancel()
 		sentAt := o.now()
 		stands, err := o.claim.Stands(ctx, o.cfg.Rows, o.cfg.Pool)
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -140,7 +140,7 @@
 
 // sendPoll sends a look and waits for its report; it lets the lock go meanwhile.
 func (o *Owner) sendPoll(ctx context.Context, s *session, order platform.RenewOrder) (report platform.WorkerReport, err error) {
-	lookCtx, cancel := context.WithTimeout(ctx, order.Wait+answerTimeout)
+	lookCtx, cancel := context.WithTimeout(ctx, order.Wait+pollTimeout)
 	defer cancel()
 	if order.Wait > 0 {
 		s.cancelPoll = cancel
--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -26,7 +26,7 @@
 	}
 	o.machinesReadAt = now
 	o.wg.Go(func() {
-		ctx, cancel := context.WithTimeout(o.ctx, answerTimeout)
+		ctx, cancel := context.WithTimeout(o.ctx, pollTimeout)
 		defer cancel()
 		list, err := o.cfg.Machines.ListMachines(ctx)
 		o.mu.Lock()
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -12,8 +12,8 @@
 
 // Answers to orders, and what follows from them.
 const (
-	// answerTimeout is how long a look may go unanswered, waiting apart; workers answer in milliseconds.
-	answerTimeout = 700 * time.Millisecond
+	// pollTimeout is how long a look may go unanswered, waiting apart; workers answer in milliseconds.
+	pollTimeout = 700 * time.Millisecond
 	// orderTimeout is how long an order may go unanswered before a look settles
 	// what became of it; until then the worker gets no other tasks.
 	orderTimeout = 350 * time.Millisecond
