--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -25,8 +25,8 @@
 	stopRetryInterval = 1200 * time.Millisecond
 )
 
-// order has the start of an attempt sent; the lock is held.
-func (o *Owner) order(a *jobs.Attempt) {
+// orderStart has the start of an attempt sent; the lock is held.
+func (o *Owner) orderStart(a *jobs.Attempt) {
 	s := o.sessions[a.Boot]
 	name := a.Task.Name()
 	r := &workerAttempt{Attempt: a}
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -87,11 +87,11 @@
 			boots[step] = append(boots[step], st.Host.Boot)
 			continue
 		}
-		o.order(o.book.Begin(st.Task, st.Host.Boot, now))
+		o.orderStart(o.book.Begin(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
 		for _, a := range o.book.BeginGang(step, boots[step], now) {
-			o.order(a)
+			o.orderStart(a)
 		}
 	}
 }
