--- a/pkg/shard/ahead.go
+++ b/pkg/shard/ahead.go
@@ -46,7 +46,7 @@
 		}
 		name := n.running.Task.Name()
 		if n.session.attempts[name] == n.running {
-			o.sendStart(n.session, name, n.running)
+			o.enqueueStart(n.session, name, n.running)
 		}
 		return true
 	})
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -34,11 +34,11 @@
 	if o.noteAhead(s, r) {
 		return // it is sent once that is kept
 	}
-	o.sendStart(s, name, r)
+	o.enqueueStart(s, name, r)
 }
 
-// sendStart has a start sent when its turn comes; the lock is held.
-func (o *Owner) sendStart(s *session, name string, r *workerAttempt) {
+// enqueueStart has a start sent when its turn comes; the lock is held.
+func (o *Owner) enqueueStart(s *session, name string, r *workerAttempt) {
 	a := r.Attempt
 	o.enqueueOrder(s, &queuedOrder{
 		start: func(now time.Duration) func(ctx context.Context) (int64, error) {
