--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -123,7 +123,7 @@
 	s.answeredPollAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
-		o.settled(s, sentAt)
+		o.resolveDoubt(s, sentAt)
 	}
 	if !s.synced && order.LeaseUntil > 0 {
 		s.synced = true
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -54,12 +54,12 @@
 				Str("boot", a.Boot).Int64("token", s.token).Int("at_worker", len(s.attempts)).Dur("queued", now-a.Since).Send()
 			return func(ctx context.Context) (int64, error) { return o.cfg.Workers.StartAttempt(ctx, s.ref, order) }
 		},
-		answered: func(err error) { o.started(s, name, r, err) },
+		answered: func(err error) { o.startAnswered(s, name, r, err) },
 	})
 }
 
-// started applies the answer to a start order; the lock is held.
-func (o *Owner) started(s *session, name string, r *workerAttempt, err error) {
+// startAnswered applies the answer to a start order; the lock is held.
+func (o *Owner) startAnswered(s *session, name string, r *workerAttempt, err error) {
 	now := o.now()
 	current := s.attempts[name] == r
 	if errors.Is(err, errStartWithdrawn) {
@@ -68,7 +68,7 @@
 	}
 	if err == nil {
 		if current {
-			o.begun(s, r, now)
+			o.confirmAttempt(s, r, now)
 		}
 		s.requestPoll()
 		return
@@ -138,8 +138,8 @@
 	}
 }
 
-// begun notes that the worker has the attempt, and stops one that should not run; the lock is held.
-func (o *Owner) begun(s *session, r *workerAttempt, now time.Duration) {
+// confirmAttempt notes that the worker has the attempt, and stops one that should not run; the lock is held.
+func (o *Owner) confirmAttempt(s *session, r *workerAttempt, now time.Duration) {
 	if r.confirmedAt == 0 {
 		r.confirmedAt = now
 		o.absolve(r)
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -72,7 +72,7 @@
 	if r.Checkpoint != "" {
 		a.Checkpoint = r.Checkpoint
 	}
-	o.begun(s, a, now)
+	o.confirmAttempt(s, a, now)
 }
 
 // applyEnds applies the ends that a worker lists, as far as they may be counted.
@@ -137,10 +137,10 @@
 		Int64("end", e.Number).Int64("acknowledged", s.ends.kept).Str("reason", string(e.Reason)).Send()
 }
 
-// settled drops the attempts whose start got no answer and that the worker does
+// resolveDoubt drops the attempts whose start got no answer and that the worker does
 // not list: its look came with a higher token, so those orders cannot be carried
 // out any more.
-func (o *Owner) settled(s *session, sentAt time.Duration) {
+func (o *Owner) resolveDoubt(s *session, sentAt time.Duration) {
 	s.inDoubt = false
 	for name, a := range byName(s.attempts) {
 		if a.Phase != jobs.PhaseInDoubt || a.confirmedAt > 0 {
