--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -29,7 +29,7 @@
 			o.log.Info().Str("event", "attempt_lost").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
 				Str("cause", string(kind)).Dur("ran", s.ranFor(r, now)).Bool("begun", r.confirmedAt > 0).Send()
 		}
-		o.drop(s, name)
+		o.dropAttempt(s, name)
 	}
 	o.judge(s, kind)
 	s.trial = nil
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -81,7 +81,7 @@
 	switch {
 	case errors.As(err, &other):
 		if current && r.confirmedAt == 0 {
-			o.drop(s, name) // it has not started there
+			o.dropAttempt(s, name) // it has not started there
 		}
 		o.bootEnded(s, "another boot answers at its address")
 	case errors.As(err, &refused):
@@ -90,7 +90,7 @@
 		s.noteUnanswered(now)
 		s.retryNow = false // what did not reach the worker is not sent again at once
 		if current && r.confirmedAt == 0 {
-			o.drop(s, name)
+			o.dropAttempt(s, name)
 		}
 	default:
 		s.health.unanswered(now)
@@ -110,7 +110,7 @@
 func (o *Owner) startWithdrawn(s *session, name string, r *workerAttempt) {
 	if s.attempts[name] == r && r.confirmedAt == 0 {
 		o.log.Info().Str("event", "start_withdrawn").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).Send()
-		o.drop(s, name)
+		o.dropAttempt(s, name)
 	}
 	if r.Task.Step.Spec.Gang {
 		o.breakGang(r.Task.Step, r.Number)
@@ -134,7 +134,7 @@
 		s.pausedUntil = now + unhealthyPause
 	}
 	if s.attempts[name] == r && r.confirmedAt == 0 {
-		o.drop(s, name)
+		o.dropAttempt(s, name)
 	}
 }
 
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -53,7 +53,7 @@
 	for _, name := range vanished {
 		o.cfg.Metrics.AttemptLost(LossVanished)
 		o.log.Warn().Str("event", "attempt_vanished").Str("task", name).Int64("attempt", s.attempts[name].Number).Str("boot", s.ref.Boot).Send()
-		o.drop(s, name)
+		o.dropAttempt(s, name)
 	}
 }
 
@@ -155,12 +155,12 @@
 		}
 		o.log.Info().Str("event", "start_settled").Str("task", name).Int64("attempt", a.Number).
 			Str("boot", s.ref.Boot).Bool("running", false).Dur("age", o.now()-sentAt).Send()
-		o.drop(s, name)
+		o.dropAttempt(s, name)
 	}
 }
 
-// drop forgets an attempt that is not at the worker, or no longer.
-func (o *Owner) drop(s *session, name string) {
+// dropAttempt forgets an attempt that is not at the worker, or no longer.
+func (o *Owner) dropAttempt(s *session, name string) {
 	if a := s.attempts[name]; a != nil {
 		o.forgetAhead(a.Attempt)
 		s.removeAttempt(name)
