--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -153,7 +153,7 @@
 	}
 	for _, s := range o.sessions {
 		if s.ends.open() {
-			b.acks[s] = s.ends.counted
+			b.acks[s] = s.ends.applied
 		}
 	}
 }
--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -11,7 +11,7 @@
 // kept with their jobs, and then the worker is told to forget them, each in the order of their
 // numbers. Its methods do no I/O and know no lock.
 type ends struct {
-	counted  int64                 // ends up to here were taken into account
+	applied  int64                 // ends up to here were taken into account
 	kept     int64                 // ends up to here are kept
 	told     int64                 // ends up to here the worker was told to forget
 	unstored []end                 // counted and not kept, in order
@@ -27,7 +27,7 @@
 
 // count notes an end that the worker has listed.
 func (e *ends) count(number int64, task string) {
-	e.counted = number
+	e.applied = number
 	e.unstored = append(e.unstored, end{number: number, task: task})
 }
 
@@ -38,7 +38,7 @@
 }
 
 // open tells whether ends are counted and not kept.
-func (e *ends) open() bool { return e.counted > e.kept }
+func (e *ends) open() bool { return e.applied > e.kept }
 
 // ackDue tells whether ends are kept that the worker has not been told to forget.
 func (e *ends) ackDue() bool { return e.kept > e.told }
@@ -83,7 +83,7 @@
 		missingBefore = e.behind[n-1].Number
 	}
 	e.behind = nil
-	next := e.counted + 1
+	next := e.applied + 1
 	for i := range all {
 		if all[i].Number > next && next > missingBefore {
 			e.behind = slices.Clone(all[i:])
--- a/pkg/shard/ends_test.go
+++ b/pkg/shard/ends_test.go
@@ -25,13 +25,13 @@
 		"some were seen before":          {seen: 5, lists: [][]int64{{5, 6, 7}}, want: [][]int64{{5, 6, 7}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := ends{counted: tc.seen}
+			e := ends{applied: tc.seen}
 			for i, list := range tc.lists {
 				countable, _ := e.applicable(listed(list))
 				got := numbers(countable)
 				qt.Check(t, got, qt.DeepEquals, tc.want[i])
 				for _, n := range got {
-					e.counted = max(e.counted, n)
+					e.applied = max(e.applied, n)
 				}
 			}
 		})
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -84,7 +84,7 @@
 	for i := range countable {
 		e := &countable[i]
 		switch {
-		case e.Number > s.ends.counted:
+		case e.Number > s.ends.applied:
 			s.ends.count(e.Number, e.Task)
 			o.applyEnd(s, e, now)
 		case e.Number <= s.ends.kept:
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -34,7 +34,7 @@
 // one of the boot that is there now.
 func (o *Owner) restarted(s *session, ref platform.WorkerRef) {
 	o.log.Warn().Str("event", "worker_restarted").Str("boot", ref.Boot).Str("before", s.ref.Boot).
-		Int64("seen_end", s.ends.counted).Int("attempts", len(s.attempts)).Send()
+		Int64("seen_end", s.ends.applied).Int("attempts", len(s.attempts)).Send()
 	next := o.sessions[ref.Boot]
 	if next == nil {
 		next = o.addSession(ref, s.vm)
