--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -11,12 +11,12 @@
 // kept with their jobs, and then the worker is told to forget them, each in the order of their
 // numbers. Its methods do no I/O and know no lock.
 type ends struct {
-	applied  int64                 // ends up to here were taken into account
-	kept     int64                 // ends up to here are kept
-	told     int64                 // ends up to here the worker was told to forget
-	unstored []end                 // counted and not kept, in order
-	behind   []platform.AttemptEnd // listed behind a gap in the numbers, to be counted with the next list
-	held     bool                  // an acknowledgement was held back
+	applied      int64                 // ends up to here were taken into account
+	stored       int64                 // ends up to here are kept
+	acknowledged int64                 // ends up to here the worker was told to forget
+	unstored     []end                 // counted and not kept, in order
+	deferred     []platform.AttemptEnd // listed behind a gap in the numbers, to be counted with the next list
+	ackDeferred  bool                  // an acknowledgement was held back
 }
 
 // end is an end that a worker has listed.
@@ -25,23 +25,23 @@
 	task   string
 }
 
-// count notes an end that the worker has listed.
-func (e *ends) count(number int64, task string) {
+// markApplied notes an end that the worker has listed.
+func (e *ends) markApplied(number int64, task string) {
 	e.applied = number
 	e.unstored = append(e.unstored, end{number: number, task: task})
 }
 
-// keep notes that ends up to a number are kept.
-func (e *ends) keep(number int64) {
-	e.kept = max(e.kept, number)
-	e.unstored = slices.DeleteFunc(e.unstored, func(x end) bool { return x.number <= e.kept })
+// markStored notes that ends up to a number are kept.
+func (e *ends) markStored(number int64) {
+	e.stored = max(e.stored, number)
+	e.unstored = slices.DeleteFunc(e.unstored, func(x end) bool { return x.number <= e.stored })
 }
 
 // open tells whether ends are counted and not kept.
-func (e *ends) open() bool { return e.applied > e.kept }
+func (e *ends) open() bool { return e.applied > e.stored }
 
 // ackDue tells whether ends are kept that the worker has not been told to forget.
-func (e *ends) ackDue() bool { return e.kept > e.told }
+func (e *ends) ackDue() bool { return e.stored > e.acknowledged }
 
 // ackNumber is the number up to which a look that is sent now acknowledges ends, 0 for none. An
 // acknowledgement names a number only, and would have a later boot forget ends of its own: it is
@@ -55,17 +55,17 @@
 	if !e.ackDue() {
 		return 0
 	}
-	e.held = !safe
-	if e.held {
+	e.ackDeferred = !safe
+	if e.ackDeferred {
 		return 0
 	}
-	return e.kept
+	return e.stored
 }
 
 // tell notes that the worker was told to forget ends up to a number, 0 for none.
 func (e *ends) tell(number int64) {
-	e.told = max(e.told, number)
-	e.held = e.held && e.ackDue()
+	e.acknowledged = max(e.acknowledged, number)
+	e.ackDeferred = e.ackDeferred && e.ackDue()
 }
 
 // applicable returns the ends that may be counted after a list, in the order of their numbers:
@@ -75,18 +75,18 @@
 // start again (testdata/end_left_out). An owner that has just taken over does not know where the
 // numbers go on: to it the first list has a gap.
 func (e *ends) applicable(listed []platform.AttemptEnd) (countable []platform.AttemptEnd, missing int64) {
-	all := append(slices.Clone(listed), e.behind...)
+	all := append(slices.Clone(listed), e.deferred...)
 	slices.SortStableFunc(all, func(a, b platform.AttemptEnd) int { return cmp.Compare(a.Number, b.Number) })
 	all = slices.CompactFunc(all, func(a, b platform.AttemptEnd) bool { return a.Number == b.Number })
 	missingBefore := int64(0) // the list before had no other numbers up to here
-	if n := len(e.behind); n > 0 {
-		missingBefore = e.behind[n-1].Number
+	if n := len(e.deferred); n > 0 {
+		missingBefore = e.deferred[n-1].Number
 	}
-	e.behind = nil
+	e.deferred = nil
 	next := e.applied + 1
 	for i := range all {
 		if all[i].Number > next && next > missingBefore {
-			e.behind = slices.Clone(all[i:])
+			e.deferred = slices.Clone(all[i:])
 			return all[:i], next
 		}
 		next = max(next, all[i].Number+1)
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -166,7 +166,7 @@
 		// the leases of a worker that is gone would never run out.
 		order.LeaseUntil = s.lease(now)
 	}
-	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.told, order.AckedEnd) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
+	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.acknowledged, order.AckedEnd) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
 		if s.watches() {
 			order.Wait = watchLook
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -26,8 +26,8 @@
 	for i := range r.Ended {
 		seen[r.Ended[i].Task] = true
 	}
-	for i := range s.ends.behind {
-		seen[s.ends.behind[i].Task] = true // its end is yet to be counted
+	for i := range s.ends.deferred {
+		seen[s.ends.deferred[i].Task] = true // its end is yet to be counted
 	}
 	for i := range r.Running {
 		seen[r.Running[i].Task] = true
@@ -79,15 +79,15 @@
 func (o *Owner) applyEnds(s *session, listed []platform.AttemptEnd, now time.Duration) {
 	countable, missing := s.ends.applicable(listed)
 	if missing > 0 {
-		o.log.Debug().Str("event", "end_missing").Str("boot", s.ref.Boot).Int64("end", missing).Int64("listed", s.ends.behind[0].Number).Send()
+		o.log.Debug().Str("event", "end_missing").Str("boot", s.ref.Boot).Int64("end", missing).Int64("listed", s.ends.deferred[0].Number).Send()
 	}
 	for i := range countable {
 		e := &countable[i]
 		switch {
 		case e.Number > s.ends.applied:
-			s.ends.count(e.Number, e.Task)
+			s.ends.markApplied(e.Number, e.Task)
 			o.applyEnd(s, e, now)
-		case e.Number <= s.ends.kept:
+		case e.Number <= s.ends.stored:
 			o.noteStaleEnd(s, e)
 		}
 	}
@@ -134,7 +134,7 @@
 func (o *Owner) noteStaleEnd(s *session, e *platform.AttemptEnd) {
 	o.cfg.Metrics.StaleEnd()
 	o.log.Warn().Str("event", "end_passed_over").Str("task", e.Task).Int64("attempt", e.Attempt).Str("boot", s.ref.Boot).
-		Int64("end", e.Number).Int64("acknowledged", s.ends.kept).Str("reason", string(e.Reason)).Send()
+		Int64("end", e.Number).Int64("acknowledged", s.ends.stored).Str("reason", string(e.Reason)).Send()
 }
 
 // resolveDoubt drops the attempts whose start got no answer and that the worker does
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -136,7 +136,7 @@
 
 // needsPoll tells whether the worker has to be asked at all.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.held)
+	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.ackDeferred)
 }
 
 // idle tells whether nothing of ours is or may be at the worker.
@@ -176,7 +176,7 @@
 
 // markEndsStored notes that ends up to one are kept.
 func (s *session) markEndsStored(number int64) {
-	s.ends.keep(number)
+	s.ends.markStored(number)
 	s.requestPoll()
 }
 
