--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -152,7 +152,7 @@
 		return
 	}
 	for _, s := range o.sessions {
-		if s.ends.open() {
+		if s.ends.hasUnstored() {
 			b.acks[s] = s.ends.applied
 		}
 	}
--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -37,8 +37,8 @@
 	e.unstored = slices.DeleteFunc(e.unstored, func(x end) bool { return x.number <= e.stored })
 }
 
-// open tells whether ends are counted and not kept.
-func (e *ends) open() bool { return e.applied > e.stored }
+// hasUnstored tells whether ends are counted and not kept.
+func (e *ends) hasUnstored() bool { return e.applied > e.stored }
 
 // ackDue tells whether ends are kept that the worker has not been told to forget.
 func (e *ends) ackDue() bool { return e.stored > e.acknowledged }
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -47,8 +47,8 @@
 		// before it may be another that has no answer.
 		return pollPlan{after: orderTimeout}
 	case s.inDoubt && s.startsInFlight > 0:
-		return pollPlan{after: orderPollDelay, onWake: !s.ends.open() || s.unansweredCalls > 0}
-	case s.ends.open():
+		return pollPlan{after: orderPollDelay, onWake: !s.ends.hasUnstored() || s.unansweredCalls > 0}
+	case s.ends.hasUnstored():
 		return pollPlan{after: ackDelay, onWake: s.unansweredCalls > 0}
 	default:
 		return pollPlan{}
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -16,7 +16,7 @@
 	}
 	now := o.now()
 	o.applyEnds(s, r.Ended, now)
-	if s.ends.open() {
+	if s.ends.hasUnstored() {
 		// An end that changes nothing of a job is acknowledged by a look at what is
 		// to be written, which nothing else need bring about: in a quiet pool a VM
 		// that was empty took up to 15 s to count as such.
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -136,12 +136,12 @@
 
 // needsPoll tells whether the worker has to be asked at all.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.open() || s.ends.ackDeferred)
+	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
 }
 
 // idle tells whether nothing of ours is or may be at the worker.
 func (s *session) idle() bool {
-	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.inDoubt && !s.ends.open()
+	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.inDoubt && !s.ends.hasUnstored()
 }
 
 // recordEntry is how the partition names the worker while tasks may start there at any time.
