--- a/pkg/shard/ends_test.go
+++ b/pkg/shard/ends_test.go
@@ -25,7 +25,7 @@
 		"some were seen before":          {seen: 5, lists: [][]int64{{5, 6, 7}}, want: [][]int64{{5, 6, 7}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			e := ends{applied: tc.seen}
+			e := endTracker{applied: tc.seen}
 			for i, list := range tc.lists {
 				countable, _ := e.applicable(listed(list))
 				got := numbers(countable)
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -119,7 +119,7 @@
 		return
 	}
 	o.cfg.Metrics.Poll(nil)
-	s.ends.tell(order.AckedEnd)
+	s.ends.markAcknowledged(order.AckedEnd)
 	s.answeredPollAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
--- a/pkg/shard/look_test.go
+++ b/pkg/shard/look_test.go
@@ -26,7 +26,7 @@
 		"not heard yet":              {s: session{}},
 		"silent once":                {s: busy(session{synced: true, unansweredCalls: 1, retryNow: true})},
 		"silent":                     {s: busy(session{synced: true, unansweredCalls: 2}), want: pollPlan{after: pollRetryDelay, onWake: true}},
-		"ends to be kept":            {s: busy(session{synced: true, ends: ends{applied: 2, stored: 1}}), want: pollPlan{after: ackDelay}},
+		"ends to be kept":            {s: busy(session{synced: true, ends: endTracker{applied: 2, stored: 1}}), want: pollPlan{after: ackDelay}},
 		"a doubt, orders on the way": {s: busy(session{synced: true, inDoubt: true, startsInFlight: 1}), want: pollPlan{after: orderPollDelay, onWake: true}},
 		"a doubt to settle":          {s: busy(session{synced: true, inDoubt: true})},
 		"at the owner's limit":       {s: busy(session{synced: true, polledAt: now - 200*time.Millisecond}), atLimit: true, want: pollPlan{after: minPollInterval - 200*time.Millisecond}},
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -61,7 +61,7 @@
 	leaseUntil         int64         // highest deadline that was sent, by the worker's clock
 	earlierLeasesUntil time.Duration // when leases have run out that a former owner gave, or that were given by the clock of the boot before
 
-	ends ends // that it has listed
+	ends endTracker // that it has listed
 
 	polledAt   time.Duration // when the last look was sent
 	cancelPoll func()        // ends the look under way, nil if none waits for an end
