--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -193,7 +193,7 @@
 
 // stopAttempt ends an attempt wherever it is; the lock is held.
 func (o *Owner) stopAttempt(a *jobs.Attempt, why string) {
-	if r := o.running(a); r != nil {
+	if r := o.findAttempt(a); r != nil {
 		o.stop(o.sessions[a.Boot], r, why)
 	}
 }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -106,7 +106,7 @@
 // started at.
 func (o *Owner) unsettled(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
-		if r := o.running(a); r != nil && r.lostWithBoot != "" {
+		if r := o.findAttempt(a); r != nil && r.lostWithBoot != "" {
 			return true
 		}
 	}
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -107,7 +107,7 @@
 		case t.Took > 0:
 			totals = append(totals, t.Took)
 		case len(t.Attempts) > 0 && t.Attempts[0].Boot != s.ref.Boot:
-			if other := o.running(t.Attempts[0]); other != nil && other.Percent >= minSiblingPercent {
+			if other := o.findAttempt(t.Attempts[0]); other != nil && other.Percent >= minSiblingPercent {
 				totals = append(totals, other.total())
 			}
 		}
@@ -123,8 +123,8 @@
 	return usual
 }
 
-// running returns the session's view of an attempt, nil if it is not at its worker any more.
-func (o *Owner) running(a *jobs.Attempt) *workerAttempt {
+// findAttempt returns the session's view of an attempt, nil if it is not at its worker any more.
+func (o *Owner) findAttempt(a *jobs.Attempt) *workerAttempt {
 	s := o.sessions[a.Boot]
 	if s == nil {
 		return nil
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -171,7 +171,7 @@
 			continue
 		}
 		for _, a := range t.Attempts {
-			r := o.running(a)
+			r := o.findAttempt(a)
 			if r == nil || r.confirmedAt == 0 || r.reportedAt-r.confirmedAt < t.Losses.WatchFor() {
 				continue
 			}
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -161,7 +161,7 @@
 func (o *Owner) trialOver(s *session, now time.Duration) bool {
 	if len(s.trial.attempts) > 0 {
 		return !slices.ContainsFunc(s.trial.attempts, func(a *jobs.Attempt) bool {
-			return o.running(a) != nil && len(a.Task.Losses) > 0
+			return o.findAttempt(a) != nil && len(a.Task.Losses) > 0
 		})
 	}
 	started := slices.ContainsFunc(s.trial.tasks, func(t *jobs.Task) bool { return !t.Idle() })
