--- a/pkg/shard/advice.go
+++ b/pkg/shard/advice.go
@@ -25,10 +25,10 @@
 
 // advice is what the advice service has said about a step.
 type advice struct {
-	asking  bool
-	after   time.Duration     // not asked again before
-	tickets map[string]ticket // by boot
-	denied  map[string]bool   // boots that may not run the step, which does not change
+	requested bool
+	retryAt   time.Duration     // not asked again before
+	tickets   map[string]ticket // by boot
+	denied    map[string]bool   // boots that may not run the step, which does not change
 }
 
 type ticket struct {
@@ -64,7 +64,7 @@
 			ask = append(ask, h)
 		}
 	}
-	if room >= len(c.Tasks) || len(ask) == 0 || a.asking || now < a.after {
+	if room >= len(c.Tasks) || len(ask) == 0 || a.requested || now < a.retryAt {
 		return
 	}
 	slices.SortStableFunc(ask, func(x, y *placement.Host) int { return cmp.Compare(y.Free.CPU, x.Free.CPU) })
@@ -72,7 +72,7 @@
 	for _, h := range ask[:min(len(ask), maxAdviceBoots)] {
 		boots = append(boots, h.Boot)
 	}
-	a.asking = true
+	a.requested = true
 	o.requestAdvice(c.Step, a, boots)
 }
 
@@ -85,11 +85,11 @@
 		cancel()
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		a.asking = false
+		a.requested = false
 		now := o.now()
 		o.log.Info().Str("event", "advice").Str("step", name).Int("asked", len(boots)).Int("allowed", len(permits)).Dur("valid", valid).Err(err).Send()
 		if err != nil {
-			a.after = now + adviceRetryDelay
+			a.retryAt = now + adviceRetryDelay
 			return
 		}
 		for _, b := range boots {
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -45,8 +45,8 @@
 	return time.Duration(l.mean * float64(time.Second))
 }
 
-// learn takes the duration of a task that was done.
-func (o *Owner) learn(a *workerAttempt, now time.Duration) {
+// recordDuration takes the duration of a task that was done.
+func (o *Owner) recordDuration(a *workerAttempt, now time.Duration) {
 	step := a.Task.Step
 	if step.Spec.LongRunning || a.confirmedAt == 0 || a.Checkpoint != "" {
 		return
--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -19,8 +19,8 @@
 	leaseMargin = 150 * time.Millisecond
 )
 
-// lapsed tells whether all leases given there have certainly run out.
-func (s *session) lapsed(now time.Duration) bool {
+// leasesExpired tells whether all leases given there have certainly run out.
+func (s *session) leasesExpired(now time.Duration) bool {
 	if now < s.earlierLeasesUntil {
 		return false
 	}
@@ -31,8 +31,8 @@
 	return float64(s.clockMs)+passed/float64(time.Millisecond) > float64(s.leaseUntil)
 }
 
-// lease returns the deadline for a renewal sent now, 0 while the worker's clock is not known.
-func (s *session) lease(now time.Duration) int64 {
+// extendLease returns the deadline for a renewal sent now, 0 while the worker's clock is not known.
+func (s *session) extendLease(now time.Duration) int64 {
 	if s.clockAt == 0 {
 		return 0
 	}
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -164,7 +164,7 @@
 	if s.unansweredCalls == 0 && o.confirmed(now) {
 		// A look without an answer may still arrive; were each of them to renew,
 		// the leases of a worker that is gone would never run out.
-		order.LeaseUntil = s.lease(now)
+		order.LeaseUntil = s.extendLease(now)
 	}
 	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.acknowledged, order.AckedEnd) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -48,7 +48,7 @@
 			r.sentAt = now
 			order := platform.StartOrder{
 				Task: name, Attempt: a.Number, Spec: a.Task.Step.Job.Spec.Text, Checkpoint: a.Task.Checkpoint,
-				Ticket: o.ticketOf(a.Task.Step, a.Boot), Token: s.token, LeaseUntil: s.lease(now),
+				Ticket: o.ticketOf(a.Task.Step, a.Boot), Token: s.token, LeaseUntil: s.extendLease(now),
 			}
 			o.log.Info().Str("event", "start_ordered").Str("task", name).Int64("attempt", a.Number).
 				Str("boot", a.Boot).Int64("token", s.token).Int("at_worker", len(s.attempts)).Dur("queued", now-a.Since).Send()
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -112,7 +112,7 @@
 		o.forgetAhead(attempt)
 		s.removeAttempt(e.Task)
 		if e.Reason == platform.EndDone {
-			o.learn(a, now)
+			o.recordDuration(a, now)
 		}
 	}
 	s.health.note(e.Reason, now)
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -114,7 +114,7 @@
 // expireLeases frees the tasks of a silent worker once its leases have run out.
 func (o *Owner) expireLeases(s *session) {
 	now := o.now()
-	if s.unansweredCalls == 0 || !s.lapsed(now) {
+	if s.unansweredCalls == 0 || !s.leasesExpired(now) {
 		return
 	}
 	if len(s.attempts) > 0 {
