--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -50,10 +50,10 @@
 
 // formerLeasesEnd is when the longest lease of a former owner has run out.
 func (o *Owner) formerLeasesEnd(now time.Duration) time.Duration {
-	return now + ConfirmedFor + outlasting(leaseDuration)
+	return now + ConfirmedFor + maxLocalDuration(leaseDuration)
 }
 
-// outlasting is how long a lease of a length may run by our clock, whatever the worker's does.
-func outlasting(length time.Duration) time.Duration {
+// maxLocalDuration is how long a lease of a length may run by our clock, whatever the worker's does.
+func maxLocalDuration(length time.Duration) time.Duration {
 	return time.Duration(float64(length.Nanoseconds())*(1+2*maxClockDrift)) + leaseMargin
 }
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -116,7 +116,7 @@
 // strangeLeasesEnd is when leases have run out that were given by the clock of another boot,
 // from which they may have come out as long as a worker grants them.
 func (o *Owner) strangeLeasesEnd(now time.Duration) time.Duration {
-	return now + outlasting(o.cfg.MaxLease)
+	return now + maxLocalDuration(o.cfg.MaxLease)
 }
 
 // fellBack tells whether a clock in the answer to an order that was sent at sentAt is behind
