--- a/pkg/shard/arrivals.go
+++ b/pkg/shard/arrivals.go
@@ -24,8 +24,8 @@
 	memoryMB float64
 }
 
-// note takes the work of one job.
-func (a *arrivals) note(at time.Duration, cpu, memoryMB float64) {
+// add takes the work of one job.
+func (a *arrivals) add(at time.Duration, cpu, memoryMB float64) {
 	a.recent = append(a.recent, arrival{at: at, cpu: cpu, memoryMB: memoryMB})
 }
 
@@ -62,5 +62,5 @@
 		cpu += s * float64(st.Needs.CPU)
 		memoryMB += s * float64(st.Needs.MemoryMB)
 	}
-	o.arrivals.note(now, cpu, memoryMB)
+	o.arrivals.add(now, cpu, memoryMB)
 }
--- a/pkg/shard/arrivals_test.go
+++ b/pkg/shard/arrivals_test.go
@@ -15,7 +15,7 @@
 	var a arrivals
 	at := time.Duration(0)
 	for ; at < 2*time.Second; at += 100 * time.Millisecond {
-		a.note(at, 3000*2, 1024*2)
+		a.add(at, 3000*2, 1024*2)
 	}
 	d := a.demand(at - time.Millisecond)
 	c.Check(d, qt.Equals, platform.Resources{CPU: 60000, MemoryMB: 20480})
--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -38,7 +38,7 @@
 		return nil
 	}
 	t := o.book.Task(r.Task)
-	wanted := t != nil && o.wants(t) && s.attempts[r.Task] == nil // one attempt of a task is held here at a time
+	wanted := t != nil && o.canAdopt(t) && s.attempts[r.Task] == nil // one attempt of a task is held here at a time
 	o.log.Info().Str("event", "attempt_found").Str("task", r.Task).Int64("attempt", r.Attempt).
 		Str("boot", s.ref.Boot).Bool("adopted", wanted).Send()
 	if wanted {
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// wants tells whether a task can do with an attempt that was found.
-func (o *Owner) wants(t *jobs.Task) bool {
+// canAdopt tells whether a task can do with an attempt that was found.
+func (o *Owner) canAdopt(t *jobs.Task) bool {
 	if t.Step.Job.State.Final() {
 		return false
 	}
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -23,8 +23,8 @@
 	paceDownAfter = 500 * time.Millisecond
 )
 
-// pace adjusts the filling tasks at a worker to the serving tasks beside them; the lock is held.
-func (o *Owner) pace(s *session, now time.Duration) {
+// adjustPace adjusts the filling tasks at a worker to the serving tasks beside them; the lock is held.
+func (o *Owner) adjustPace(s *session, now time.Duration) {
 	worst := 0.0 // tail against target
 	for _, r := range s.attempts {
 		if target := r.Task.Step.Spec.TailTarget; target > 0 && r.Phase == jobs.PhaseRunning {
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -38,7 +38,7 @@
 	o.wg.Wait()
 	releaseCtx, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
-	err := o.letGo(releaseCtx, next)
+	err := o.writeRelease(releaseCtx, next)
 	o.log.Info().Str("event", "shard_released").Str("next", next).Bool("quiet", quiet).Dur("took", o.now()-started).Err(err).Send()
 }
 
@@ -46,7 +46,7 @@
 func (o *Owner) awaitQuiesced(ctx context.Context) bool {
 	end := time.Now().Add(quiesceTimeout)
 	for time.Now().Before(end) && ctx.Err() == nil {
-		if o.quiet() {
+		if o.quiesced() {
 			return true
 		}
 		time.Sleep(quiescePollInterval)
@@ -54,7 +54,7 @@
 	return false
 }
 
-func (o *Owner) quiet() bool {
+func (o *Owner) quiesced() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.committing || len(o.queued) > 0 || len(o.dirty) > 0 {
@@ -70,9 +70,9 @@
 	return true
 }
 
-// letGo writes the owner row, and with it what the next owner has to know. If a transaction is under
+// writeRelease writes the owner row, and with it what the next owner has to know. If a transaction is under
 // way of which it is not known whether it happens, the record of leased workers stays as it was.
-func (o *Owner) letGo(ctx context.Context, next string) (err error) {
+func (o *Owner) writeRelease(ctx context.Context, next string) (err error) {
 	to := Successor{Entry: next, Left: max(0, o.soleOwnerAt-o.now())}
 	unkept := o.unheardLoss || len(o.dirty) > 0
 	txn, err := o.releaseTxn()
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -34,7 +34,7 @@
 		o.applyRunning(s, &r.Running[i], now)
 	}
 	s.forgetUnlistedForeign(r, sentAt)
-	o.pace(s, now)
+	o.adjustPace(s, now)
 	o.dropVanished(s, seen, sentAt)
 }
 
