--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -18,7 +18,7 @@
 // is written one thing at a time, and what is refused alone is set apart.
 func (o *Owner) batchRefused(b *batch, cause error) {
 	o.log.Error().Str("event", "transaction_refused").Int("rows", len(b.txn.Put)+len(b.txn.Remove)).Int("bytes", b.size).
-		Int("longest_row", b.longest()).Int("things", b.things()).Err(cause).Send()
+		Int("longest_row", b.longestRow()).Int("things", b.things()).Err(cause).Send()
 	if n := b.things(); n > 1 {
 		o.singleItemTxns += n
 		o.queued = append(b.submissions, o.queued...)
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -129,17 +129,17 @@
 	if _, err := o.record.put(b, o.cfg.Pool, &named); err != nil {
 		return err
 	}
-	if b.size < maxTxnBytes && b.longest() <= o.cfg.MaxRowBytes {
+	if b.size < maxTxnBytes && b.longestRow() <= o.cfg.MaxRowBytes {
 		return nil
 	}
-	o.log.Warn().Str("event", "record_shortened").Int("bytes", b.size).Int("longest_row", b.longest()).Send()
+	o.log.Warn().Str("event", "record_shortened").Int("bytes", b.size).Int("longest_row", b.longestRow()).Send()
 	b.txn.Put, b.txn.Remove, b.size = nil, nil, 0
 	_, err := o.record.put(b, o.cfg.Pool, &bare)
 	return err
 }
 
-// longest is the length of the longest row that the transaction puts, in bytes.
-func (b *batch) longest() (n int) {
+// longestRow is the length of the longestRow row that the transaction puts, in bytes.
+func (b *batch) longestRow() (n int) {
 	for i := range b.txn.Put {
 		n = max(n, len(b.txn.Put[i].Value))
 	}
