--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -56,8 +56,8 @@
 	return empty
 }
 
-// waits counts the tasks at a worker that is to be empty by what they wait for.
-type waits struct {
+// waitCounts counts the tasks at a worker that is to be empty by what they wait for.
+type waitCounts struct {
 	finishing int // they come to an end
 	stopping  int // they were told to end
 	limited   int // too many of their step are away
@@ -66,7 +66,7 @@
 
 // logNotEmpty says from time to time why a VM that is to be empty is not: what
 // makes a wave of maintenance late is known before it is.
-func (o *Owner) logNotEmpty(s *session, w waits, now time.Duration) {
+func (o *Owner) logNotEmpty(s *session, w waitCounts, now time.Duration) {
 	if now-s.notEmptyLoggedAt < loadLogInterval {
 		return
 	}
@@ -97,7 +97,7 @@
 // evacuate ends the long-running tasks at a worker that have room elsewhere, so
 // that they start there; others are left to finish. With limited, no more tasks
 // of a step are away than it allows. It tells what the tasks wait for.
-func (o *Owner) evacuate(s *session, limited bool, why string) (w waits) {
+func (o *Owner) evacuate(s *session, limited bool, why string) (w waitCounts) {
 	room := &spareRoom{owner: o, now: o.now()}
 	for _, r := range byName(s.attempts) {
 		step := r.Task.Step
