--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -72,7 +72,7 @@
 		}
 		return &schema.CallReply{Outcome: schema.CallOutcomeOk, Load: raw}
 	case schema.CallKindEmpty:
-		if o.Empty(q.VM) {
+		if o.DrainVM(q.VM) {
 			return &schema.CallReply{Outcome: schema.CallOutcomeOk}
 		}
 		return &schema.CallReply{Outcome: schema.CallOutcomeRefused}
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -18,9 +18,9 @@
 	evacuationDelay = 2500 * time.Millisecond
 )
 
-// Empty keeps new tasks away from a VM and moves away what runs there, as far as
+// DrainVM keeps new tasks away from a VM and moves away what runs there, as far as
 // the steps' limits on missing tasks allow; it reports whether nothing is left.
-func (o *Owner) Empty(vm string) (empty bool) {
+func (o *Owner) DrainVM(vm string) (empty bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -202,7 +202,7 @@
 		e.allowed = append(e.allowed, arg("boot", ""))
 		return ""
 	case "empty":
-		return fmt.Sprintf("%v\n", e.owners[entry].Empty(arg("vm", "")))
+		return fmt.Sprintf("%v\n", e.owners[entry].DrainVM(arg("vm", "")))
 	case "limit":
 		cpu, _ := strconv.Atoi(arg("cpu", "0"))
 		e.limit(arg("account", ""), cpu)
