--- a/pkg/shard/health.go
+++ b/pkg/shard/health.go
@@ -15,14 +15,14 @@
 	negligibleFailures = 0.05
 )
 
-// outcomes is what is remembered of a worker's ends to tell a bad worker.
-type outcomes struct {
-	failures float64 // recent failed attempts, fading
-	at       time.Duration
+// workerHealth is what is remembered of a worker's ends to tell a bad worker.
+type workerHealth struct {
+	failures  float64 // recent failed attempts, fading
+	decayedAt time.Duration
 }
 
-// note takes one end into account.
-func (h *outcomes) note(reason platform.EndReason, now time.Duration) {
+// noteEnd takes one end into account.
+func (h *workerHealth) noteEnd(reason platform.EndReason, now time.Duration) {
 	h.decay(now)
 	switch reason {
 	case platform.EndFailed:
@@ -32,30 +32,30 @@
 	}
 }
 
-func (h *outcomes) decay(now time.Duration) {
-	for h.failures > negligibleFailures && now-h.at >= failureHalfLife {
+func (h *workerHealth) decay(now time.Duration) {
+	for h.failures > negligibleFailures && now-h.decayedAt >= failureHalfLife {
 		h.failures /= 2
-		h.at += failureHalfLife
+		h.decayedAt += failureHalfLife
 	}
-	if now-h.at >= failureHalfLife || h.failures <= negligibleFailures {
-		h.at = now
+	if now-h.decayedAt >= failureHalfLife || h.failures <= negligibleFailures {
+		h.decayedAt = now
 	}
 }
 
-// unanswered notes a start that got no answer, or that the worker was not well enough to carry out.
-func (h *outcomes) unanswered(now time.Duration) {
+// noteUnanswered notes a start that got no answer, or that the worker was not well enough to carry out.
+func (h *workerHealth) noteUnanswered(now time.Duration) {
 	h.decay(now)
 	h.failures++
 }
 
 // noteStalled notes a task that stands still or crawls at the worker.
-func (h *outcomes) noteStalled(now time.Duration) {
+func (h *workerHealth) noteStalled(now time.Duration) {
 	h.decay(now)
 	h.failures += stallWeight
 }
 
 // penalty is what speaks against the worker.
-func (h *outcomes) penalty(now time.Duration) float64 {
+func (h *workerHealth) penalty(now time.Duration) float64 {
 	h.decay(now)
 	return h.failures * failurePenalty
 }
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -93,7 +93,7 @@
 			o.dropAttempt(s, name)
 		}
 	default:
-		s.health.unanswered(now)
+		s.health.noteUnanswered(now)
 		s.markInDoubt()
 		if current && r.confirmedAt == 0 {
 			r.Phase = jobs.PhaseInDoubt
@@ -130,7 +130,7 @@
 	case platform.RefusedRoom:
 		s.pausedUntil = now + fullPause
 	case platform.RefusedUnhealthy, platform.RefusedOther:
-		s.health.unanswered(now)
+		s.health.noteUnanswered(now)
 		s.pausedUntil = now + unhealthyPause
 	}
 	if s.attempts[name] == r && r.confirmedAt == 0 {
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -115,7 +115,7 @@
 			o.recordDuration(a, now)
 		}
 	}
-	s.health.note(e.Reason, now)
+	s.health.noteEnd(e.Reason, now)
 	effect := o.book.End(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
 	ev.Str("job_state", string(t.Step.Job.State)).Send()
 	if effect.Keep {
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -47,7 +47,7 @@
 	unansweredCalls int                            // looks and orders in a row without an answer
 	silentSince     time.Duration                  // when the first of them was noticed, 0 while there is none
 	retryNow        bool                           // the only one was a look: it is repeated without a pause
-	health          outcomes                       // to tell a bad worker
+	health          workerHealth                   // to tell a bad worker
 	lossCounted     bool                           // its loss was counted against what is there
 	trial           *trial                         // what it is kept for, nil for nothing
 	pausedUntil     time.Duration                  // no new tasks until then
