--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -99,7 +99,7 @@
 // of a step are away than it allows. It tells what the tasks wait for.
 func (o *Owner) evacuate(s *session, limited bool, why string) (w waitCounts) {
 	room := &spareRoom{owner: o, now: o.now()}
-	for _, r := range byName(s.attempts) {
+	for _, r := range sortedByKey(s.attempts) {
 		step := r.Task.Step
 		switch {
 		case r.Phase == jobs.PhaseStopped:
--- a/pkg/shard/inorder.go
+++ b/pkg/shard/inorder.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// byName goes through a map in the order of its keys, for loops whose order shows outside: in the
+// sortedByKey goes through a map in the order of its keys, for loops whose order shows outside: in the
 // log, in what is sent first. In the order of the map a course of events that was seen once could
 // not be played again: 38 to 40 of 40 drawn courses differed the second time (TestCoursesRepeat).
-func byName[V any](m map[string]V) iter.Seq2[string, V] {
+func sortedByKey[V any](m map[string]V) iter.Seq2[string, V] {
 	return func(yield func(string, V) bool) {
 		for _, name := range slices.Sorted(maps.Keys(m)) {
 			if v, there := m[name]; there && !yield(name, v) {
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -23,7 +23,7 @@
 func (o *Owner) lose(s *session, kind LossKind) {
 	o.blame(s)
 	now := o.now()
-	for name, r := range byName(s.attempts) {
+	for name, r := range sortedByKey(s.attempts) {
 		if r.sent() {
 			o.cfg.Metrics.AttemptLost(kind)
 			o.log.Info().Str("event", "attempt_lost").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -142,7 +142,7 @@
 // out any more.
 func (o *Owner) resolveDoubt(s *session, sentAt time.Duration) {
 	s.inDoubt = false
-	for name, a := range byName(s.attempts) {
+	for name, a := range sortedByKey(s.attempts) {
 		if a.Phase != jobs.PhaseInDoubt || a.confirmedAt > 0 {
 			continue
 		}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -50,7 +50,7 @@
 // passAttempts passes on the attempts of which no report of their boot has told: their starts
 // may have reached the next one. The others were lost with it.
 func (o *Owner) passAttempts(s, next *session) {
-	for name, r := range byName(s.attempts) {
+	for name, r := range sortedByKey(s.attempts) {
 		if !r.sent() || r.reportedAt > 0 {
 			continue
 		}
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -28,7 +28,7 @@
 	s.lossCounted = true
 	var at []*workerAttempt
 	var attempts []blame.Attempt
-	for _, r := range byName(s.attempts) {
+	for _, r := range sortedByKey(s.attempts) {
 		if r.sent() {
 			at = append(at, r)
 			attempts = append(attempts, blame.Attempt{Ran: s.ranFor(r, now), Trial: s.tries(r)})
