--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -48,7 +48,7 @@
 // have counted.
 func TestCrashesFindsPlanted(t *testing.T) {
 	plant := func(e *estate) {
-		e.breakRows = func(r platform.Rows) platform.Rows { return lossless{r} }
+		e.wrapRows = func(r platform.Rows) platform.Rows { return lossless{r} }
 	}
 	qt.Assert(t, prop.Finds(t, crashes(plant)), qt.IsTrue)
 }
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -45,8 +45,8 @@
 	machines []platform.Machine
 	allowed  []string // boots that the advice service allows; the queue has advice if there are any
 	starts   int64    // of entries
-	// breakRows and breakWorkers plant faults, to show that they are found.
-	breakRows    func(platform.Rows) platform.Rows
+	// wrapRows and breakWorkers plant faults, to show that they are found.
+	wrapRows     func(platform.Rows) platform.Rows
 	breakWorkers func(platform.Workers) platform.Workers
 	asked        int // calls for advice
 	limits       []catalog.Account
@@ -263,8 +263,8 @@
 
 func (e *estate) own(entry string) string {
 	rows, workers := e.rows.As(entry), e.workers.As(entry)
-	if e.breakRows != nil {
-		rows = e.breakRows(rows)
+	if e.wrapRows != nil {
+		rows = e.wrapRows(rows)
 	}
 	if e.breakWorkers != nil {
 		workers = e.breakWorkers(workers)
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -347,10 +347,10 @@
 			e.breakWorkers = func(w platform.Workers) platform.Workers { return &hasty{Workers: w, last: map[string]int64{}} }
 		},
 		"transactions without preconditions": func(e *estate) {
-			e.breakRows = func(r platform.Rows) platform.Rows { return unconditional{r} }
+			e.wrapRows = func(r platform.Rows) platform.Rows { return unconditional{r} }
 		},
 		"shares forgotten at a takeover": func(e *estate) {
-			e.breakRows = func(r platform.Rows) platform.Rows { return forgetful{r} }
+			e.wrapRows = func(r platform.Rows) platform.Rows { return forgetful{r} }
 		},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue) })
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -49,7 +49,7 @@
 			e.breakWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
 		},
 		"losses forgotten at a takeover": func(e *estate) {
-			e.breakRows = func(r platform.Rows) platform.Rows { return lossless{r} }
+			e.wrapRows = func(r platform.Rows) platform.Rows { return lossless{r} }
 		},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, mixed(plant)), qt.IsTrue) })
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -100,7 +100,7 @@
 	for name, hidden := range map[string]int{"no parts": 64, "all but the first": 1} {
 		t.Run(name, func(t *testing.T) {
 			plant := func(e *estate) {
-				e.breakRows = func(r platform.Rows) platform.Rows { return partless{Rows: r, hidden: hidden} }
+				e.wrapRows = func(r platform.Rows) platform.Rows { return partless{Rows: r, hidden: hidden} }
 			}
 			qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue)
 		})
