--- a/pkg/shard/dispatch_test.go
+++ b/pkg/shard/dispatch_test.go
@@ -40,7 +40,7 @@
 		e := newEstate(t)
 		defer e.close()
 		counted := &countingWorkers{}
-		e.breakWorkers = func(w platform.Workers) platform.Workers {
+		e.wrapWorkers = func(w platform.Workers) platform.Workers {
 			counted.Workers = w
 			return counted
 		}
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -68,7 +68,7 @@
 		e := newEstate(t)
 		defer e.close()
 		link := &narrowLink{cost: 6600 * time.Microsecond}
-		e.breakWorkers = func(w platform.Workers) platform.Workers {
+		e.wrapWorkers = func(w platform.Workers) platform.Workers {
 			link.Workers = w
 			return link
 		}
@@ -136,7 +136,7 @@
 		e := newEstate(t)
 		defer e.close()
 		rack := &darkRack{dark: map[string]bool{}}
-		e.breakWorkers = func(w platform.Workers) platform.Workers {
+		e.wrapWorkers = func(w platform.Workers) platform.Workers {
 			rack.Workers = w
 			return rack
 		}
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -341,10 +341,10 @@
 func TestOwnerFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*estate){
 		"orders without fencing": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
+			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
 		"ends acknowledged too early": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return &hasty{Workers: w, last: map[string]int64{}} }
+			e.wrapWorkers = func(w platform.Workers) platform.Workers { return &hasty{Workers: w, last: map[string]int64{}} }
 		},
 		"transactions without preconditions": func(e *estate) {
 			e.wrapRows = func(r platform.Rows) platform.Rows { return unconditional{r} }
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -43,10 +43,10 @@
 func TestMixedFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*estate){
 		"orders without fencing": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
+			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
 		"boots are not told apart": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
+			e.wrapWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
 		},
 		"losses forgotten at a takeover": func(e *estate) {
 			e.wrapRows = func(r platform.Rows) platform.Rows { return lossless{r} }
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -94,10 +94,10 @@
 func TestRestartsFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*estate){
 		"boots are not told apart": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
+			e.wrapWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
 		},
 		"numbers of ends outlive their boot": func(e *estate) {
-			e.breakWorkers = func(w platform.Workers) platform.Workers {
+			e.wrapWorkers = func(w platform.Workers) platform.Workers {
 				return &forgetless{Workers: w, acked: map[string]int64{}}
 			}
 		},
