--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -46,28 +46,28 @@
 	allowed  []string // boots that the advice service allows; the queue has advice if there are any
 	starts   int64    // of entries
 	// wrapRows and breakWorkers plant faults, to show that they are found.
-	wrapRows    func(platform.Rows) platform.Rows
-	wrapWorkers func(platform.Workers) platform.Workers
-	asked       int // calls for advice
-	limits      []catalog.Account
-	steadyOnly  bool                     // machines that may be suspended have the steady clock only
-	suspendable map[string]*entryMachine // by entry, of those that may be suspended
-	ownersMu    sync.Mutex               // guards changes of owners
-	owners      map[string]*shard.Owner
-	closed      bool
-	faults      map[string]fake.Fault    // by "op entry" and "op boot entry", with * for any
-	faultTimes  map[string]int           // calls that a fault strikes, 0 and less for all
-	failing     map[string]int           // failures that a task has left
-	crashing    map[string]time.Duration // tasks that bring their worker down, and how long after their start
-	backAfter   time.Duration            // how long a worker that was brought down stays away
-	boots       int                      // that were started after a crash
-	clockBehind time.Duration            // how far the clock by which workers say when they start is behind
-	sameID      bool                     // workers say when they start, and start again under their ID
-	zones       zones                    // that workers are in
-	schedule    schedule                 // of the next job that is handed in
-	standDown   func(ctx context.Context, former shard.OwnerRow, newer platform.Row) bool
-	log         sharedLog
-	out         io.Writer // to log
+	wrapRows          func(platform.Rows) platform.Rows
+	wrapWorkers       func(platform.Workers) platform.Workers
+	asked             int // calls for advice
+	limits            []catalog.Account
+	steadyOnly        bool                     // machines that may be suspended have the steady clock only
+	suspendable       map[string]*entryMachine // by entry, of those that may be suspended
+	ownersMu          sync.Mutex               // guards changes of owners
+	owners            map[string]*shard.Owner
+	closed            bool
+	faults            map[string]fake.Fault    // by "op entry" and "op boot entry", with * for any
+	faultTimes        map[string]int           // calls that a fault strikes, 0 and less for all
+	failing           map[string]int           // failures that a task has left
+	crashing          map[string]time.Duration // tasks that bring their worker down, and how long after their start
+	crashRestartDelay time.Duration            // how long a worker that was brought down stays away
+	boots             int                      // that were started after a crash
+	clockBehind       time.Duration            // how far the clock by which workers say when they start is behind
+	sameID            bool                     // workers say when they start, and start again under their ID
+	zones             zones                    // that workers are in
+	schedule          schedule                 // of the next job that is handed in
+	standDown         func(ctx context.Context, former shard.OwnerRow, newer platform.Row) bool
+	log               sharedLog
+	out               io.Writer // to log
 }
 
 // sharedLog is what owners have written, which a test may read while they go on.
@@ -97,14 +97,14 @@
 }
 
 func newEstate(t fataler) *estate {
-	e := &estate{t: t, backAfter: usualBackAfter, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultTimes: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
+	e := &estate{t: t, crashRestartDelay: usualBackAfter, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultTimes: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
 	e.witness = newWitness(e)
 	e.out = &e.log
 	e.rows = fake.NewRows(4*time.Millisecond, 3*time.Second)
 	e.rows.SetFault(func(op fake.RowOp, entry string) fake.Fault { return e.fault("rows", string(op), entry) })
 	e.workers = fake.NewWorkers(time.Millisecond, 3*time.Second, 50*time.Millisecond, e.work, e.witness)
 	e.workers.SetFault(func(op fake.OrderOp, boot, entry string) fake.Fault { return e.fault(string(op), boot, entry) })
-	e.workers.SetCrashed(func(w platform.Worker) { time.AfterFunc(e.backAfter, func() { e.boot(w) }) })
+	e.workers.SetCrashed(func(w platform.Worker) { time.AfterFunc(e.crashRestartDelay, func() { e.boot(w) }) })
 	return e
 }
 
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -25,7 +25,7 @@
 		m := newRestartingMachine(t, plant)
 		e := m.e
 		defer e.close()
-		e.backAfter = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
+		e.crashRestartDelay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
 		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
 		m.mayRuin = rapid.Bool().Draw(t, "crashing tasks")
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -134,7 +134,7 @@
 		if err != nil {
 			e.t.Fatal(err)
 		}
-		e.backAfter = after
+		e.crashRestartDelay = after
 		return ""
 	case "dark":
 		e.workers.SetDark(true)
