--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -18,7 +18,7 @@
 		if e.closed {
 			return
 		}
-		if e.sameID {
+		if e.keepWorkerIDs {
 			id, _ := platform.SplitBoot(w.Boot)
 			w.Boot = platform.BootOf(id, time.Now().UnixMilli())
 			return
@@ -33,7 +33,7 @@
 func (e *estate) addWorker(boot, vm, address, cpu, drift string) string {
 	n, _ := strconv.Atoi(cpu)
 	slow, _ := strconv.ParseFloat(drift, 64)
-	if e.sameID {
+	if e.keepWorkerIDs {
 		boot = platform.BootOf(boot, time.Now().UnixMilli())
 	}
 	w := platform.Worker{Boot: boot, VM: vm, Pool: pool, Address: address, Capacity: platform.Resources{CPU: n, MemoryMB: 1 << 20}}
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -62,7 +62,7 @@
 	crashRestartDelay time.Duration            // how long a worker that was brought down stays away
 	boots             int                      // that were started after a crash
 	clockBehind       time.Duration            // how far the clock by which workers say when they start is behind
-	sameID            bool                     // workers say when they start, and start again under their ID
+	keepWorkerIDs     bool                     // workers say when they start, and start again under their ID
 	zones             zones                    // that workers are in
 	schedule          schedule                 // of the next job that is handed in
 	standDown         func(ctx context.Context, former shard.OwnerRow, newer platform.Row) bool
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -61,7 +61,7 @@
 // newRestartingMachine returns a machine with three workers that keep their IDs when they start again.
 func newRestartingMachine(t *rapid.T, plant func(*estate)) *machine {
 	m := newMachine(t, plant)
-	m.e.sameID = true
+	m.e.keepWorkerIDs = true
 	m.bootAll(3)
 	return m
 }
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -18,7 +18,7 @@
 		m := newMachine(t, plant)
 		e := m.e
 		defer e.close()
-		e.sameID = true
+		e.keepWorkerIDs = true
 		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
 		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
 		m.bootAll(4)
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -140,7 +140,7 @@
 		c := qt.New(t)
 		e := newEstate(t)
 		defer e.close()
-		e.sameID = true
+		e.keepWorkerIDs = true
 		e.addWorker("w1", "w1", "w1", "1500", "0")
 		e.addWorker("w2", "w2", "w2", "2000", "0")
 		c.Assert(e.own("a"), qt.Equals, "term 1\n")
@@ -168,7 +168,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			e := newEstate(t)
 			defer e.close()
-			e.sameID = true
+			e.keepWorkerIDs = true
 			e.addWorker("w1", "w1", "w1", "2000", "0")
 			e.addWorker("w2", "w2", "w2", "100", "0")
 			qt.Assert(t, e.own("a"), qt.Equals, "term 1\n")
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -127,7 +127,7 @@
 		n, out := e.owners[entry].Waiting(queue)
 		return fmt.Sprintf("%s %d\n", out, n)
 	case "same-id":
-		e.sameID = true
+		e.keepWorkerIDs = true
 		return ""
 	case "back":
 		after, err := time.ParseDuration(d.CmdArgs[0].Key)
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -22,7 +22,7 @@
 		c := qt.New(t)
 		e := newEstate(t)
 		defer e.close()
-		e.sameID = true
+		e.keepWorkerIDs = true
 		e.addWorker("w1", "w1", "w1", "2000", "0")
 		e.addWorker("w2", "w2", "w2", "2000", "0")
 		c.Assert(e.own("a"), qt.Equals, "term 1\n")
