--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -35,20 +35,20 @@
 type estate struct {
 	// mu guards what owners and workers read while the test goes on: faults,
 	// failing, listed, machines, asked and the witness.
-	mu       sync.Mutex
-	t        fataler
-	since    time.Time
-	rows     *fake.Rows
-	workers  *fake.Workers
-	witness  *witness
-	listed   []platform.Worker
-	machines []platform.Machine
-	allowed  []string // boots that the advice service allows; the queue has advice if there are any
-	starts   int64    // of entries
+	mu          sync.Mutex
+	t           fataler
+	since       time.Time
+	rows        *fake.Rows
+	workers     *fake.Workers
+	witness     *witness
+	listed      []platform.Worker
+	machines    []platform.Machine
+	allowed     []string // boots that the advice service allows; the queue has advice if there are any
+	entryStarts int64    // of entries
 	// wrapRows and breakWorkers plant faults, to show that they are found.
 	wrapRows          func(platform.Rows) platform.Rows
 	wrapWorkers       func(platform.Workers) platform.Workers
-	asked             int // calls for advice
+	adviceCalls       int // calls for advice
 	limits            []catalog.Account
 	steadyOnly        bool                     // machines that may be suspended have the steady clock only
 	suspendable       map[string]*entryMachine // by entry, of those that may be suspended
@@ -230,7 +230,7 @@
 func (e *estate) Advise(_ context.Context, step string, boots []string) (permits []platform.Permit, valid time.Duration, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked++
+	e.adviceCalls++
 	for _, b := range boots {
 		if slices.Contains(e.allowed, b) {
 			permits = append(permits, platform.Permit{Boot: b, Ticket: step + "@" + b})
@@ -279,9 +279,9 @@
 	if err != nil {
 		return err.Error() + "\n"
 	}
-	e.starts++
+	e.entryStarts++
 	cfg := shard.Config{
-		Pool: pool, Self: shard.Identity{Entry: entry, Start: e.starts, Address: entry},
+		Pool: pool, Self: shard.Identity{Entry: entry, Start: e.entryStarts, Address: entry},
 		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, MaxLease: fake.LongestLease,
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
 		StoreUptime: func() time.Duration { return time.Since(e.since) },
