--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -56,7 +56,7 @@
 	owners            map[string]*shard.Owner
 	closed            bool
 	faults            map[string]fake.Fault    // by "op entry" and "op boot entry", with * for any
-	faultTimes        map[string]int           // calls that a fault strikes, 0 and less for all
+	faultsLeft        map[string]int           // calls that a fault strikes, 0 and less for all
 	failing           map[string]int           // failures that a task has left
 	crashing          map[string]time.Duration // tasks that bring their worker down, and how long after their start
 	crashRestartDelay time.Duration            // how long a worker that was brought down stays away
@@ -97,7 +97,7 @@
 }
 
 func newEstate(t fataler) *estate {
-	e := &estate{t: t, crashRestartDelay: usualBackAfter, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultTimes: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
+	e := &estate{t: t, crashRestartDelay: usualBackAfter, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
 	e.witness = newWitness(e)
 	e.out = &e.log
 	e.rows = fake.NewRows(4*time.Millisecond, 3*time.Second)
@@ -137,7 +137,7 @@
 		if !ok {
 			continue
 		}
-		if e.faultTimes[key]--; e.faultTimes[key] == 0 {
+		if e.faultsLeft[key]--; e.faultsLeft[key] == 0 {
 			delete(e.faults, key)
 		}
 		return f
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -138,7 +138,7 @@
 			go func() { taken <- e.submit("a", "", id, "1x1000/300ms") }()
 			time.Sleep(time.Millisecond)
 			if i == 0 { // its transaction is under way, the next one takes the others
-				e.locked(func() { e.faults["rows commit a"], e.faultTimes["rows commit a"] = fake.FaultRefused, 1 })
+				e.locked(func() { e.faults["rows commit a"], e.faultsLeft["rows commit a"] = fake.FaultRefused, 1 })
 			}
 		}
 		for range 3 {
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -169,7 +169,7 @@
 			if err != nil {
 				e.t.Fatal(err)
 			}
-			e.locked(func() { e.faults[key], e.faultTimes[key] = fake.Fault(kind), times })
+			e.locked(func() { e.faults[key], e.faultsLeft[key] = fake.Fault(kind), times })
 		}
 		return ""
 	case "wait":
