--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -50,7 +50,7 @@
 	wrapWorkers       func(platform.Workers) platform.Workers
 	adviceCalls       int // calls for advice
 	limits            []catalog.Account
-	steadyOnly        bool                     // machines that may be suspended have the steady clock only
+	steadyClockOnly   bool                     // machines that may be suspended have the steady clock only
 	suspendable       map[string]*entryMachine // by entry, of those that may be suspended
 	ownersMu          sync.Mutex               // guards changes of owners
 	owners            map[string]*shard.Owner
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -217,7 +217,7 @@
 func (m *machine) startNextOwner() {
 	m.entries++
 	name := fmt.Sprintf("e%d", m.entries)
-	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyOnly)
+	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyClockOnly)
 	if strings.HasPrefix(m.e.own(name), "term") {
 		m.present = name
 	}
