--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -299,8 +299,8 @@
 // Run implements zerolog.Hook: each line tells when it was written.
 func (e *estate) Run(ev *zerolog.Event, _ zerolog.Level, _ string) { ev.Dur("at", time.Since(e.since)) }
 
-// did writes to the log what a worker did with a task, whoever knows of it.
-func (e *estate) did(what, boot, task string, attempt int64) {
+// logWorkerEvent writes to the log what a worker logWorkerEvent with a task, whoever knows of it.
+func (e *estate) logWorkerEvent(what, boot, task string, attempt int64) {
 	l := zerolog.New(e.out).Hook(e)
 	l.Info().Str("entry", "worker").Str("event", what).Str("boot", boot).Str("task", task).Int64("attempt", attempt).Send()
 }
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -58,7 +58,7 @@
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
 	w.starts++
-	w.estate.did("began", boot, task, attempt)
+	w.estate.logWorkerEvent("began", boot, task, attempt)
 	job, _, _ := strings.Cut(task, ".")
 	if others := w.running[task]; len(others) > 0 && !w.copies[job] {
 		w.breaks("%s attempt %d started at %s while it runs at %s", task, attempt, boot, others)
@@ -135,7 +135,7 @@
 func (w *witness) Ended(boot, task string, attempt int64, reason platform.EndReason) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
-	w.estate.did("ended_"+string(reason), boot, task, attempt)
+	w.estate.logWorkerEvent("ended_"+string(reason), boot, task, attempt)
 	w.running[task] = slices.DeleteFunc(w.running[task], func(b string) bool { return b == boot })
 	switch reason {
 	case platform.EndDone:
@@ -171,7 +171,7 @@
 func (w *witness) Acked(boot, task string, reason platform.EndReason) {
 	w.estate.mu.Lock()
 	defer w.estate.mu.Unlock()
-	w.estate.did("acknowledged_"+string(reason), boot, task, 0)
+	w.estate.logWorkerEvent("acknowledged_"+string(reason), boot, task, 0)
 	switch reason {
 	case platform.EndDone:
 		w.done[task] = true
