--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -129,7 +129,7 @@
 // publish shows the directory to all owners.
 func (e *estate) publish() {
 	listed := e.directory()
-	for _, o := range e.owned() {
+	for _, o := range e.allOwners() {
 		o.SetWorkers(listed)
 	}
 }
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -113,7 +113,7 @@
 
 func (e *estate) close() {
 	e.locked(func() { e.closed = true })
-	for _, o := range e.owned() {
+	for _, o := range e.allOwners() {
 		o.Close()
 	}
 	for _, w := range e.directory() {
@@ -239,8 +239,8 @@
 	return permits, time.Second, nil
 }
 
-// owned returns the owners that there are.
-func (e *estate) owned() []*shard.Owner {
+// allOwners returns the owners that there are.
+func (e *estate) allOwners() []*shard.Owner {
 	e.ownersMu.Lock()
 	defer e.ownersMu.Unlock()
 	var owners []*shard.Owner
@@ -346,7 +346,7 @@
 func (e *estate) limit(account string, cpu int) {
 	e.limits = slices.DeleteFunc(slices.Clone(e.limits), func(a catalog.Account) bool { return a.Name == account })
 	e.limits = append(e.limits, catalog.Account{Name: account, Weight: 1000, Limit: platform.Resources{CPU: cpu}})
-	for _, o := range e.owned() {
+	for _, o := range e.allOwners() {
 		o.SetCatalog(e.catalog())
 	}
 }
