--- a/pkg/shard/calls_test.go
+++ b/pkg/shard/calls_test.go
@@ -23,7 +23,7 @@
 		c := qt.New(t)
 		e := newSlowEstate(t)
 		defer e.close()
-		c.Assert(e.own("a"), qt.Equals, "term 1\n")
+		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
 		outcomes := make(chan string, 2)
 		go func() { outcomes <- e.submit("a", "", "j1", "1x1000/200ms") }()
 		time.Sleep(100 * time.Millisecond)
@@ -42,7 +42,7 @@
 		c := qt.New(t)
 		e := newSlowEstate(t)
 		defer e.close()
-		c.Assert(e.own("a"), qt.Equals, "term 1\n")
+		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
 		outcomes := make(chan string, 20)
 		for _, id := range []string{"j0", "j1", "j2", "j3", "j4", "j5", "j6", "j7", "j8", "j9"} {
 			go func() { outcomes <- e.submit("a", "", id, "1x100/100ms") }()
@@ -65,7 +65,7 @@
 		for _, boot := range []string{"w1", "w2", "w3", "w4"} {
 			e.addWorker(boot, boot, boot, "32000", "0")
 		}
-		c.Assert(e.own("a"), qt.Equals, "term 1\n")
+		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
 		const jobCount = 2400
 		var mu sync.Mutex
 		accepted := map[string]bool{}
@@ -84,7 +84,7 @@
 		took := time.Since(started)
 		delete(e.owners, "a")
 		c.Check(took < 200*time.Millisecond, qt.IsTrue, qt.Commentf("took %v", took))
-		c.Assert(e.own("b"), qt.Equals, "term 2\n")
+		c.Assert(e.startOwner("b"), qt.Equals, "term 2\n")
 		time.Sleep(5 * time.Second)
 		c.Assert(accepted, qt.HasLen, jobCount)
 		taken := 0
--- a/pkg/shard/dispatch_test.go
+++ b/pkg/shard/dispatch_test.go
@@ -45,7 +45,7 @@
 			return counted
 		}
 		e.addWorker("w1", "w1", "w1", "20000", "0")
-		e.own("a")
+		e.startOwner("a")
 		e.submit("a", "", "j1", "20x1000/1s")
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -261,7 +261,7 @@
 	e.owners[entry] = o
 }
 
-func (e *estate) own(entry string) string {
+func (e *estate) startOwner(entry string) string {
 	rows, workers := e.rows.As(entry), e.workers.As(entry)
 	if e.wrapRows != nil {
 		rows = e.wrapRows(rows)
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -73,7 +73,7 @@
 			return link
 		}
 		e.addWorkers(60, "8000")
-		e.own("a")
+		e.startOwner("a")
 		time.Sleep(3 * time.Second)
 		for i := range 200 {
 			go e.submit("a", "", fmt.Sprintf("%016x", i), "8x1000/800ms")
@@ -141,7 +141,7 @@
 			return rack
 		}
 		e.addWorkers(24, "8000")
-		e.own("a")
+		e.startOwner("a")
 		time.Sleep(3 * time.Second)
 		rack.mu.Lock()
 		for i := range 12 {
--- a/pkg/shard/load_bench_test.go
+++ b/pkg/shard/load_bench_test.go
@@ -36,7 +36,7 @@
 		e.limits = append(e.limits, catalog.Account{Name: name, Weight: 1000, Limit: platform.Resources{CPU: 1 << 30, MemoryMB: 1 << 30}})
 		shares[name] = 1
 	}
-	e.own("a")
+	e.startOwner("a")
 	e.owners["a"].TakeGrant(allowance.Grant{Term: 1, Seq: 1, Shares: shares})
 	time.Sleep(time.Second)
 	for i := range 510 {
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -218,7 +218,7 @@
 	m.entries++
 	name := fmt.Sprintf("e%d", m.entries)
 	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyClockOnly)
-	if strings.HasPrefix(m.e.own(name), "term") {
+	if strings.HasPrefix(m.e.startOwner(name), "term") {
 		m.present = name
 	}
 }
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -20,7 +20,7 @@
 		e := newEstate(t)
 		defer e.close()
 		e.addWorker("w1", "w1", "w1", "1000", "0")
-		qt.Assert(t, e.own("a"), qt.Equals, "term 1\n")
+		qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
 		time.Sleep(time.Second)
 		qt.Assert(t, e.submit("a", "", "j1", "1x1000/100ms 1x1000/100ms<0"), qt.Equals, "ok\n")
 		time.Sleep(10 * time.Millisecond) // the first task has begun
@@ -31,7 +31,7 @@
 		})
 		set(e)
 		from := time.Now()
-		qt.Assert(t, e.own("b"), qt.Equals, "term 2\n")
+		qt.Assert(t, e.startOwner("b"), qt.Equals, "term 2\n")
 		for after = time.Since(from); after < 5*time.Second && e.begun() < 2; after = time.Since(from) {
 			time.Sleep(time.Millisecond)
 		}
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -23,7 +23,7 @@
 func ownedEstate(t *testing.T) *estate {
 	e := newEstate(t)
 	e.addWorker("w1", "w1", "w1", "4000", "0")
-	qt.Assert(t, e.own("a"), qt.Equals, "term 1\n")
+	qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
 	time.Sleep(time.Second)
 	return e
 }
@@ -72,7 +72,7 @@
 			e.machines = append(e.machines, platform.Machine{VM: vm, Worker: vm, Pool: pool, State: platform.MachineUp})
 		}
 		e.addWorker("w2", "w2", "w2", "4000", "0")
-		c.Assert(e.own("b"), qt.Equals, "term 2\n")
+		c.Assert(e.startOwner("b"), qt.Equals, "term 2\n")
 		time.Sleep(30 * time.Second)
 		c.Check(e.witness.promises(), qt.Equals, "kept\n")
 		c.Check(e.workers.Running("w2"), qt.HasLen, 1)
@@ -172,7 +172,7 @@
 			{RowKey: platform.RowKey{Table: "job", Partition: pool, Key: "wide"}, Value: raw},
 		}})
 		c.Assert(err, qt.IsNil)
-		c.Assert(e.own("b"), qt.Equals, "term 2\n")
+		c.Assert(e.startOwner("b"), qt.Equals, "term 2\n")
 		time.Sleep(10 * time.Second)
 		c.Check(e.stateOf("b", "j1"), qt.Equals, "ok completed")
 		c.Check(e.stateOf("b", "wide"), qt.Equals, "unknown")
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -143,7 +143,7 @@
 		e.keepWorkerIDs = true
 		e.addWorker("w1", "w1", "w1", "1500", "0")
 		e.addWorker("w2", "w2", "w2", "2000", "0")
-		c.Assert(e.own("a"), qt.Equals, "term 1\n")
+		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
 		time.Sleep(time.Second)
 		c.Assert(e.submit("a", "", "j1", "3x500/50ms 1x2000/200ms 6x500/20ms<1"), qt.Equals, "ok\n")
 		e.rows.SetLatency(300 * time.Millisecond)
@@ -171,7 +171,7 @@
 			e.keepWorkerIDs = true
 			e.addWorker("w1", "w1", "w1", "2000", "0")
 			e.addWorker("w2", "w2", "w2", "100", "0")
-			qt.Assert(t, e.own("a"), qt.Equals, "term 1\n")
+			qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
 			time.Sleep(time.Second)
 			go func() {
 				time.Sleep(at)
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -105,7 +105,7 @@
 		e.suspendable[entry].wake()
 		return ""
 	case "own":
-		return e.own(entry)
+		return e.startOwner(entry)
 	case "kill":
 		e.owners[entry].Close()
 		e.setOwner(entry, nil)
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -43,7 +43,7 @@
 	e := newEstate(t)
 	defer e.close()
 	e.addWorkers(stormWorkers, "32000")
-	e.own("a")
+	e.startOwner("a")
 	time.Sleep(time.Second)
 	plan := planStorm(e, rnd, crashers)
 	start := time.Now()
@@ -61,7 +61,7 @@
 			e.owners["a"].Close()
 			e.setOwner("a", nil)
 			owner = "b"
-			e.own("b")
+			e.startOwner("b")
 		}
 		for id, s := range open {
 			state, _ := e.owners[owner].State(id, shard.Asker{Operator: true})
