--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -22,7 +22,7 @@
 		e := m.e
 		defer e.close()
 		m.bootAll(4)
-		e.crashRestartDelay = rapid.SampledFrom([]time.Duration{time.Second, usualBackAfter, 6 * time.Second}).Draw(t, "back after")
+		e.crashRestartDelay = rapid.SampledFrom([]time.Duration{time.Second, defaultCrashRestartDelay, 6 * time.Second}).Draw(t, "back after")
 		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
 		for range rapid.IntRange(1, 2).Draw(t, "crashing") {
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -97,7 +97,7 @@
 }
 
 func newEstate(t fataler) *estate {
-	e := &estate{t: t, crashRestartDelay: usualBackAfter, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
+	e := &estate{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
 	e.witness = newWitness(e)
 	e.out = &e.log
 	e.rows = fake.NewRows(4*time.Millisecond, 3*time.Second)
@@ -108,8 +108,8 @@
 	return e
 }
 
-// usualBackAfter is how long a worker that was brought down stays away.
-const usualBackAfter = 3 * time.Second
+// defaultCrashRestartDelay is how long a worker that was brought down stays away.
+const defaultCrashRestartDelay = 3 * time.Second
 
 func (e *estate) close() {
 	e.locked(func() { e.closed = true })
