--- a/pkg/shard/calls_test.go
+++ b/pkg/shard/calls_test.go
@@ -60,7 +60,7 @@
 func TestHandoverUnderLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		for _, boot := range []string{"w1", "w2", "w3", "w4"} {
 			e.addWorker(boot, boot, boot, "32000", "0")
@@ -103,7 +103,7 @@
 // newSlowEstate has one worker, and a table service that takes half a second for
 // each transaction.
 func newSlowEstate(t *testing.T) *estate {
-	e := newEstate(t)
+	e := newTestCluster(t)
 	e.rows = fake.NewRows(500*time.Millisecond, time.Second)
 	e.addWorker("w1", "w1", "w1", "2000", "0")
 	return e
--- a/pkg/shard/dispatch_test.go
+++ b/pkg/shard/dispatch_test.go
@@ -37,7 +37,7 @@
 // it, over as many connections. All twenty went at once.
 func TestOrdersInTurn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		counted := &countingWorkers{}
 		e.wrapWorkers = func(w platform.Workers) platform.Workers {
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -96,7 +96,7 @@
 	Fatalf(format string, args ...any)
 }
 
-func newEstate(t fataler) *estate {
+func newTestCluster(t fataler) *estate {
 	e := &estate{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
 	e.witness = newWitness(e)
 	e.out = &e.log
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -65,7 +65,7 @@
 func TestOwnerAtItsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		link := &narrowLink{cost: 6600 * time.Microsecond}
 		e.wrapWorkers = func(w platform.Workers) platform.Workers {
@@ -133,7 +133,7 @@
 func TestDarkRackIsNoLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		rack := &darkRack{dark: map[string]bool{}}
 		e.wrapWorkers = func(w platform.Workers) platform.Workers {
--- a/pkg/shard/load_bench_test.go
+++ b/pkg/shard/load_bench_test.go
@@ -27,7 +27,7 @@
 }
 
 func busyOwner(b *testing.B, accounts int) {
-	e := newEstate(b)
+	e := newTestCluster(b)
 	defer e.close()
 	e.addWorkers(250, "32000")
 	shares := map[string]float64{}
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -48,7 +48,7 @@
 // newMachine returns a machine over an estate of its own, in which plant, unless it is nil,
 // breaks something.
 func newMachine(t *rapid.T, plant func(*estate)) *machine {
-	e := newEstate(t)
+	e := newTestCluster(t)
 	spread := fake.NewSpread(*salt)
 	e.rows.SetSpread(spread)
 	e.workers.SetSpread(spread)
--- a/pkg/shard/many_test.go
+++ b/pkg/shard/many_test.go
@@ -36,7 +36,7 @@
 	const workers = 3000
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		e.addMany(workers)
 		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -17,7 +17,7 @@
 // predecessor that goes on.
 func handover(t *testing.T, set func(*estate)) (after time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		e.addWorker("w1", "w1", "w1", "1000", "0")
 		qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -21,7 +21,7 @@
 
 // ownedEstate is a deployment with one worker, w1, and an owner, a, that has heard it.
 func ownedEstate(t *testing.T) *estate {
-	e := newEstate(t)
+	e := newTestCluster(t)
 	e.addWorker("w1", "w1", "w1", "4000", "0")
 	qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
 	time.Sleep(time.Second)
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -138,7 +138,7 @@
 func TestStartReachesNextBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		e.keepWorkerIDs = true
 		e.addWorker("w1", "w1", "w1", "1500", "0")
@@ -166,7 +166,7 @@
 func TestStartInFirstMillisecond(t *testing.T) {
 	for at := 50 * time.Millisecond; at < 75*time.Millisecond; at += 100 * time.Microsecond {
 		synctest.Test(t, func(t *testing.T) {
-			e := newEstate(t)
+			e := newTestCluster(t)
 			defer e.close()
 			e.keepWorkerIDs = true
 			e.addWorker("w1", "w1", "w1", "2000", "0")
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -22,7 +22,7 @@
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		synctest.Test(t, func(t *testing.T) {
-			e := newEstate(t)
+			e := newTestCluster(t)
 			defer e.close()
 			datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string { return e.run(d) })
 		})
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -40,7 +40,7 @@
 // runStorm plays one; replaced is when another entry takes the shard over, 0 for never.
 func runStorm(t fataler, seed uint64, crashers int, replaced time.Duration) (got stormResult) {
 	rnd := rand.New(rand.NewPCG(seed, seed))
-	e := newEstate(t)
+	e := newTestCluster(t)
 	defer e.close()
 	e.addWorkers(stormWorkers, "32000")
 	e.startOwner("a")
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -20,7 +20,7 @@
 func TestReplacedOwnerAtNextBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newEstate(t)
+		e := newTestCluster(t)
 		defer e.close()
 		e.keepWorkerIDs = true
 		e.addWorker("w1", "w1", "w1", "2000", "0")
