--- a/pkg/shard/calls_test.go
+++ b/pkg/shard/calls_test.go
@@ -102,7 +102,7 @@
 
 // newSlowEstate has one worker, and a table service that takes half a second for
 // each transaction.
-func newSlowEstate(t *testing.T) *estate {
+func newSlowEstate(t *testing.T) *testCluster {
 	e := newTestCluster(t)
 	e.rows = fake.NewRows(500*time.Millisecond, time.Second)
 	e.addWorker("w1", "w1", "w1", "2000", "0")
--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -16,7 +16,7 @@
 
 // crashes plays jobs with crashing tasks among others while the owner is replaced again and
 // again, and orders and transactions are lost or late.
-func crashes(plant func(*estate)) func(*rapid.T) {
+func crashes(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -47,7 +47,7 @@
 // TestCrashesFindsPlanted shows that it finds an owner that does not know what former ones
 // have counted.
 func TestCrashesFindsPlanted(t *testing.T) {
-	plant := func(e *estate) {
+	plant := func(e *testCluster) {
 		e.wrapRows = func(r platform.Rows) platform.Rows { return lossless{r} }
 	}
 	qt.Assert(t, prop.Finds(t, crashes(plant)), qt.IsTrue)
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -13,7 +13,7 @@
 // The workers of an estate, and the directory that lists them.
 
 // boot starts the next boot of a worker that was brought down.
-func (e *estate) boot(w platform.Worker) {
+func (e *testCluster) boot(w platform.Worker) {
 	e.locked(func() {
 		if e.closed {
 			return
@@ -30,7 +30,7 @@
 	e.start(w, 0)
 }
 
-func (e *estate) addWorker(boot, vm, address, cpu, drift string) string {
+func (e *testCluster) addWorker(boot, vm, address, cpu, drift string) string {
 	n, _ := strconv.Atoi(cpu)
 	slow, _ := strconv.ParseFloat(drift, 64)
 	if e.keepWorkerIDs {
@@ -42,14 +42,14 @@
 }
 
 // start boots a worker and lists it in place of the one that its VM had.
-func (e *estate) start(w platform.Worker, drift float64) {
+func (e *testCluster) start(w platform.Worker, drift float64) {
 	w.Zone = e.zones.of(w.VM)
 	e.workers.Boot(w, drift)
 	e.list(w)
 }
 
 // list lists a worker in place of the one that its VM had.
-func (e *estate) list(w platform.Worker) {
+func (e *testCluster) list(w platform.Worker) {
 	e.locked(func() {
 		e.listed = slices.DeleteFunc(slices.Clone(e.listed), func(o platform.Worker) bool { return o.VM == w.VM })
 		e.listed = append(e.listed, w)
@@ -59,7 +59,7 @@
 
 // restart has a worker of the directory end and start again under its ID, at its address. Its
 // connections are closed, or fall silent; its row follows after listAfter.
-func (e *estate) restart(id string, silent bool, listAfter time.Duration) {
+func (e *testCluster) restart(id string, silent bool, listAfter time.Duration) {
 	listed := e.directory()
 	at := slices.IndexFunc(listed, func(w platform.Worker) bool { return isWorker(w, id) })
 	if at < 0 {
@@ -81,7 +81,7 @@
 }
 
 // relistRestarted lists a boot that has started again, unless it has ended meanwhile.
-func (e *estate) relistRestarted(w platform.Worker) {
+func (e *testCluster) relistRestarted(w platform.Worker) {
 	id, _ := platform.SplitBoot(w.Boot)
 	if e.workers.Present(id) == w.Boot {
 		e.list(w)
@@ -89,7 +89,7 @@
 }
 
 // addWorkers adds n workers alike, w0 and so on.
-func (e *estate) addWorkers(n int, cpu string) {
+func (e *testCluster) addWorkers(n int, cpu string) {
 	for i := range n {
 		name := fmt.Sprintf("w%d", i)
 		e.addWorker(name, name, name, cpu, "0")
@@ -98,7 +98,7 @@
 
 // relist puts the row of an ended boot in place of the present one of its VM, as
 // a directory that is out of date does.
-func (e *estate) relist(boot, vm, address string) string {
+func (e *testCluster) relist(boot, vm, address string) string {
 	e.locked(func() {
 		e.listed = slices.DeleteFunc(slices.Clone(e.listed), func(w platform.Worker) bool { return w.VM == vm })
 		e.listed = append(e.listed, platform.Worker{Boot: boot, VM: vm, Pool: pool, Address: address, Capacity: platform.Resources{CPU: 1}})
@@ -110,7 +110,7 @@
 const heartbeat = 1500 * time.Millisecond
 
 // resize changes what a worker has room for; the directory tells of it with the next heartbeat.
-func (e *estate) resize(boot string, cpu int) {
+func (e *testCluster) resize(boot string, cpu int) {
 	room := platform.Resources{CPU: cpu, MemoryMB: 1 << 20}
 	e.workers.SetRoom(boot, room)
 	time.AfterFunc(heartbeat, func() {
@@ -127,7 +127,7 @@
 }
 
 // publish shows the directory to all owners.
-func (e *estate) publish() {
+func (e *testCluster) publish() {
 	listed := e.directory()
 	for _, o := range e.allOwners() {
 		o.SetWorkers(listed)
@@ -135,7 +135,7 @@
 }
 
 // directory returns the boots that are listed.
-func (e *estate) directory() (listed []platform.Worker) {
+func (e *testCluster) directory() (listed []platform.Worker) {
 	e.locked(func() { listed = e.listed })
 	return listed
 }
--- a/pkg/shard/estate_test.go
+++ b/pkg/shard/estate_test.go
@@ -31,8 +31,8 @@
 	maxAttempts = 3
 )
 
-// estate is a deployment of one pool in virtual time.
-type estate struct {
+// testCluster is a deployment of one pool in virtual time.
+type testCluster struct {
 	// mu guards what owners and workers read while the test goes on: faults,
 	// failing, listed, machines, asked and the witness.
 	mu          sync.Mutex
@@ -96,8 +96,8 @@
 	Fatalf(format string, args ...any)
 }
 
-func newTestCluster(t fataler) *estate {
-	e := &estate{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
+func newTestCluster(t fataler) *testCluster {
+	e := &testCluster{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
 	e.witness = newWitness(e)
 	e.out = &e.log
 	e.rows = fake.NewRows(4*time.Millisecond, 3*time.Second)
@@ -111,7 +111,7 @@
 // defaultCrashRestartDelay is how long a worker that was brought down stays away.
 const defaultCrashRestartDelay = 3 * time.Second
 
-func (e *estate) close() {
+func (e *testCluster) close() {
 	e.locked(func() { e.closed = true })
 	for _, o := range e.allOwners() {
 		o.Close()
@@ -122,14 +122,14 @@
 }
 
 // locked runs f while owners and workers wait.
-func (e *estate) locked(f func()) {
+func (e *testCluster) locked(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
 }
 
 // fault looks for the most particular fault that was set.
-func (e *estate) fault(op, what, entry string) fake.Fault {
+func (e *testCluster) fault(op, what, entry string) fake.Fault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, key := range []string{op + " " + what + " " + entry, op + " " + what + " *", op + " * " + entry, op + " * *"} {
@@ -146,7 +146,7 @@
 }
 
 // work reads what a task does from the job's text, "COUNTxCPU/DURATION" for each step.
-func (e *estate) work(task, text string) fake.Work {
+func (e *testCluster) work(task, text string) fake.Work {
 	step, _ := strconv.Atoi(strings.Split(task, ".")[2])
 	st, duration := parseStep(strings.Fields(text)[step])
 	w := fake.Work{Needs: st.Needs, Duration: duration}
@@ -192,7 +192,7 @@
 	return st, duration
 }
 
-func (e *estate) catalog() *catalog.Catalog {
+func (e *testCluster) catalog() *catalog.Catalog {
 	return catalog.New(catalog.Catalog{
 		Version: 1,
 		Queues:  []catalog.Queue{{Name: queue, Pool: pool, MaxAttempts: maxAttempts, Stretch: 2, TargetLatency: time.Second, Advice: len(e.allowed) > 0}},
@@ -203,7 +203,7 @@
 }
 
 // ListMachines implements platform.Machines; a script that sets no machine gets those of the directory.
-func (e *estate) ListMachines(context.Context) (list []platform.Machine, err error) {
+func (e *testCluster) ListMachines(context.Context) (list []platform.Machine, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.machines != nil {
@@ -217,17 +217,17 @@
 }
 
 // MoveMachine implements platform.Machines; owners of shards move nothing.
-func (e *estate) MoveMachine(context.Context, string, string, platform.Holder) error {
+func (e *testCluster) MoveMachine(context.Context, string, string, platform.Holder) error {
 	return errors.New("not expected")
 }
 
 // MaintainMachine implements platform.Machines; owners of shards maintain nothing.
-func (e *estate) MaintainMachine(context.Context, string, int, platform.Holder) error {
+func (e *testCluster) MaintainMachine(context.Context, string, int, platform.Holder) error {
 	return errors.New("not expected")
 }
 
 // Advise implements platform.Adviser.
-func (e *estate) Advise(_ context.Context, step string, boots []string) (permits []platform.Permit, valid time.Duration, err error) {
+func (e *testCluster) Advise(_ context.Context, step string, boots []string) (permits []platform.Permit, valid time.Duration, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.adviceCalls++
@@ -240,7 +240,7 @@
 }
 
 // allOwners returns the owners that there are.
-func (e *estate) allOwners() []*shard.Owner {
+func (e *testCluster) allOwners() []*shard.Owner {
 	e.ownersMu.Lock()
 	defer e.ownersMu.Unlock()
 	var owners []*shard.Owner
@@ -251,7 +251,7 @@
 }
 
 // setOwner notes the owner that an entry has become, nil for none.
-func (e *estate) setOwner(entry string, o *shard.Owner) {
+func (e *testCluster) setOwner(entry string, o *shard.Owner) {
 	e.ownersMu.Lock()
 	defer e.ownersMu.Unlock()
 	if o == nil {
@@ -261,7 +261,7 @@
 	e.owners[entry] = o
 }
 
-func (e *estate) startOwner(entry string) string {
+func (e *testCluster) startOwner(entry string) string {
 	rows, workers := e.rows.As(entry), e.workers.As(entry)
 	if e.wrapRows != nil {
 		rows = e.wrapRows(rows)
@@ -297,16 +297,18 @@
 }
 
 // Run implements zerolog.Hook: each line tells when it was written.
-func (e *estate) Run(ev *zerolog.Event, _ zerolog.Level, _ string) { ev.Dur("at", time.Since(e.since)) }
+func (e *testCluster) Run(ev *zerolog.Event, _ zerolog.Level, _ string) {
+	ev.Dur("at", time.Since(e.since))
+}
 
 // logWorkerEvent writes to the log what a worker logWorkerEvent with a task, whoever knows of it.
-func (e *estate) logWorkerEvent(what, boot, task string, attempt int64) {
+func (e *testCluster) logWorkerEvent(what, boot, task string, attempt int64) {
 	l := zerolog.New(e.out).Hook(e)
 	l.Info().Str("entry", "worker").Str("event", what).Str("boot", boot).Str("task", task).Int64("attempt", attempt).Send()
 }
 
 // hasEnded tells whether the owner in a row has ended: its entry owns nothing.
-func (e *estate) hasEnded(row shard.OwnerRow) bool {
+func (e *testCluster) hasEnded(row shard.OwnerRow) bool {
 	e.ownersMu.Lock()
 	defer e.ownersMu.Unlock()
 	return e.owners[row.Entry] == nil
@@ -318,7 +320,7 @@
 	interval time.Duration
 }
 
-func (e *estate) submit(entry, account, id, text string) string {
+func (e *testCluster) submit(entry, account, id, text string) string {
 	spec := jobs.Spec{Text: text, Times: e.schedule.times, Interval: e.schedule.interval}
 	if spec.Times > 0 {
 		spec.FirstDue = time.Duration(time.Now().UnixNano()) + spec.Interval
@@ -343,7 +345,7 @@
 
 // limit gives an account a limit on its processors, in thousandths of a core; what the
 // witness allows is set apart, since shares may be lower.
-func (e *estate) limit(account string, cpu int) {
+func (e *testCluster) limit(account string, cpu int) {
 	e.limits = slices.DeleteFunc(slices.Clone(e.limits), func(a catalog.Account) bool { return a.Name == account })
 	e.limits = append(e.limits, catalog.Account{Name: account, Weight: 1000, Limit: platform.Resources{CPU: cpu}})
 	for _, o := range e.allOwners() {
@@ -352,7 +354,7 @@
 }
 
 // grant gives an owner a share of an account's limit, as the holder of a term does.
-func (e *estate) grant(entry string, term, seq int64, account string, share float64) {
+func (e *testCluster) grant(entry string, term, seq int64, account string, share float64) {
 	e.owners[entry].TakeGrant(allowance.Grant{Term: term, Seq: seq, Shares: map[string]float64{account: share}})
 }
 
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -30,7 +30,7 @@
 // machine draws what happens to an owner and its workers.
 type machine struct {
 	t        *rapid.T
-	e        *estate
+	e        *testCluster
 	present  string // the entry that owns the shard
 	accepted map[string]bool
 	jobs     int
@@ -47,7 +47,7 @@
 
 // newMachine returns a machine over an estate of its own, in which plant, unless it is nil,
 // breaks something.
-func newMachine(t *rapid.T, plant func(*estate)) *machine {
+func newMachine(t *rapid.T, plant func(*testCluster)) *machine {
 	e := newTestCluster(t)
 	spread := fake.NewSpread(*salt)
 	e.rows.SetSpread(spread)
@@ -59,7 +59,7 @@
 }
 
 // newRestartingMachine returns a machine with three workers that keep their IDs when they start again.
-func newRestartingMachine(t *rapid.T, plant func(*estate)) *machine {
+func newRestartingMachine(t *rapid.T, plant func(*testCluster)) *machine {
 	m := newMachine(t, plant)
 	m.e.keepWorkerIDs = true
 	m.bootAll(3)
@@ -67,7 +67,7 @@
 }
 
 // property plays one drawn course of events and holds the promises against it.
-func property(plant func(*estate)) func(*rapid.T) {
+func property(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -339,17 +339,17 @@
 // not fenced, one that acknowledges ends before they are kept, and one whose
 // transactions have no preconditions.
 func TestOwnerFindsPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*estate){
-		"orders without fencing": func(e *estate) {
+	for name, plant := range map[string]func(*testCluster){
+		"orders without fencing": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
-		"ends acknowledged too early": func(e *estate) {
+		"ends acknowledged too early": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return &hasty{Workers: w, last: map[string]int64{}} }
 		},
-		"transactions without preconditions": func(e *estate) {
+		"transactions without preconditions": func(e *testCluster) {
 			e.wrapRows = func(r platform.Rows) platform.Rows { return unconditional{r} }
 		},
-		"shares forgotten at a takeover": func(e *estate) {
+		"shares forgotten at a takeover": func(e *testCluster) {
 			e.wrapRows = func(r platform.Rows) platform.Rows { return forgetful{r} }
 		},
 	} {
--- a/pkg/shard/many_test.go
+++ b/pkg/shard/many_test.go
@@ -16,7 +16,7 @@
 )
 
 // addMany lists n workers at once.
-func (e *estate) addMany(n int) {
+func (e *testCluster) addMany(n int) {
 	var all []platform.Worker
 	for i := range n {
 		name := fmt.Sprintf("i-%010d", i)
@@ -62,7 +62,7 @@
 }
 
 // runningAnywhere counts the tasks that run.
-func (e *estate) runningAnywhere() (n int) {
+func (e *testCluster) runningAnywhere() (n int) {
 	for _, w := range e.directory() {
 		n += len(e.workers.Running(w.Boot))
 	}
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -13,7 +13,7 @@
 // mixed plays all troubles together: workers that start again under their IDs, crash for good or
 // change their room, crashing tasks, calls that are lost or late, owners that are closed, hand over,
 // are usurped or suspended. Lists are whole: of a start without an answer one list tells.
-func mixed(plant func(*estate)) func(*rapid.T) {
+func mixed(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -41,14 +41,14 @@
 
 // TestMixedFindsPlanted shows that it finds owners that count on what some of the troubles take away.
 func TestMixedFindsPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*estate){
-		"orders without fencing": func(e *estate) {
+	for name, plant := range map[string]func(*testCluster){
+		"orders without fencing": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
-		"boots are not told apart": func(e *estate) {
+		"boots are not told apart": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
 		},
-		"losses forgotten at a takeover": func(e *estate) {
+		"losses forgotten at a takeover": func(e *testCluster) {
 			e.wrapRows = func(r platform.Rows) platform.Rows { return lossless{r} }
 		},
 	} {
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -15,7 +15,7 @@
 
 // handover is how long after a takeover a task starts that was waiting before it, beside a
 // predecessor that goes on.
-func handover(t *testing.T, set func(*estate)) (after time.Duration) {
+func handover(t *testing.T, set func(*testCluster)) (after time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestCluster(t)
 		defer e.close()
@@ -42,7 +42,7 @@
 }
 
 // begun is how many tasks were started so far.
-func (e *estate) begun() (n int) {
+func (e *testCluster) begun() (n int) {
 	e.locked(func() { n = e.witness.starts })
 	return n
 }
@@ -52,15 +52,15 @@
 // has ended, or stands down when it is told to.
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
-	inSilence := handover(t, func(*estate) {})
+	inSilence := handover(t, func(*testCluster) {})
 	c.Check(inSilence > shard.ConfirmedFor, qt.IsTrue, qt.Commentf("%s", inSilence))
 	c.Check(inSilence < 1600*time.Millisecond, qt.IsTrue, qt.Commentf("%s", inSilence))
-	ended := handover(t, func(e *estate) {
+	ended := handover(t, func(e *testCluster) {
 		e.owners["a"].Close()
 		e.setOwner("a", nil)
 	})
 	c.Check(ended < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%s", ended))
-	told := handover(t, func(e *estate) {
+	told := handover(t, func(e *testCluster) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool {
 			e.owners["a"].Close()
 			return true
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -20,7 +20,7 @@
 )
 
 // ownedEstate is a deployment with one worker, w1, and an owner, a, that has heard it.
-func ownedEstate(t *testing.T) *estate {
+func ownedEstate(t *testing.T) *testCluster {
 	e := newTestCluster(t)
 	e.addWorker("w1", "w1", "w1", "4000", "0")
 	qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
@@ -29,7 +29,7 @@
 }
 
 // stateOf is the state of a job as an owner tells it.
-func (e *estate) stateOf(entry, id string) string {
+func (e *testCluster) stateOf(entry, id string) string {
 	return strings.TrimSpace(e.state(entry, id, shard.Asker{Operator: true}))
 }
 
@@ -99,7 +99,7 @@
 func TestPartsFindPlanted(t *testing.T) {
 	for name, hidden := range map[string]int{"no parts": 64, "all but the first": 1} {
 		t.Run(name, func(t *testing.T) {
-			plant := func(e *estate) {
+			plant := func(e *testCluster) {
 				e.wrapRows = func(r platform.Rows) platform.Rows { return partless{Rows: r, hidden: hidden} }
 			}
 			qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue)
--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -22,7 +22,7 @@
 // goroutines that one event wakes run on several processors; maps are gone through in any order.
 // Courses have to repeat to the line of the owners' logs.
 func TestCoursesRepeat(t *testing.T) {
-	for name, course := range map[string]func(func(*estate)) func(*rapid.T){
+	for name, course := range map[string]func(func(*testCluster)) func(*rapid.T){
 		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": incompleteLists,
 		"mixed": mixed, "rivals": rivals, "evacuations": evacuations,
 	} {
@@ -43,9 +43,9 @@
 }
 
 // scenarioLog is what the owners of a course log, the first time that it is played.
-func scenarioLog(t *testing.T, seed uint64, course func(func(*estate)) func(*rapid.T)) string {
-	var first *estate
-	prop.Play(t, seed, course(func(e *estate) {
+func scenarioLog(t *testing.T, seed uint64, course func(func(*testCluster)) func(*rapid.T)) string {
+	var first *testCluster
+	prop.Play(t, seed, course(func(e *testCluster) {
 		if first == nil {
 			first = e
 		}
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -20,7 +20,7 @@
 // restarts plays workers that start again under the ID that they had, with work on them or
 // without, while tasks as short as a look takes are started, some of which bring their worker
 // down, orders are lost or late, and the owner is replaced.
-func restarts(plant func(*estate)) func(*rapid.T) {
+func restarts(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartingMachine(t, plant)
 		e := m.e
@@ -92,11 +92,11 @@
 // TestRestartsFindsPlanted shows that it finds an owner that can't tell the boots of a worker
 // apart, and one that goes on with the numbers of ends of an earlier boot.
 func TestRestartsFindsPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*estate){
-		"boots are not told apart": func(e *estate) {
+	for name, plant := range map[string]func(*testCluster){
+		"boots are not told apart": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
 		},
-		"numbers of ends outlive their boot": func(e *estate) {
+		"numbers of ends outlive their boot": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers {
 				return &forgetless{Workers: w, acked: map[string]int64{}}
 			}
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -16,7 +16,7 @@
 // rivals has a shard taken over, with tasks about to start, from an owner that goes on, and a worker
 // that starts again right after that, sometimes while the successor's looks are lost: for some time
 // both owners are there, and that worker has seen neither's token.
-func rivals(plant func(*estate)) func(*rapid.T) {
+func rivals(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartingMachine(t, plant)
 		e := m.e
@@ -53,7 +53,7 @@
 
 // TestRivalsFindsPlanted shows that it finds an owner that does not wait for its predecessor's right.
 func TestRivalsFindsPlanted(t *testing.T) {
-	plant := func(e *estate) {
+	plant := func(e *testCluster) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool { return true }
 	}
 	qt.Assert(t, prop.Finds(t, rivals(plant)), qt.IsTrue)
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-func (e *estate) run(d *datadriven.TestData) string {
+func (e *testCluster) run(d *datadriven.TestData) string {
 	arg := func(key, other string) string {
 		for _, a := range d.CmdArgs {
 			if a.Key == key && len(a.Vals) > 0 {
@@ -232,13 +232,13 @@
 }
 
 // state is what an owner tells of a job.
-func (e *estate) state(entry, id string, by shard.Asker) string {
+func (e *testCluster) state(entry, id string, by shard.Asker) string {
 	state, out := e.owners[entry].State(id, by)
 	return fmt.Sprintf("%s %s\n", out, state)
 }
 
 // accounts says what an owner reports of client accounts.
-func (e *estate) accounts(entry string) string {
+func (e *testCluster) accounts(entry string) string {
 	l, ok := e.owners[entry].Load(true)
 	if !ok {
 		return "not known\n"
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -11,7 +11,7 @@
 // incompleteLists plays workers whose lists lack an entry now and then, each once at most, while
 // the owner is replaced and workers start again. Starts are answered: what became of one that was
 // not is told by one list.
-func incompleteLists(plant func(*estate)) func(*rapid.T) {
+func incompleteLists(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartingMachine(t, plant)
 		e := m.e
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -109,7 +109,7 @@
 }
 
 // planStorm returns the jobs in the order in which they come.
-func planStorm(e *estate, rnd *rand.Rand, crashers int) (plan []stormJob) {
+func planStorm(e *testCluster, rnd *rand.Rand, crashers int) (plan []stormJob) {
 	for i := range stormJobs {
 		at := time.Duration(i) * stormSubmitTime / stormJobs
 		plan = append(plan, stormJob{at: at, id: fmt.Sprintf("a%015x", i), text: "6x2300/640ms 6x2300/640ms<0", kind: ordinary})
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -118,7 +118,7 @@
 
 // dozes suspends owners of a pool in which tasks wait for room, while others take the shard
 // over that do not reach all of its workers.
-func dozes(plant func(*estate)) func(*rapid.T) {
+func dozes(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -149,5 +149,5 @@
 
 // TestSuspendedFindsPlanted shows that it finds owners that know the steady clock only.
 func TestSuspendedFindsPlanted(t *testing.T) {
-	qt.Assert(t, prop.Finds(t, dozes(func(e *estate) { e.steadyClockOnly = true })), qt.IsTrue)
+	qt.Assert(t, prop.Finds(t, dozes(func(e *testCluster) { e.steadyClockOnly = true })), qt.IsTrue)
 }
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -23,7 +23,7 @@
 
 // witness holds the promises against what workers do and callers were told.
 type witness struct {
-	estate    *estate
+	estate    *testCluster
 	running   map[string][]string  // boots, by task
 	ended     map[string]bool      // tasks that ended done at a worker
 	done      map[string]bool      // tasks whose done end was acknowledged
@@ -41,7 +41,7 @@
 	starts    int
 }
 
-func newWitness(e *estate) *witness {
+func newWitness(e *testCluster) *witness {
 	return &witness{
 		estate: e, running: map[string][]string{}, ended: map[string]bool{}, done: map[string]bool{}, failed: map[string]int{}, failures: map[string]int{},
 		refused: map[string]bool{}, steps: map[string]string{}, cancelled: map[string]time.Time{}, copies: map[string]bool{},
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -84,7 +84,7 @@
 // evacuations plays zones that are taken out of use and back, one or both, while the owner is
 // replaced, handed over or usurped, orders and transactions are lost or late, and workers crash;
 // some jobs run at set times.
-func evacuations(plant func(*estate)) func(*rapid.T) {
+func evacuations(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -145,7 +145,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			plant := func(e *estate) { e.zones.wrapReport = mishear }
+			plant := func(e *testCluster) { e.zones.wrapReport = mishear }
 			qt.Assert(t, prop.Finds(t, evacuations(plant)), qt.IsTrue)
 		})
 	}
