--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -29,15 +29,15 @@
 
 // machine draws what happens to an owner and its workers.
 type machine struct {
-	t        *rapid.T
-	e        *testCluster
-	present  string // the entry that owns the shard
-	accepted map[string]bool
-	jobs     int
-	boots    int
-	entries  int
-	mayRuin  bool // some tasks bring their workers down
-	atWork   int  // workers that have started again by chance while a job was open
+	t            *rapid.T
+	e            *testCluster
+	currentOwner string // the entry that owns the shard
+	accepted     map[string]bool
+	jobs         int
+	boots        int
+	entries      int
+	mayRuin      bool // some tasks bring their workers down
+	atWork       int  // workers that have started again by chance while a job was open
 }
 
 var rowFaults = []fake.Fault{fake.FaultDown, fake.FaultLostBefore, fake.FaultLostAfter, fake.FaultLate}
@@ -94,7 +94,7 @@
 // applyLimit gives the account a limit and the shard a share of it, which is kept from then on.
 func (m *machine) applyLimit() {
 	m.e.limit(limited, limitedCPU)
-	m.e.grant(m.present, 1, 1, limited, 0.5)
+	m.e.grant(m.currentOwner, 1, 1, limited, 0.5)
 	time.Sleep(time.Second)
 	m.e.locked(func() { m.e.witness.allowed[limited] = limitedCPU / 2 })
 }
@@ -141,10 +141,10 @@
 }
 
 func (m *machine) send(id, text string) {
-	if m.e.owners[m.present] == nil {
+	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
-	out := schema.CallOutcome(strings.TrimSpace(m.e.submit(m.present, account(id), id, text)))
+	out := schema.CallOutcome(strings.TrimSpace(m.e.submit(m.currentOwner, account(id), id, text)))
 	m.e.locked(func() {
 		before, known := m.e.witness.refused[id]
 		m.e.witness.refused[id] = (before || !known) && (out == schema.CallOutcomeRefused || out == schema.CallOutcomeNotOwner)
@@ -155,11 +155,11 @@
 }
 
 func (m *machine) cancel() {
-	if m.jobs == 0 || m.e.owners[m.present] == nil {
+	if m.jobs == 0 || m.e.owners[m.currentOwner] == nil {
 		return
 	}
 	id := jobID(rapid.IntRange(1, m.jobs).Draw(m.t, "job"))
-	job := m.e.owners[m.present]
+	job := m.e.owners[m.currentOwner]
 	state, _ := job.State(id, shard.Asker{Operator: true})
 	if out := job.Cancel(context.Background(), id, shard.Asker{Operator: true}); out == schema.CallOutcomeOk && !state.Final() {
 		m.e.locked(func() { m.e.witness.cancelled[id] = time.Now() })
@@ -194,18 +194,18 @@
 
 // takeOver ends the present owner and lets another entry follow.
 func (m *machine) takeOver() {
-	if o := m.e.owners[m.present]; o != nil {
+	if o := m.e.owners[m.currentOwner]; o != nil {
 		o.Close()
-		m.e.setOwner(m.present, nil)
+		m.e.setOwner(m.currentOwner, nil)
 	}
 	m.startNextOwner()
 }
 
 // handOver has the present owner let go by plan.
 func (m *machine) handOver() {
-	if o := m.e.owners[m.present]; o != nil {
+	if o := m.e.owners[m.currentOwner]; o != nil {
 		o.Release(context.Background(), "")
-		m.e.setOwner(m.present, nil)
+		m.e.setOwner(m.currentOwner, nil)
 	}
 	m.startNextOwner()
 }
@@ -219,7 +219,7 @@
 	name := fmt.Sprintf("e%d", m.entries)
 	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyClockOnly)
 	if strings.HasPrefix(m.e.startOwner(name), "term") {
-		m.present = name
+		m.currentOwner = name
 	}
 }
 
@@ -229,14 +229,14 @@
 	if listed := m.e.directory(); len(listed) > 0 && rapid.Bool().Draw(m.t, "one") {
 		at = listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot
 	}
-	entry := rapid.SampledFrom([]string{"*", m.present}).Draw(m.t, "entry")
+	entry := rapid.SampledFrom([]string{"*", m.currentOwner}).Draw(m.t, "entry")
 	fault := rapid.SampledFrom([]fake.Fault{fake.FaultLostBefore, fake.FaultLostAfter, fake.FaultLate}).Draw(m.t, "fault")
 	m.e.locked(func() { m.e.faults[string(op)+" "+at+" "+entry] = fault })
 }
 
 func (m *machine) rowFault() {
 	op := rapid.SampledFrom([]fake.RowOp{fake.RowCommit, fake.RowList}).Draw(m.t, "call")
-	entry := rapid.SampledFrom([]string{"*", m.present}).Draw(m.t, "entry")
+	entry := rapid.SampledFrom([]string{"*", m.currentOwner}).Draw(m.t, "entry")
 	fault := rapid.SampledFrom(rowFaults).Draw(m.t, "fault")
 	m.e.locked(func() { m.e.faults["rows "+string(op)+" "+entry] = fault })
 }
@@ -276,10 +276,10 @@
 // doze suspends the machine of the present owner for 1 to 20 s; another may follow it
 // meanwhile, and one worker may be reached by the first one only.
 func (m *machine) doze() {
-	if m.e.owners[m.present] == nil {
+	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
-	sleeper := m.e.suspendable[m.present]
+	sleeper := m.e.suspendable[m.currentOwner]
 	sleeper.suspend()
 	m.rest(1, 10_000, "before")
 	if rapid.Bool().Draw(m.t, "followed") {
@@ -287,7 +287,7 @@
 		if listed := m.e.directory(); len(listed) > 0 && rapid.Bool().Draw(m.t, "unreached") {
 			boot := listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot
 			for _, op := range []fake.OrderOp{fake.OrderStart, fake.OrderStop, fake.OrderRenew} {
-				m.e.locked(func() { m.e.faults[string(op)+" "+boot+" "+m.present] = fake.FaultLostBefore })
+				m.e.locked(func() { m.e.faults[string(op)+" "+boot+" "+m.currentOwner] = fake.FaultLostBefore })
 			}
 		}
 	}
@@ -301,7 +301,7 @@
 	m.boot()
 	m.takeOver()
 	for range 20 {
-		if m.e.owners[m.present] != nil {
+		if m.e.owners[m.currentOwner] != nil {
 			break
 		}
 		time.Sleep(time.Second)
@@ -315,7 +315,7 @@
 		m.t.Fatalf("broken: %s\n%s", strings.Join(broken, "\n"), m.e.log.String())
 	}
 	for id := range m.accepted {
-		state, out := m.e.owners[m.present].State(id, shard.Asker{Operator: true})
+		state, out := m.e.owners[m.currentOwner].State(id, shard.Asker{Operator: true})
 		if out != schema.CallOutcomeOk || !state.Final() {
 			m.t.Fatalf("job %s is %s %s in the end\n%s", id, out, state, m.e.log.String())
 		}
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -73,7 +73,7 @@
 
 // anyOpen tells whether a job that was handed in may have work left.
 func (m *machine) anyOpen() bool {
-	o := m.e.owners[m.present]
+	o := m.e.owners[m.currentOwner]
 	if o == nil {
 		return true
 	}
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -31,7 +31,7 @@
 			m.usurp()
 			m.rest(1, 100, "after")
 			if rapid.Bool().Draw(t, "looks lost") {
-				e.locked(func() { e.faults["renew * "+m.present] = fake.FaultLostBefore })
+				e.locked(func() { e.faults["renew * "+m.currentOwner] = fake.FaultLostBefore })
 			}
 			m.restart()
 			m.rest(1, 1800, "beside")
