--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -23,7 +23,7 @@
 		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
 		m.bootAll(4)
 		m.takeOver()
-		m.mayRuin = rapid.Bool().Draw(t, "crashing tasks")
+		m.crashingTasks = rapid.Bool().Draw(t, "crashing tasks")
 		kinds := []func(){
 			m.short, m.submit, m.submit, m.cancel, m.again, m.fail, m.ruinIf, m.restart, m.restart, m.boot, m.crash, m.resize,
 			m.takeOver, m.handOver, m.usurp, m.doze, m.orderFault, m.rowFault, m.heal, m.heal,
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -28,7 +28,7 @@
 		e.crashRestartDelay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
 		e.workers.SetDark(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
-		m.mayRuin = rapid.Bool().Draw(t, "crashing tasks")
+		m.crashingTasks = rapid.Bool().Draw(t, "crashing tasks")
 		kinds := []func(){m.short, m.short, m.submit, m.restart, m.restart, m.takeOver, m.handOver, m.usurp, m.orderFault, m.heal, m.ruinIf}
 		for range rapid.IntRange(3, 14).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
@@ -40,7 +40,7 @@
 
 // ruinIf hands in a job with a crashing task in the courses that have them.
 func (m *machine) ruinIf() {
-	if m.mayRuin {
+	if m.crashingTasks {
 		m.ruin()
 	}
 }
@@ -62,7 +62,7 @@
 	listed := m.e.directory()
 	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
 	if m.anyOpen() {
-		if m.atWork++; m.atWork > mostAtWork || m.mayRuin {
+		if m.atWork++; m.atWork > mostAtWork || m.crashingTasks {
 			return
 		}
 	}
