--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -29,15 +29,15 @@
 
 // machine draws what happens to an owner and its workers.
 type machine struct {
-	t             *rapid.T
-	e             *testCluster
-	currentOwner  string // the entry that owns the shard
-	accepted      map[string]bool
-	jobs          int
-	boots         int
-	entries       int
-	crashingTasks bool // some tasks bring their workers down
-	atWork        int  // workers that have started again by chance while a job was open
+	t                 *rapid.T
+	e                 *testCluster
+	currentOwner      string // the entry that owns the shard
+	accepted          map[string]bool
+	jobs              int
+	boots             int
+	entries           int
+	crashingTasks     bool // some tasks bring their workers down
+	restartsUnderLoad int  // workers that have started again by chance while a job was open
 }
 
 var rowFaults = []fake.Fault{fake.FaultDown, fake.FaultLostBefore, fake.FaultLostAfter, fake.FaultLate}
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -62,7 +62,7 @@
 	listed := m.e.directory()
 	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
 	if m.anyOpen() {
-		if m.atWork++; m.atWork > mostAtWork || m.crashingTasks {
+		if m.restartsUnderLoad++; m.restartsUnderLoad > mostAtWork || m.crashingTasks {
 			return
 		}
 	}
