--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -33,7 +33,7 @@
 		}
 		kinds := []func(){m.takeOver, m.handOver, m.usurp, m.orderFault, m.rowFault, m.heal, m.boot, func() {}}
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
-			m.rest(1, 4500, "pause")
+			m.pause(1, 4500, "pause")
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
 		}
 		m.settle()
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -79,7 +79,7 @@
 		steps := rapid.IntRange(3, 14).Draw(t, "steps")
 		for range steps {
 			m.step()
-			m.rest(1, 900, "pause")
+			m.pause(1, 900, "pause")
 		}
 		m.settle()
 	}
@@ -116,8 +116,8 @@
 // count whole milliseconds from when they took over, which is when a step of the course was.
 const pauseOffset = 37_100 * time.Nanosecond
 
-// rest waits for a drawn number of milliseconds.
-func (m *machine) rest(least, most int, what string) {
+// pause waits for a drawn number of milliseconds.
+func (m *machine) pause(least, most int, what string) {
 	time.Sleep(time.Duration(rapid.IntRange(least, most).Draw(m.t, what))*time.Millisecond + pauseOffset)
 }
 
@@ -281,7 +281,7 @@
 	}
 	sleeper := m.e.suspendable[m.currentOwner]
 	sleeper.suspend()
-	m.rest(1, 10_000, "before")
+	m.pause(1, 10_000, "before")
 	if rapid.Bool().Draw(m.t, "followed") {
 		m.startNextOwner()
 		if listed := m.e.directory(); len(listed) > 0 && rapid.Bool().Draw(m.t, "unreached") {
@@ -291,7 +291,7 @@
 			}
 		}
 	}
-	m.rest(1, 10_000, "after")
+	m.pause(1, 10_000, "after")
 	sleeper.wake()
 }
 
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -30,7 +30,7 @@
 		}
 		for range rapid.IntRange(4, 18).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
-			m.rest(1, 1200, "pause")
+			m.pause(1, 1200, "pause")
 		}
 		m.settle()
 	}
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -32,7 +32,7 @@
 		kinds := []func(){m.short, m.short, m.submit, m.restart, m.restart, m.takeOver, m.handOver, m.usurp, m.orderFault, m.heal, m.ruinIf}
 		for range rapid.IntRange(3, 14).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
-			m.rest(1, 1200, "pause")
+			m.pause(1, 1200, "pause")
 		}
 		m.settle()
 	}
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -22,19 +22,19 @@
 		e := m.e
 		defer e.close()
 		m.takeOver()
-		m.rest(1, 1000, "quiet")
+		m.pause(1, 1000, "quiet")
 		for range rapid.IntRange(1, 2).Draw(t, "takeovers") {
 			for range rapid.IntRange(1, 3).Draw(t, "jobs") {
 				m.chain()
 			}
-			m.rest(1, 400, "before")
+			m.pause(1, 400, "before")
 			m.usurp()
-			m.rest(1, 100, "after")
+			m.pause(1, 100, "after")
 			if rapid.Bool().Draw(t, "looks lost") {
 				e.locked(func() { e.faults["renew * "+m.currentOwner] = fake.FaultLostBefore })
 			}
 			m.restart()
-			m.rest(1, 1800, "beside")
+			m.pause(1, 1800, "beside")
 			m.heal()
 		}
 		m.settle()
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -21,7 +21,7 @@
 		kinds := []func(){m.short, m.submit, m.submit, m.cancel, m.restart, m.takeOver, m.handOver, m.rowFault, m.heal, m.fail}
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
-			m.rest(1, 1200, "pause")
+			m.pause(1, 1200, "pause")
 		}
 		m.settle()
 	}
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -135,10 +135,10 @@
 				text := rapid.SampledFrom([]string{"1x1000/400ms", "1x1000/900ms", "1x1000/9s"}).Draw(t, "text")
 				m.send(fmt.Sprintf("%016x", m.jobs), text)
 			}
-			m.rest(1, 300, "pause")
+			m.pause(1, 300, "pause")
 			m.doze()
 			m.boot()
-			m.rest(1, 3000, "awake")
+			m.pause(1, 3000, "awake")
 		}
 		m.settle()
 	}
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -97,9 +97,9 @@
 		kinds := []func(){m.submit, m.scheduled, m.lasting, m.takeZoneOut, m.takeZoneOut, m.takeZoneBack, m.crash, m.takeOver, m.handOver, m.usurp, m.orderFault, m.rowFault, m.heal}
 		for range rapid.IntRange(4, 16).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
-			m.rest(1, 1500, "pause")
+			m.pause(1, 1500, "pause")
 		}
-		m.rest(1, 9000, "until zones are back")
+		m.pause(1, 9000, "until zones are back")
 		e.zones.takeBack("z1")
 		e.zones.takeBack("z2")
 		m.settle()
