--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -126,7 +126,7 @@
 func (m *machine) submit() {
 	texts := []string{"1x1000/300ms", "3x1000/700ms 2x1500/300ms<0", "4x500/1200ms", "2x2000/400ms 2x2000/400ms<0 1x500/200ms<1"}
 	m.jobs++
-	m.send(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
+	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
 // again repeats an earlier submission, as a caller does that got no answer.
@@ -137,10 +137,10 @@
 	id := jobID(rapid.IntRange(1, m.jobs).Draw(m.t, "job"))
 	var text string
 	m.e.locked(func() { text = m.e.witness.steps[id] })
-	m.send(id, text)
+	m.submitJob(id, text)
 }
 
-func (m *machine) send(id, text string) {
+func (m *machine) submitJob(id, text string) {
 	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
@@ -260,7 +260,7 @@
 	m.jobs++
 	id := jobID(m.jobs)
 	m.e.locked(func() { m.e.crashing[id+".0.0.0"] = after })
-	m.send(id, texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
+	m.submitJob(id, texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
 // resize changes what a worker has room for, also below what runs there.
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -49,7 +49,7 @@
 func (m *machine) short() {
 	texts := []string{"1x1000/20ms", "6x500/60ms", "2x1000/10ms 2x1000/100ms<0"}
 	m.jobs++
-	m.send(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
+	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
 // mostAtWork is how many workers start again by chance in one course while a job is open. After
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -133,7 +133,7 @@
 			for range rapid.IntRange(2, 4).Draw(t, "jobs") {
 				m.jobs++
 				text := rapid.SampledFrom([]string{"1x1000/400ms", "1x1000/900ms", "1x1000/9s"}).Draw(t, "text")
-				m.send(fmt.Sprintf("%016x", m.jobs), text)
+				m.submitJob(fmt.Sprintf("%016x", m.jobs), text)
 			}
 			m.pause(1, 300, "pause")
 			m.doze()
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -116,7 +116,7 @@
 // lasting hands in a long-running task, which starts again wherever it ends, and is cancelled in the end.
 func (m *machine) lasting() {
 	m.jobs++
-	m.send(jobID(m.jobs), rapid.SampledFrom([]string{"2x1000/0s+miss:1", "1x500/0s"}).Draw(m.t, "text"))
+	m.submitJob(jobID(m.jobs), rapid.SampledFrom([]string{"2x1000/0s+miss:1", "1x500/0s"}).Draw(m.t, "text"))
 	id := jobID(m.jobs)
 	delete(m.accepted, id) // it has no end of its own
 }
