--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -85,24 +85,24 @@
 	}
 }
 
-// limited is an account whose jobs may have half of limitedCPU running in the pool.
+// limitedAccount is an account whose jobs may have half of limitedCPU running in the pool.
 const (
-	limited    = "north"
-	limitedCPU = 6000
+	limitedAccount = "north"
+	limitedCPU     = 6000
 )
 
 // applyLimit gives the account a limit and the shard a share of it, which is kept from then on.
 func (m *machine) applyLimit() {
-	m.e.limit(limited, limitedCPU)
-	m.e.grant(m.currentOwner, 1, 1, limited, 0.5)
+	m.e.limit(limitedAccount, limitedCPU)
+	m.e.grant(m.currentOwner, 1, 1, limitedAccount, 0.5)
 	time.Sleep(time.Second)
-	m.e.locked(func() { m.e.witness.allowed[limited] = limitedCPU / 2 })
+	m.e.locked(func() { m.e.witness.allowed[limitedAccount] = limitedCPU / 2 })
 }
 
-// account is whose a job is: every other one is of the account with the limit.
-func account(id string) string {
+// accountOf is whose a job is: every other one is of the accountOf with the limit.
+func accountOf(id string) string {
 	if id[len(id)-1]%2 == 0 {
-		return limited
+		return limitedAccount
 	}
 	return ""
 }
@@ -144,7 +144,7 @@
 	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
-	out := schema.CallOutcome(strings.TrimSpace(m.e.submit(m.currentOwner, account(id), id, text)))
+	out := schema.CallOutcome(strings.TrimSpace(m.e.submit(m.currentOwner, accountOf(id), id, text)))
 	m.e.locked(func() {
 		before, known := m.e.witness.refused[id]
 		m.e.witness.refused[id] = (before || !known) && (out == schema.CallOutcomeRefused || out == schema.CallOutcomeNotOwner)
