--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -66,8 +66,8 @@
 	return m
 }
 
-// property plays one drawn course of events and holds the promises against it.
-func property(plant func(*testCluster)) func(*rapid.T) {
+// ownerScenario plays one drawn course of events and holds the promises against it.
+func ownerScenario(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newMachine(t, plant)
 		e := m.e
@@ -329,11 +329,11 @@
 
 // TestOwner holds the promises over drawn courses of submissions, cancels,
 // crashes, takeovers, usurpations and lost or late answers.
-func TestOwner(t *testing.T) { prop.Check(t, property(nil)) }
+func TestOwner(t *testing.T) { prop.Check(t, ownerScenario(nil)) }
 
 // TestLimitOfCancelledJob is a course in which an account was over its limit; testdata/limit_counts_cancelled
 // tells the story.
-func TestLimitOfCancelledJob(t *testing.T) { prop.Once(t, 4888604, property(nil)) }
+func TestLimitOfCancelledJob(t *testing.T) { prop.Once(t, 4888604, ownerScenario(nil)) }
 
 // TestOwnerFindsPlanted shows that the machine finds an owner whose orders are
 // not fenced, one that acknowledges ends before they are kept, and one whose
@@ -353,6 +353,6 @@
 			e.wrapRows = func(r platform.Rows) platform.Rows { return forgetful{r} }
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, ownerScenario(plant)), qt.IsTrue) })
 	}
 }
--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -23,7 +23,7 @@
 // Courses have to repeat to the line of the owners' logs.
 func TestCoursesRepeat(t *testing.T) {
 	for name, course := range map[string]func(func(*testCluster)) func(*rapid.T){
-		"owner": property, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": incompleteLists,
+		"owner": ownerScenario, "restarts": restarts, "crashes": crashes, "dozes": dozes, "short lists": incompleteLists,
 		"mixed": mixed, "rivals": rivals, "evacuations": evacuations,
 	} {
 		t.Run(name, func(t *testing.T) {
