--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -18,7 +18,7 @@
 // again, and orders and transactions are lost or late.
 func crashes(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newMachine(t, plant)
+		m := newScenario(t, plant)
 		e := m.e
 		defer e.close()
 		m.bootAll(4)
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -45,9 +45,9 @@
 // salt has courses go on in other orders of what happens at the same time, for searches by hand.
 var salt = flag.Uint64("salt", 0, "orders of what happens at the same time in drawn courses")
 
-// newMachine returns a machine over an estate of its own, in which plant, unless it is nil,
+// newScenario returns a machine over an estate of its own, in which plant, unless it is nil,
 // breaks something.
-func newMachine(t *rapid.T, plant func(*testCluster)) *machine {
+func newScenario(t *rapid.T, plant func(*testCluster)) *machine {
 	e := newTestCluster(t)
 	spread := fake.NewSpread(*salt)
 	e.rows.SetSpread(spread)
@@ -60,7 +60,7 @@
 
 // newRestartingMachine returns a machine with three workers that keep their IDs when they start again.
 func newRestartingMachine(t *rapid.T, plant func(*testCluster)) *machine {
-	m := newMachine(t, plant)
+	m := newScenario(t, plant)
 	m.e.keepWorkerIDs = true
 	m.bootAll(3)
 	return m
@@ -69,7 +69,7 @@
 // ownerScenario plays one drawn course of events and holds the promises against it.
 func ownerScenario(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newMachine(t, plant)
+		m := newScenario(t, plant)
 		e := m.e
 		defer e.close()
 		e.workers.SetTakesAll(rapid.Bool().Draw(t, "takes all"))
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -15,7 +15,7 @@
 // are usurped or suspended. Lists are whole: of a start without an answer one list tells.
 func mixed(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newMachine(t, plant)
+		m := newScenario(t, plant)
 		e := m.e
 		defer e.close()
 		e.keepWorkerIDs = true
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -120,7 +120,7 @@
 // over that do not reach all of its workers.
 func dozes(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newMachine(t, plant)
+		m := newScenario(t, plant)
 		e := m.e
 		defer e.close()
 		for range rapid.IntRange(1, 2).Draw(t, "workers") {
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -86,7 +86,7 @@
 // some jobs run at set times.
 func evacuations(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newMachine(t, plant)
+		m := newScenario(t, plant)
 		e := m.e
 		defer e.close()
 		for i, vm := range []string{"w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9"} {
