--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -58,8 +58,8 @@
 	return &machine{t: t, e: e, accepted: map[string]bool{}}
 }
 
-// newRestartingMachine returns a machine with three workers that keep their IDs when they start again.
-func newRestartingMachine(t *rapid.T, plant func(*testCluster)) *machine {
+// newRestartScenario returns a machine with three workers that keep their IDs when they start again.
+func newRestartScenario(t *rapid.T, plant func(*testCluster)) *machine {
 	m := newScenario(t, plant)
 	m.e.keepWorkerIDs = true
 	m.bootAll(3)
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -22,7 +22,7 @@
 // down, orders are lost or late, and the owner is replaced.
 func restarts(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newRestartingMachine(t, plant)
+		m := newRestartScenario(t, plant)
 		e := m.e
 		defer e.close()
 		e.crashRestartDelay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -18,7 +18,7 @@
 // both owners are there, and that worker has seen neither's token.
 func rivals(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newRestartingMachine(t, plant)
+		m := newRestartScenario(t, plant)
 		e := m.e
 		defer e.close()
 		m.takeOver()
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -13,7 +13,7 @@
 // not is told by one list.
 func incompleteLists(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newRestartingMachine(t, plant)
+		m := newRestartScenario(t, plant)
 		e := m.e
 		defer e.close()
 		e.workers.SetShortLists(rapid.IntRange(2, 5).Draw(t, "short every"))
