--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -27,8 +27,8 @@
 // the work itself.
 const settleTime = 60 * time.Second
 
-// machine draws what happens to an owner and its workers.
-type machine struct {
+// scenario draws what happens to an owner and its workers.
+type scenario struct {
 	t                 *rapid.T
 	e                 *testCluster
 	currentOwner      string // the entry that owns the shard
@@ -47,7 +47,7 @@
 
 // newScenario returns a machine over an estate of its own, in which plant, unless it is nil,
 // breaks something.
-func newScenario(t *rapid.T, plant func(*testCluster)) *machine {
+func newScenario(t *rapid.T, plant func(*testCluster)) *scenario {
 	e := newTestCluster(t)
 	spread := fake.NewSpread(*salt)
 	e.rows.SetSpread(spread)
@@ -55,11 +55,11 @@
 	if plant != nil {
 		plant(e)
 	}
-	return &machine{t: t, e: e, accepted: map[string]bool{}}
+	return &scenario{t: t, e: e, accepted: map[string]bool{}}
 }
 
 // newRestartScenario returns a machine with three workers that keep their IDs when they start again.
-func newRestartScenario(t *rapid.T, plant func(*testCluster)) *machine {
+func newRestartScenario(t *rapid.T, plant func(*testCluster)) *scenario {
 	m := newScenario(t, plant)
 	m.e.keepWorkerIDs = true
 	m.bootAll(3)
@@ -92,7 +92,7 @@
 )
 
 // applyLimit gives the account a limit and the shard a share of it, which is kept from then on.
-func (m *machine) applyLimit() {
+func (m *scenario) applyLimit() {
 	m.e.limit(limitedAccount, limitedCPU)
 	m.e.grant(m.currentOwner, 1, 1, limitedAccount, 0.5)
 	time.Sleep(time.Second)
@@ -107,7 +107,7 @@
 	return ""
 }
 
-func (m *machine) step() {
+func (m *scenario) step() {
 	kinds := []func(){m.submit, m.submit, m.submit, m.cancel, m.again, m.boot, m.crash, m.takeOver, m.handOver, m.usurp, m.orderFault, m.rowFault, m.heal, m.fail, m.ruin, m.resize, m.doze}
 	kinds[rapid.IntRange(0, len(kinds)-1).Draw(m.t, "kind")]()
 }
@@ -117,20 +117,20 @@
 const pauseOffset = 37_100 * time.Nanosecond
 
 // pause waits for a drawn number of milliseconds.
-func (m *machine) pause(least, most int, what string) {
+func (m *scenario) pause(least, most int, what string) {
 	time.Sleep(time.Duration(rapid.IntRange(least, most).Draw(m.t, what))*time.Millisecond + pauseOffset)
 }
 
 func jobID(n int) string { return fmt.Sprintf("%016x", n) }
 
-func (m *machine) submit() {
+func (m *scenario) submit() {
 	texts := []string{"1x1000/300ms", "3x1000/700ms 2x1500/300ms<0", "4x500/1200ms", "2x2000/400ms 2x2000/400ms<0 1x500/200ms<1"}
 	m.jobs++
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
 // again repeats an earlier submission, as a caller does that got no answer.
-func (m *machine) again() {
+func (m *scenario) again() {
 	if m.jobs == 0 {
 		return
 	}
@@ -140,7 +140,7 @@
 	m.submitJob(id, text)
 }
 
-func (m *machine) submitJob(id, text string) {
+func (m *scenario) submitJob(id, text string) {
 	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
@@ -154,7 +154,7 @@
 	}
 }
 
-func (m *machine) cancel() {
+func (m *scenario) cancel() {
 	if m.jobs == 0 || m.e.owners[m.currentOwner] == nil {
 		return
 	}
@@ -167,19 +167,19 @@
 }
 
 // bootAll starts n workers.
-func (m *machine) bootAll(n int) {
+func (m *scenario) bootAll(n int) {
 	for range n {
 		m.boot()
 	}
 }
 
-func (m *machine) boot() {
+func (m *scenario) boot() {
 	m.boots++
 	name := fmt.Sprintf("w%d", m.boots)
 	m.e.addWorker(name, name, name, "4000", []string{"0", "0.02"}[m.boots%2])
 }
 
-func (m *machine) crash() {
+func (m *scenario) crash() {
 	listed := m.e.directory()
 	if len(listed) < 2 {
 		return
@@ -193,7 +193,7 @@
 }
 
 // takeOver ends the present owner and lets another entry follow.
-func (m *machine) takeOver() {
+func (m *scenario) takeOver() {
 	if o := m.e.owners[m.currentOwner]; o != nil {
 		o.Close()
 		m.e.setOwner(m.currentOwner, nil)
@@ -202,7 +202,7 @@
 }
 
 // handOver has the present owner let go by plan.
-func (m *machine) handOver() {
+func (m *scenario) handOver() {
 	if o := m.e.owners[m.currentOwner]; o != nil {
 		o.Release(context.Background(), "")
 		m.e.setOwner(m.currentOwner, nil)
@@ -212,9 +212,9 @@
 
 // usurp lets another entry take over while the present owner goes on, as one
 // does that is cut off.
-func (m *machine) usurp() { m.startNextOwner() }
+func (m *scenario) usurp() { m.startNextOwner() }
 
-func (m *machine) startNextOwner() {
+func (m *scenario) startNextOwner() {
 	m.entries++
 	name := fmt.Sprintf("e%d", m.entries)
 	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyClockOnly)
@@ -223,7 +223,7 @@
 	}
 }
 
-func (m *machine) orderFault() {
+func (m *scenario) orderFault() {
 	op := rapid.SampledFrom([]fake.OrderOp{fake.OrderStart, fake.OrderStop, fake.OrderRenew}).Draw(m.t, "order")
 	at := "*"
 	if listed := m.e.directory(); len(listed) > 0 && rapid.Bool().Draw(m.t, "one") {
@@ -234,16 +234,16 @@
 	m.e.locked(func() { m.e.faults[string(op)+" "+at+" "+entry] = fault })
 }
 
-func (m *machine) rowFault() {
+func (m *scenario) rowFault() {
 	op := rapid.SampledFrom([]fake.RowOp{fake.RowCommit, fake.RowList}).Draw(m.t, "call")
 	entry := rapid.SampledFrom([]string{"*", m.currentOwner}).Draw(m.t, "entry")
 	fault := rapid.SampledFrom(rowFaults).Draw(m.t, "fault")
 	m.e.locked(func() { m.e.faults["rows "+string(op)+" "+entry] = fault })
 }
 
-func (m *machine) heal() { m.e.locked(func() { clear(m.e.faults) }) }
+func (m *scenario) heal() { m.e.locked(func() { clear(m.e.faults) }) }
 
-func (m *machine) fail() {
+func (m *scenario) fail() {
 	if m.jobs == 0 {
 		return
 	}
@@ -254,7 +254,7 @@
 
 // ruin hands a job in one of whose tasks brings down each worker that starts it: alone, beside
 // others of its step, long-running, with copies, or a member of a gang.
-func (m *machine) ruin() {
+func (m *scenario) ruin() {
 	after := rapid.SampledFrom([]time.Duration{0, 10 * time.Millisecond, 150 * time.Millisecond}).Draw(m.t, "after")
 	texts := []string{"1x1000/300ms", "3x1000/700ms 2x1500/300ms<0", "1x1000/0s", "2x1000/800ms+copies", "2x1000/400ms+gang"}
 	m.jobs++
@@ -264,7 +264,7 @@
 }
 
 // resize changes what a worker has room for, also below what runs there.
-func (m *machine) resize() {
+func (m *scenario) resize() {
 	listed := m.e.directory()
 	if len(listed) == 0 {
 		return
@@ -275,7 +275,7 @@
 
 // doze suspends the machine of the present owner for 1 to 20 s; another may follow it
 // meanwhile, and one worker may be reached by the first one only.
-func (m *machine) doze() {
+func (m *scenario) doze() {
 	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
@@ -296,7 +296,7 @@
 }
 
 // settle ends all faults and sees that each accepted job has become final and that no promise was broken.
-func (m *machine) settle() {
+func (m *scenario) settle() {
 	m.heal()
 	m.boot()
 	m.takeOver()
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -39,14 +39,14 @@
 }
 
 // ruinIf hands in a job with a crashing task in the courses that have them.
-func (m *machine) ruinIf() {
+func (m *scenario) ruinIf() {
 	if m.crashingTasks {
 		m.ruin()
 	}
 }
 
 // short hands in a job of tasks that may begin and end between two looks.
-func (m *machine) short() {
+func (m *scenario) short() {
 	texts := []string{"1x1000/20ms", "6x500/60ms", "2x1000/10ms 2x1000/100ms<0"}
 	m.jobs++
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
@@ -58,7 +58,7 @@
 const mostAtWork = 2
 
 // restart has a worker start again under its ID; the directory may tell of it late.
-func (m *machine) restart() {
+func (m *scenario) restart() {
 	listed := m.e.directory()
 	worker, _ := platform.SplitBoot(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
 	if m.anyOpen() {
@@ -72,7 +72,7 @@
 }
 
 // anyOpen tells whether a job that was handed in may have work left.
-func (m *machine) anyOpen() bool {
+func (m *scenario) anyOpen() bool {
 	o := m.e.owners[m.currentOwner]
 	if o == nil {
 		return true
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -42,7 +42,7 @@
 }
 
 // chain hands in a job of short steps, one after the other.
-func (m *machine) chain() {
+func (m *scenario) chain() {
 	texts := []string{"1x1000/50ms 2x1000/300ms<0", "2x2000/300ms 1x3000/1s<0", "1x1000/20ms 1x1000/20ms<0 1x1000/500ms<1"}
 	m.jobs++
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -107,25 +107,25 @@
 }
 
 // scheduled hands in a job that runs at set times.
-func (m *machine) scheduled() {
+func (m *scenario) scheduled() {
 	m.e.schedule = schedule{times: rapid.IntRange(1, 5).Draw(m.t, "times"), interval: time.Duration(rapid.IntRange(100, 1500).Draw(m.t, "interval")) * time.Millisecond}
 	m.submit()
 	m.e.schedule = schedule{}
 }
 
 // lasting hands in a long-running task, which starts again wherever it ends, and is cancelled in the end.
-func (m *machine) lasting() {
+func (m *scenario) lasting() {
 	m.jobs++
 	m.submitJob(jobID(m.jobs), rapid.SampledFrom([]string{"2x1000/0s+miss:1", "1x500/0s"}).Draw(m.t, "text"))
 	id := jobID(m.jobs)
 	delete(m.accepted, id) // it has no end of its own
 }
 
-func (m *machine) takeZoneOut() {
+func (m *scenario) takeZoneOut() {
 	m.e.zones.takeOut(rapid.SampledFrom([]string{"z1", "z2"}).Draw(m.t, "zone"))
 }
 
-func (m *machine) takeZoneBack() {
+func (m *scenario) takeZoneBack() {
 	m.e.zones.takeBack(rapid.SampledFrom([]string{"z1", "z2"}).Draw(m.t, "zone"))
 }
 
