--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -78,7 +78,7 @@
 	if at, ok := w.cancelled[job]; ok && time.Since(at) > cancelBound {
 		w.breaks("%s started at %s %s after its job was cancelled", task, boot, time.Since(at))
 	}
-	if zone, since, ok := w.estate.zones.outAt(boot); ok && since > evacuateBound {
+	if zone, since, ok := w.estate.zones.outSince(boot); ok && since > evacuateBound {
 		w.breaks("%s started at %s %s after its zone %s was taken out of use", task, boot, since, zone)
 	}
 	w.checkOrder(task, job)
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -55,9 +55,9 @@
 	delete(z.out, zone)
 }
 
-// outAt tells for how long the zone of a boot's VM, which is called as its first boot was, has
+// outSince tells for how long the zone of a boot's VM, which is called as its first boot was, has
 // been out of use.
-func (z *zones) outAt(boot string) (zone string, since time.Duration, out bool) {
+func (z *zones) outSince(boot string) (zone string, since time.Duration, out bool) {
 	vm, _, _ := strings.Cut(boot, "-")
 	vm, _, _ = strings.Cut(vm, "@")
 	zone = z.of(vm)
