--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -22,12 +22,12 @@
 type queuedOrder struct {
 	// send carries the order out; it is called without the lock.
 	send func(ctx context.Context) (clockMs int64, err error)
-	// answered takes the answer, or errWithdrawn; the lock is held.
-	answered func(err error)
-	// start, for the start of an attempt, makes send when its turn has come, so that
+	// onAnswer takes the answer, or errWithdrawn; the lock is held.
+	onAnswer func(err error)
+	// prepareStart, for the prepareStart of an attempt, makes send when its turn has come, so that
 	// token and lease are those of that moment; it returns nil if the attempt is no
 	// longer wanted; the lock is held.
-	start func(now time.Duration) (send func(ctx context.Context) (clockMs int64, err error))
+	prepareStart func(now time.Duration) (send func(ctx context.Context) (clockMs int64, err error))
 }
 
 // enqueueOrder has an order sent when its turn comes; the lock is held.
@@ -50,11 +50,11 @@
 		s.orders[0] = nil
 		s.orders = s.orders[1:]
 		now := o.now()
-		if d.start != nil && o.mayStart(s, now) {
-			d.send = d.start(now)
+		if d.prepareStart != nil && o.mayStart(s, now) {
+			d.send = d.prepareStart(now)
 		}
 		if d.send == nil {
-			d.answered(errStartWithdrawn)
+			d.onAnswer(errStartWithdrawn)
 			continue
 		}
 		o.sendOrder(s, d)
@@ -69,12 +69,12 @@
 
 // sendOrder sends one order and passes its answer on; it lets the lock go meanwhile.
 func (o *Owner) sendOrder(s *session, d *queuedOrder) {
-	if d.start != nil {
+	if d.prepareStart != nil {
 		s.startsInFlight++
 	}
 	sentAt := o.now()
 	wait := orderTimeout
-	if d.start != nil {
+	if d.prepareStart != nil {
 		// What is under way when the right to start it runs out is given up with it.
 		wait = min(wait, o.confirmedAt+ConfirmedFor-sentAt)
 	}
@@ -83,13 +83,13 @@
 	clockMs, err := d.send(ctx)
 	cancel()
 	o.mu.Lock()
-	if d.start != nil {
+	if d.prepareStart != nil {
 		s.startsInFlight--
 	}
 	o.cfg.Metrics.Order(err)
 	o.noteAnswerTime(o.now()-sentAt, err)
 	o.takeClock(s, clockOf(clockMs, err), sentAt)
-	d.answered(err)
+	d.onAnswer(err)
 }
 
 // clockOf is the worker's clock in the answer to an order, platform.NoClock for none.
--- a/pkg/shard/dispatch_test.go
+++ b/pkg/shard/dispatch_test.go
@@ -16,19 +16,19 @@
 type countingWorkers struct {
 	platform.Workers
 
-	mu        sync.Mutex
-	now, most int
+	mu            sync.Mutex
+	current, peak int
 }
 
 func (w *countingWorkers) StartAttempt(ctx context.Context, r platform.WorkerRef, o platform.StartOrder) (int64, error) {
 	w.mu.Lock()
-	w.now++
-	w.most = max(w.most, w.now)
+	w.current++
+	w.peak = max(w.peak, w.current)
 	w.mu.Unlock()
 	defer func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.now--
+		w.current--
 	}()
 	return w.Workers.StartAttempt(ctx, r, o)
 }
@@ -49,7 +49,7 @@
 		e.submit("a", "", "j1", "20x1000/1s")
 		time.Sleep(200 * time.Millisecond)
 		synctest.Wait()
-		qt.Check(t, counted.most, qt.Equals, 2)
+		qt.Check(t, counted.peak, qt.Equals, 2)
 		qt.Check(t, e.workers.Running("w1"), qt.HasLen, 20)
 	})
 }
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -20,17 +20,17 @@
 // durationStats is what is known of how long the tasks of one queue take. Callers'
 // estimates may be worthless; whichever of estimate and mean has been nearer is used.
 type durationStats struct {
-	seen          int
+	count         int
 	mean          float64 // seconds
 	meanError     float64 // mean distance of durations from the mean
 	estimateError float64 // mean distance of durations from the callers' estimates
 }
 
-func (l *durationStats) note(actual, hint time.Duration) {
+func (l *durationStats) add(actual, hint time.Duration) {
 	d, h := actual.Seconds(), hint.Seconds()
-	l.seen++
-	w := max(minDurationWeight, 1/float64(l.seen))
-	if l.seen > 1 {
+	l.count++
+	w := max(minDurationWeight, 1/float64(l.count))
+	if l.count > 1 {
 		l.meanError += w * (math.Abs(d-l.mean) - l.meanError)
 	}
 	l.estimateError += w * (math.Abs(d-h) - l.estimateError)
@@ -39,7 +39,7 @@
 
 // expected returns how long a task with an estimate is expected to take.
 func (l *durationStats) expected(hint time.Duration) time.Duration {
-	if l == nil || l.seen < minDurations && hint > 0 || l.seen == 0 || hint > 0 && l.estimateError <= l.meanError {
+	if l == nil || l.count < minDurations && hint > 0 || l.count == 0 || hint > 0 && l.estimateError <= l.meanError {
 		return hint
 	}
 	return time.Duration(l.mean * float64(time.Second))
@@ -57,7 +57,7 @@
 		o.durations[step.Job.Queue] = l
 	}
 	a.Task.Took = now - a.confirmedAt
-	l.note(a.Task.Took, step.Spec.Estimate)
+	l.add(a.Task.Took, step.Spec.Estimate)
 }
 
 // expectedStepTime is how long a step is expected to take once all its tasks have started.
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -28,7 +28,7 @@
 
 // pollPlan is when a worker is to be looked at next.
 type pollPlan struct {
-	after time.Duration // 0 for at once, negative for not before something changes
+	delay time.Duration // 0 for at once, negative for not before something changes
 	// onWake tells whether a change brings the look about at once; else the plan is made anew.
 	onWake bool
 }
@@ -37,19 +37,19 @@
 func (s *session) planPoll(now time.Duration, atLimit bool) pollPlan {
 	switch {
 	case !s.needsPoll(now):
-		return pollPlan{after: -1}
+		return pollPlan{delay: -1}
 	case s.unansweredCalls > 0 && !s.retryNow:
-		return pollPlan{after: pollRetryDelay, onWake: true}
+		return pollPlan{delay: pollRetryDelay, onWake: true}
 	case atLimit && s.synced && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
-		return pollPlan{after: s.polledAt + minPollInterval - now}
+		return pollPlan{delay: s.polledAt + minPollInterval - now}
 	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.unansweredCalls == 0 && !s.inDoubt:
 		// The look that acknowledges ends has to come when they are answered or given up; one
 		// before it may be another that has no answer.
-		return pollPlan{after: orderTimeout}
+		return pollPlan{delay: orderTimeout}
 	case s.inDoubt && s.startsInFlight > 0:
-		return pollPlan{after: orderPollDelay, onWake: !s.ends.hasUnstored() || s.unansweredCalls > 0}
+		return pollPlan{delay: orderPollDelay, onWake: !s.ends.hasUnstored() || s.unansweredCalls > 0}
 	case s.ends.hasUnstored():
-		return pollPlan{after: ackDelay, onWake: s.unansweredCalls > 0}
+		return pollPlan{delay: ackDelay, onWake: s.unansweredCalls > 0}
 	default:
 		return pollPlan{}
 	}
@@ -63,7 +63,7 @@
 		if o.releasing && !s.inDoubt {
 			// What ends now stays at its worker for the next owner. Taken, it kept a handover
 			// under 2,000 starts a second waiting for 144 to 604 ms (TestHandoverUnderLoad).
-			plan = pollPlan{after: -1}
+			plan = pollPlan{delay: -1}
 		}
 		o.mu.Unlock()
 		if s.awaitPoll(ctx, plan) {
@@ -74,12 +74,12 @@
 
 // awaitPoll waits as a plan says; it reports whether the look is due.
 func (s *session) awaitPoll(ctx context.Context, plan pollPlan) (due bool) {
-	if plan.after == 0 {
+	if plan.delay == 0 {
 		return true
 	}
 	var timer <-chan time.Time
-	if plan.after > 0 {
-		t := time.NewTimer(plan.after)
+	if plan.delay > 0 {
+		t := time.NewTimer(plan.delay)
 		defer t.Stop()
 		timer = t.C
 	}
--- a/pkg/shard/look_test.go
+++ b/pkg/shard/look_test.go
@@ -21,15 +21,15 @@
 		atLimit bool
 		want    pollPlan
 	}{
-		"nothing there":              {s: session{synced: true}, want: pollPlan{after: -1}},
+		"nothing there":              {s: session{synced: true}, want: pollPlan{delay: -1}},
 		"a task at work":             {s: busy(session{synced: true})},
 		"not heard yet":              {s: session{}},
 		"silent once":                {s: busy(session{synced: true, unansweredCalls: 1, retryNow: true})},
-		"silent":                     {s: busy(session{synced: true, unansweredCalls: 2}), want: pollPlan{after: pollRetryDelay, onWake: true}},
-		"ends to be kept":            {s: busy(session{synced: true, ends: endTracker{applied: 2, stored: 1}}), want: pollPlan{after: ackDelay}},
-		"a doubt, orders on the way": {s: busy(session{synced: true, inDoubt: true, startsInFlight: 1}), want: pollPlan{after: orderPollDelay, onWake: true}},
+		"silent":                     {s: busy(session{synced: true, unansweredCalls: 2}), want: pollPlan{delay: pollRetryDelay, onWake: true}},
+		"ends to be kept":            {s: busy(session{synced: true, ends: endTracker{applied: 2, stored: 1}}), want: pollPlan{delay: ackDelay}},
+		"a doubt, orders on the way": {s: busy(session{synced: true, inDoubt: true, startsInFlight: 1}), want: pollPlan{delay: orderPollDelay, onWake: true}},
 		"a doubt to settle":          {s: busy(session{synced: true, inDoubt: true})},
-		"at the owner's limit":       {s: busy(session{synced: true, polledAt: now - 200*time.Millisecond}), atLimit: true, want: pollPlan{after: minPollInterval - 200*time.Millisecond}},
+		"at the owner's limit":       {s: busy(session{synced: true, polledAt: now - 200*time.Millisecond}), atLimit: true, want: pollPlan{delay: minPollInterval - 200*time.Millisecond}},
 		"at the limit, long ago":     {s: busy(session{synced: true, polledAt: now - time.Second}), atLimit: true},
 		"at the limit, not heard":    {s: session{polledAt: now}, atLimit: true},
 	} {
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -41,7 +41,7 @@
 func (o *Owner) enqueueStart(s *session, name string, r *workerAttempt) {
 	a := r.Attempt
 	o.enqueueOrder(s, &queuedOrder{
-		start: func(now time.Duration) func(ctx context.Context) (int64, error) {
+		prepareStart: func(now time.Duration) func(ctx context.Context) (int64, error) {
 			if o.unwanted(a) || a.Number <= a.Task.Step.BrokenRun {
 				return nil
 			}
@@ -54,7 +54,7 @@
 				Str("boot", a.Boot).Int64("token", s.token).Int("at_worker", len(s.attempts)).Dur("queued", now-a.Since).Send()
 			return func(ctx context.Context) (int64, error) { return o.cfg.Workers.StartAttempt(ctx, s.ref, order) }
 		},
-		answered: func(err error) { o.startAnswered(s, name, r, err) },
+		onAnswer: func(err error) { o.startAnswered(s, name, r, err) },
 	})
 }
 
@@ -220,7 +220,7 @@
 	order := platform.StopOrder{Task: task, Attempt: attempt, Token: s.token}
 	o.enqueueOrder(s, &queuedOrder{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.StopAttempt(ctx, s.ref, order) },
-		answered: func(err error) {
+		onAnswer: func(err error) {
 			if err != nil {
 				o.log.Warn().Str("event", "stop_failed").Str("task", task).Str("boot", s.ref.Boot).Err(err).Send()
 			}
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -63,7 +63,7 @@
 	order := platform.PaceOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
 	o.enqueueOrder(s, &queuedOrder{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.PaceAttempt(ctx, s.ref, order) },
-		answered: func(err error) {
+		onAnswer: func(err error) {
 			if err != nil {
 				r.pacePercent, r.pacedAt = 0, 0 // not known; the next report decides anew
 				o.log.Warn().Str("event", "pace_failed").Str("task", name).Str("boot", s.ref.Boot).Err(err).Send()
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -31,7 +31,7 @@
 // stormResult is what came of it.
 type stormResult struct {
 	inTime, late, open, wronglyFailed int // jobs without a crashing task
-	down                              []int
+	workersDown                       []int
 	detectedAfter                     []time.Duration // from the submission of a crashing task to its job's end, by job
 	undetected                        int
 	longRunning                       int // long-running tasks at work in the end
@@ -80,7 +80,7 @@
 			got.open++
 		}
 	}
-	got.down = slices.Collect(maps.Values(e.witness.down))
+	got.workersDown = slices.Collect(maps.Values(e.witness.down))
 	for i := range stormLongRunning {
 		for k := range 5 {
 			got.longRunning += len(e.witness.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
@@ -143,7 +143,7 @@
 
 // lost is how many workers were brought down.
 func (s *stormResult) lost() (sum int) {
-	for _, n := range s.down {
+	for _, n := range s.workersDown {
 		sum += n
 	}
 	return sum
@@ -156,7 +156,7 @@
 		caught = s.detectedAfter[len(s.detectedAfter)/2]
 	}
 	return fmt.Sprintf("in time %d, late %d, open %d, wrongly failed %d; workers lost %d, most by one task %d; caught %d of %d, half within %s; long-running tasks at work %d",
-		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.down, 0)), len(s.detectedAfter), len(s.detectedAfter)+s.undetected, caught.Round(100*time.Millisecond), s.longRunning)
+		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.workersDown, 0)), len(s.detectedAfter), len(s.detectedAfter)+s.undetected, caught.Round(100*time.Millisecond), s.longRunning)
 }
 
 // BenchmarkStorm states what callers get of it and what it costs in workers, for a seed.
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -74,7 +74,7 @@
 	if ran < minStragglerRuntime {
 		return 0, false
 	}
-	total := r.total()
+	total := r.projectedDuration()
 	left = max(0, total-ran)
 	// A task that crawls wherever it runs does so by itself. With the same patience each
 	// time one that stood still was started 29 times in a minute, and held against each
@@ -90,8 +90,8 @@
 	return left, float64(total) > siblingFactor*float64(usual) && float64(left) > restartGainFactor*float64(usual+restartCost)
 }
 
-// total is how long the attempt will have taken at its present speed.
-func (r *workerAttempt) total() time.Duration {
+// projectedDuration is how long the attempt will have taken at its present speed.
+func (r *workerAttempt) projectedDuration() time.Duration {
 	return time.Duration(float64(r.reportedAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
 }
 
@@ -108,7 +108,7 @@
 			totals = append(totals, t.Took)
 		case len(t.Attempts) > 0 && t.Attempts[0].Boot != s.ref.Boot:
 			if other := o.findAttempt(t.Attempts[0]); other != nil && other.Percent >= minSiblingPercent {
-				totals = append(totals, other.total())
+				totals = append(totals, other.projectedDuration())
 			}
 		}
 	}
