--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -31,7 +31,7 @@
 func (o *Owner) adoptOrStop(s *session, r *platform.RunningAttempt, now time.Duration) *workerAttempt {
 	key := foreignKey{task: r.Task, number: r.Attempt}
 	if fa := s.foreign[key]; fa != nil {
-		if now-fa.stopOrderedAt > stopRetryInterval {
+		if now-fa.stopOrderedAt > stopTimeout {
 			o.stopForeign(s, key, fa, now)
 		}
 		return nil
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -20,9 +20,9 @@
 	unhealthyPause = 800 * time.Millisecond
 	// fullPause is how long a worker that reported no room gets no new tasks.
 	fullPause = 100 * time.Millisecond
-	// stopRetryInterval is how long to wait for the end of a stopped attempt before the stop is
+	// stopTimeout is how long to wait for the end of a stopped attempt before the stop is
 	// ordered again.
-	stopRetryInterval = 1200 * time.Millisecond
+	stopTimeout = 1200 * time.Millisecond
 )
 
 // orderStart registers an attempt and has its start sent; the caller holds the lock.
@@ -233,7 +233,7 @@
 // retryStops repeats stop orders whose attempts have not ended.
 func (o *Owner) retryStops(s *session, now time.Duration) {
 	overdue := func(r *workerAttempt) bool {
-		return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopRetryInterval
+		return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopTimeout
 	}
 	for _, name := range sortedKeysWhere(s.attempts, overdue) {
 		o.orderStop(s, s.attempts[name])
