--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -67,7 +67,7 @@
 // number, 0 for none. Ends behind a gap wait for the next report: acknowledging them would
 // drop the missing one, and its task would run again. To a new owner the first report always
 // has a gap, since it doesn't know the next number.
-func (e *endTracker) applicable(listed []platform.AttemptEnd) (countable []platform.AttemptEnd, missing int64) {
+func (e *endTracker) applicable(listed []platform.AttemptEnd) (ready []platform.AttemptEnd, missing int64) {
 	all := append(slices.Clone(listed), e.deferred...)
 	slices.SortStableFunc(all, func(a, b platform.AttemptEnd) int { return cmp.Compare(a.Number, b.Number) })
 	all = slices.CompactFunc(all, func(a, b platform.AttemptEnd) bool { return a.Number == b.Number })
--- a/pkg/shard/ends_test.go
+++ b/pkg/shard/ends_test.go
@@ -27,8 +27,8 @@
 		t.Run(name, func(t *testing.T) {
 			e := endTracker{applied: tc.seen}
 			for i, list := range tc.lists {
-				countable, _ := e.applicable(listed(list))
-				got := numbers(countable)
+				ready, _ := e.applicable(listed(list))
+				got := numbers(ready)
 				qt.Check(t, got, qt.DeepEquals, tc.want[i])
 				for _, n := range got {
 					e.applied = max(e.applied, n)
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -26,23 +26,23 @@
 	estimateError float64 // mean absolute error of the callers' estimates, in seconds
 }
 
-func (l *durationStats) add(actual, hint time.Duration) {
+func (ds *durationStats) add(actual, hint time.Duration) {
 	d, h := actual.Seconds(), hint.Seconds()
-	l.count++
-	w := max(minDurationWeight, 1/float64(l.count))
-	if l.count > 1 {
-		l.meanError += w * (math.Abs(d-l.mean) - l.meanError)
+	ds.count++
+	w := max(minDurationWeight, 1/float64(ds.count))
+	if ds.count > 1 {
+		ds.meanError += w * (math.Abs(d-ds.mean) - ds.meanError)
 	}
-	l.estimateError += w * (math.Abs(d-h) - l.estimateError)
-	l.mean += w * (d - l.mean)
+	ds.estimateError += w * (math.Abs(d-h) - ds.estimateError)
+	ds.mean += w * (d - ds.mean)
 }
 
 // expected returns how long a task with the estimate hint is expected to take.
-func (l *durationStats) expected(hint time.Duration) time.Duration {
-	if l == nil || l.count < minDurations && hint > 0 || l.count == 0 || hint > 0 && l.estimateError <= l.meanError {
+func (ds *durationStats) expected(hint time.Duration) time.Duration {
+	if ds == nil || ds.count < minDurations && hint > 0 || ds.count == 0 || hint > 0 && ds.estimateError <= ds.meanError {
 		return hint
 	}
-	return time.Duration(l.mean * float64(time.Second))
+	return time.Duration(ds.mean * float64(time.Second))
 }
 
 // recordDuration records the duration of a completed task.
@@ -51,13 +51,13 @@
 	if step.Spec.LongRunning || a.confirmedAt == 0 || a.Checkpoint != "" {
 		return
 	}
-	l := o.durations[step.Job.Queue]
-	if l == nil {
-		l = &durationStats{}
-		o.durations[step.Job.Queue] = l
+	ds := o.durations[step.Job.Queue]
+	if ds == nil {
+		ds = &durationStats{}
+		o.durations[step.Job.Queue] = ds
 	}
 	a.Task.Took = now - a.confirmedAt
-	l.add(a.Task.Took, step.Spec.Estimate)
+	ds.add(a.Task.Took, step.Spec.Estimate)
 }
 
 // expectedStepTime returns how long a step is expected to take once all its tasks have started.
--- a/pkg/shard/look.go
+++ b/pkg/shard/look.go
@@ -139,14 +139,14 @@
 
 // sendPoll sends a poll and waits for the report; it releases the lock during the call.
 func (o *Owner) sendPoll(ctx context.Context, s *session, order platform.RenewOrder) (report platform.WorkerReport, err error) {
-	lookCtx, cancel := context.WithTimeout(ctx, order.Wait+pollTimeout)
+	pollCtx, cancel := context.WithTimeout(ctx, order.Wait+pollTimeout)
 	defer cancel()
 	if order.Wait > 0 {
 		s.cancelPoll = cancel
 	}
 	o.mu.Unlock()
-	report, err = o.cfg.Workers.RenewLeases(lookCtx, s.ref, order)
-	interrupted := err != nil && errors.Is(lookCtx.Err(), context.Canceled)
+	report, err = o.cfg.Workers.RenewLeases(pollCtx, s.ref, order)
+	interrupted := err != nil && errors.Is(pollCtx.Err(), context.Canceled)
 	o.mu.Lock()
 	s.cancelPoll = nil
 	if interrupted {
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -42,7 +42,7 @@
 var rowFaults = []fake.Fault{fake.FaultDown, fake.FaultLostBefore, fake.FaultLostAfter, fake.FaultLate}
 
 // salt varies the order of simultaneous events in drawn scenarios, for manual searches.
-var salt = flag.Uint64("salt", 0, "orders of what happens at the same time in drawn courses")
+var salt = flag.Uint64("salt", 0, "order of simultaneous events in drawn scenarios")
 
 // newScenario returns a scenario on its own testCluster, into which plant, unless nil, injects a bug.
 func newScenario(t *rapid.T, plant func(*testCluster)) *scenario {
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -232,9 +232,7 @@
 
 // retryStops repeats stop orders whose attempts have not ended.
 func (o *Owner) retryStops(s *session, now time.Duration) {
-	overdue := func(r *workerAttempt) bool {
-		return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopTimeout
-	}
+	overdue := func(r *workerAttempt) bool { return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopTimeout }
 	for _, name := range sortedKeysWhere(s.attempts, overdue) {
 		o.orderStop(s, s.attempts[name])
 	}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -157,8 +157,8 @@
 	if err != nil {
 		return nil, err
 	}
-	openedAt := cfg.Clock.Now()
-	k, err := readKept(ctx, cfg.Rows, cfg.Pool, c.Term, openedAt, func(e errMalformedRow) {
+	tookOverAt := cfg.Clock.Now()
+	k, err := readKept(ctx, cfg.Rows, cfg.Pool, c.Term, tookOverAt, func(e errMalformedRow) {
 		cfg.Metrics.RowMalformed(e.key.Table)
 		cfg.Log.Error().Str("event", "row_malformed").Str("pool", cfg.Pool).Str("table", e.key.Table).Str("key", e.key.Key).Err(e.cause).Send()
 	})
@@ -174,7 +174,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.confirmedAt, o.soleOwnerAt = openedAt, c.at, openedAt+c.left
+	o.tookOverAt, o.confirmedAt, o.soleOwnerAt = tookOverAt, c.at, tookOverAt+c.left
 	o.start(k, workers, cfg.Clock.Now())
 	return o, nil
 }
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -75,7 +75,7 @@
 // of an earlier transaction is unknown, it leaves the record of leased workers unchanged.
 func (o *Owner) writeRelease(ctx context.Context, next string) (err error) {
 	to := Successor{Entry: next, Left: max(0, o.soleOwnerAt-o.now())}
-	unkept := o.unheardLoss || len(o.dirty) > 0
+	noteLoss := o.unheardLoss || len(o.dirty) > 0
 	txn, err := o.releaseTxn()
 	if err != nil {
 		return err
@@ -85,7 +85,7 @@
 		return err
 	}
 	txn = platform.RowTxn{}
-	if unkept {
+	if noteLoss {
 		if err := o.putUnheardRow(&txn); err != nil {
 			return err
 		}
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -74,14 +74,14 @@
 	o.confirmAttempt(s, a, now)
 }
 
-// applyEnds applies the reported ends that are complete up to a gap in their numbers.
+// applyEnds applies the reported ends up to the first gap in their numbers.
 func (o *Owner) applyEnds(s *session, listed []platform.AttemptEnd, now time.Duration) {
-	countable, missing := s.ends.applicable(listed)
+	ready, missing := s.ends.applicable(listed)
 	if missing > 0 {
 		o.log.Debug().Str("event", "end_missing").Str("boot", s.ref.Boot).Int64("end", missing).Int64("listed", s.ends.deferred[0].Number).Send()
 	}
-	for i := range countable {
-		e := &countable[i]
+	for i := range ready {
+		e := &ready[i]
 		switch {
 		case e.Number > s.ends.applied:
 			s.ends.markApplied(e.Number, e.Task)
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -30,8 +30,8 @@
 
 // stormResult is the outcome of a run.
 type stormResult struct {
-	inTime, late, open, wronglyFailed int // jobs without a crashing task
-	workersDown                       []int
+	inTime, late, open, wronglyFailed int             // jobs without a crashing task
+	workersDown                       []int           // by crashing task
 	detectedAfter                     []time.Duration // by job: from the submission of a crashing task to the job's end
 	undetected                        int
 	longRunning                       int // long-running tasks that run at the end
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -134,7 +134,7 @@
 // TestEvacuationsFindsPlanted checks that evacuations detects an owner that never learns of zones,
 // and one that learns of them only when it takes over.
 func TestEvacuationsFindsPlanted(t *testing.T) {
-	for name, mishear := range map[string]func(told func(string) bool) func(string) bool{
+	for name, wrap := range map[string]func(told func(string) bool) func(string) bool{
 		"not told": func(func(string) bool) func(string) bool {
 			return func(string) bool { return false }
 		},
@@ -144,7 +144,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			plant := func(e *testCluster) { e.zones.wrapReport = mishear }
+			plant := func(e *testCluster) { e.zones.wrapReport = wrap }
 			qt.Assert(t, prop.Finds(t, evacuations(plant)), qt.IsTrue)
 		})
 	}
