--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -80,16 +80,16 @@
 type spareRoom struct {
 	owner *Owner
 	now   time.Duration
-	// hosts and soon are the workers as they are and with their finite tasks ended; nil until needed.
-	hosts, soon []*placement.Host
+	// hosts and future are the workers as they are and with their finite tasks ended; nil until needed.
+	hosts, future []*placement.Host
 }
 
 // reserve takes room for one more task of a step; it reports whether there is any.
 func (e *spareRoom) reserve(step *jobs.StepRun) bool {
 	if e.hosts == nil {
-		e.hosts, e.soon = e.owner.scratchHosts(e.now), e.owner.futureHosts(e.now)
+		e.hosts, e.future = e.owner.scratchHosts(e.now), e.owner.futureHosts(e.now)
 	}
-	return placement.Reserve(step, e.hosts) || placement.Reserve(step, e.soon)
+	return placement.Reserve(step, e.hosts) || placement.Reserve(step, e.future)
 }
 
 // evacuate stops the long-running tasks at a worker that have room elsewhere, so that they
@@ -131,13 +131,13 @@
 // mayMiss reports whether a task may be stopped: fewer other tasks of its step are missing
 // than the step allows, for whatever cause.
 func (o *Owner) mayMiss(step *jobs.StepRun, t *jobs.Task) bool {
-	away := 0
+	missing := 0
 	for _, other := range step.Tasks {
 		if other != t && !o.serves(other) {
-			away++
+			missing++
 		}
 	}
-	return away < step.Spec.MayMiss
+	return missing < step.Spec.MayMiss
 }
 
 // serves reports whether a long-running task is known to serve; one at a worker that does
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -45,7 +45,7 @@
 		"orders without fencing": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
-		"boots are not told apart": func(e *testCluster) {
+		"boots not distinguished": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return bornless{w} }
 		},
 		"losses forgotten at a takeover": func(e *testCluster) {
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -135,10 +135,10 @@
 // and one that learns of them only when it takes over.
 func TestEvacuationsFindsPlanted(t *testing.T) {
 	for name, wrap := range map[string]func(told func(string) bool) func(string) bool{
-		"not told": func(func(string) bool) func(string) bool {
+		"never informed": func(func(string) bool) func(string) bool {
 			return func(string) bool { return false }
 		},
-		"told at the takeover only": func(told func(string) bool) func(string) bool {
+		"informed at the takeover only": func(told func(string) bool) func(string) bool {
 			known := map[string]bool{"z1": told("z1"), "z2": told("z2")}
 			return func(zone string) bool { return known[zone] }
 		},
