--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Once is Check with the one case that a seed draws.
-func Once(t *testing.T, seed uint64, property func(*rapid.T)) {
+// CheckSeed is Check with the one case that a seed draws.
+func CheckSeed(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.seed": strconv.FormatUint(seed, 10), "rapid.checks": "1"})()
 	Check(t, property)
--- a/pkg/shard/innocent_test.go
+++ b/pkg/shard/innocent_test.go
@@ -12,7 +12,7 @@
 // losses of any kind were taken for proof, two of them of workers that were up and were heard again
 // soon after. Evidence: loss_counted for boots of which no worker_ended follows, the fourth with the
 // verdict guilty, task_given_up, and then worker_regained for the same boots.
-func TestInnocentBesideSilence(t *testing.T) { prop.Once(t, 2142713, crashes(nil)) }
+func TestInnocentBesideSilence(t *testing.T) { prop.CheckSeed(t, 2142713, crashes(nil)) }
 
 // TestInnocentOnTrialAtTakeover: a job that did nothing was given up. Its task was started on trial,
 // alone at its worker; the owner went, and the next one adopted the attempt and did not know that
@@ -20,7 +20,7 @@
 // counted against the task on trial, though none of the four was of a worker kept for it at the
 // time. Evidence: trial_started by the one owner, attempt_found and start_ordered for that worker by
 // the next, then loss_counted with trial false and the verdict guilty.
-func TestInnocentOnTrialAtTakeover(t *testing.T) { prop.Once(t, 14215917, restarts(nil)) }
+func TestInnocentOnTrialAtTakeover(t *testing.T) { prop.CheckSeed(t, 14215917, restarts(nil)) }
 
 // TestMostWorkersDown: a task brought six workers down, one more than callers are promised. The first
 // of them was counted while its owner was handing the shard over by plan. It had waited for the silent
@@ -28,4 +28,4 @@
 // kept; its record named the worker no more. The next owner was gone before it had kept the second
 // loss, so that two starts were unknown. Evidence: loss_counted at 1,083 ms and shard_released with quiet
 // false at 1,090, then loss_counted with losses 1 by the third owner, after three workers.
-func TestMostWorkersDown(t *testing.T) { prop.Once(t, 190819, crashes(nil)) }
+func TestMostWorkersDown(t *testing.T) { prop.CheckSeed(t, 190819, crashes(nil)) }
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -333,7 +333,7 @@
 
 // TestLimitOfCancelledJob is a course in which an account was over its limit; testdata/limit_counts_cancelled
 // tells the story.
-func TestLimitOfCancelledJob(t *testing.T) { prop.Once(t, 4888604, property(nil)) }
+func TestLimitOfCancelledJob(t *testing.T) { prop.CheckSeed(t, 4888604, property(nil)) }
 
 // TestOwnerFindsPlanted shows that the machine finds an owner whose orders are
 // not fenced, one that acknowledges ends before they are kept, and one whose
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -188,5 +188,5 @@
 func TestStartInFirstMillisecondDrawn(t *testing.T) {
 	defer func(before uint64) { *salt = before }(*salt)
 	*salt = 18
-	prop.Once(t, 39651348, restarts(nil))
+	prop.CheckSeed(t, 39651348, restarts(nil))
 }
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -44,4 +44,4 @@
 
 // TestReplacedOwnerAtNextBootDrawn: a task ran twice at the same time, as in
 // TestReplacedOwnerAtNextBoot, in a course that was drawn.
-func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.Once(t, 94954, restarts(nil)) }
+func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.CheckSeed(t, 94954, restarts(nil)) }
