--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -78,9 +78,9 @@
 	Check(t, property)
 }
 
-// Play plays the one case that a seed draws, whether it fails or not. A case that fails is
+// Replay plays the one case that a seed draws, whether it fails or not. A case that fails is
 // played more than once.
-func Play(t *testing.T, seed uint64, property func(*rapid.T)) {
+func Replay(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.seed": strconv.FormatUint(seed, 10), "rapid.checks": "1"})()
 	fails(func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -45,7 +45,7 @@
 // courseLog is what the owners of a course log, the first time that it is played.
 func courseLog(t *testing.T, seed uint64, course func(func(*estate)) func(*rapid.T)) string {
 	var first *estate
-	prop.Play(t, seed, course(func(e *estate) {
+	prop.Replay(t, seed, course(func(e *estate) {
 		if first == nil {
 			first = e
 		}
