--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -86,9 +86,9 @@
 	fails(func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
 }
 
-// Finds tells whether the property fails for some case; tests use it on variants
+// FindsFailure tells whether the property fails for some case; tests use it on variants
 // that are broken on purpose, to show that the property can fail.
-func Finds(t *testing.T, property func(*rapid.T)) bool {
+func FindsFailure(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	return finds(func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
 }
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -336,6 +336,6 @@
 		"late grants taken":                       {lateTaken: true},
 		"stopping tasks not counted":              {ignoresStopping: true},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(f)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, property(f)), qt.IsTrue) })
 	}
 }
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -518,7 +518,7 @@
 		"drains are not waited": {hastyDecision: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/fleetops/distance_test.go
+++ b/pkg/fleetops/distance_test.go
@@ -257,7 +257,7 @@
 		"what a former holder announced is empty": func(rows platform.Rows) platform.Rows { return blind{rows} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := prop.Finds(t, distance(func(m *distanceMachine) {
+			found := prop.FindsFailure(t, distance(func(m *distanceMachine) {
 				whole := m.s.rowsOf
 				m.s.rowsOf = func(entry string, rows platform.Rows) platform.Rows { return breaks(whole(entry, rows)) }
 			}))
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -172,7 +172,7 @@
 
 // TestPlanted drops the condition that a key is new: the property must see it.
 func TestPlanted(t *testing.T) {
-	qt.Assert(t, prop.Finds(t, func(rt *rapid.T) {
+	qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) {
 		machine(rt, func(t platform.Table) platform.Table { return forgetful{t} })
 	}), qt.IsTrue)
 }
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -85,7 +85,7 @@
 		"lost answer taken for nothing": func(t platform.Table) platform.Table { return overconfident{t} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -50,7 +50,7 @@
 	plant := func(e *estate) {
 		e.breakRows = func(r platform.Rows) platform.Rows { return lossless{r} }
 	}
-	qt.Assert(t, prop.Finds(t, crashes(plant)), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, crashes(plant)), qt.IsTrue)
 }
 
 // lossless does not show the losses that are kept of tasks.
--- a/pkg/shard/machine_test.go
+++ b/pkg/shard/machine_test.go
@@ -353,6 +353,6 @@
 			e.breakRows = func(r platform.Rows) platform.Rows { return forgetful{r} }
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, property(plant)), qt.IsTrue) })
 	}
 }
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -52,6 +52,6 @@
 			e.breakRows = func(r platform.Rows) platform.Rows { return lossless{r} }
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, mixed(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, mixed(plant)), qt.IsTrue) })
 	}
 }
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -102,7 +102,7 @@
 			plant := func(e *estate) {
 				e.breakRows = func(r platform.Rows) platform.Rows { return partless{Rows: r, hidden: hidden} }
 			}
-			qt.Assert(t, prop.Finds(t, property(plant)), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, property(plant)), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -102,7 +102,7 @@
 			}
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, restarts(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, restarts(plant)), qt.IsTrue) })
 	}
 }
 
--- a/pkg/shard/rivals_test.go
+++ b/pkg/shard/rivals_test.go
@@ -56,5 +56,5 @@
 	plant := func(e *estate) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool { return true }
 	}
-	qt.Assert(t, prop.Finds(t, rivals(plant)), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, rivals(plant)), qt.IsTrue)
 }
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -149,5 +149,5 @@
 
 // TestSuspendedFindsPlanted shows that it finds owners that know the steady clock only.
 func TestSuspendedFindsPlanted(t *testing.T) {
-	qt.Assert(t, prop.Finds(t, dozes(func(e *estate) { e.steadyOnly = true })), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, dozes(func(e *estate) { e.steadyOnly = true })), qt.IsTrue)
 }
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -146,7 +146,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			plant := func(e *estate) { e.zones.mishear = mishear }
-			qt.Assert(t, prop.Finds(t, evacuations(plant)), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, evacuations(plant)), qt.IsTrue)
 		})
 	}
 }
