--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -38,8 +38,8 @@
 	rapid.Check(t, property)
 }
 
-// FindsReal is Finds in real time.
-func FindsReal(t *testing.T, property func(*rapid.T)) bool {
+// FindsFailureRealTime is Finds in real time.
+func FindsFailureRealTime(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	return finds(property)
 }
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -312,7 +312,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.FindsReal(t, func(rt *rapid.T) { pathMachine(rt, s) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailureRealTime(t, func(rt *rapid.T) { pathMachine(rt, s) }), qt.IsTrue)
 		})
 	}
 }
