--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -30,9 +30,9 @@
 	rapid.Check(t, func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
 }
 
-// CheckReal is rapid.Check with n cases in real time, for properties over real
+// CheckRealTime is rapid.Check with n cases in real time, for properties over real
 // connections; such a property must not judge by time.
-func CheckReal(t *testing.T, n int, property func(*rapid.T)) {
+func CheckRealTime(t *testing.T, n int, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.checks": strconv.Itoa(n)})()
 	rapid.Check(t, property)
--- a/pkg/gateway/fuzz_test.go
+++ b/pkg/gateway/fuzz_test.go
@@ -258,7 +258,7 @@
 // TestPath proves outcomes, whole and own answers and at most once over real
 // connections; it judges by what ran, never by time.
 func TestPath(t *testing.T) {
-	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, none) })
+	prop.CheckRealTime(t, 25, func(rt *rapid.T) { pathMachine(rt, none) })
 }
 
 // TestPathPlanted breaks each promise once, on purpose: the property must see it.
