--- a/cmd/gannetbench/cmds/claims.go
+++ b/cmd/gannetbench/cmds/claims.go
@@ -23,7 +23,7 @@
 	}
 	for _, r := range results {
 		_, _ = fmt.Fprintf(c.stdout, "%-10s offered %4d/s: claimed %6.0f/s, refused %6.0f/s, table writes %6.1f/s, added p50 %5.1f ms, p99 %6.1f ms\n",
-			r.Way, r.Offered, r.Claimed, r.Refused, r.WritesPerS, r.AddedP50Ms, r.AddedP99Ms)
+			r.Method, r.Offered, r.Claimed, r.Refused, r.WritesPerS, r.AddedP50Ms, r.AddedP99Ms)
 	}
 	return nil
 }
--- a/cmd/gannetbench/cmds/cmds.go
+++ b/cmd/gannetbench/cmds/cmds.go
@@ -15,7 +15,7 @@
 	return &cli.Program{
 		Name: "gannetbench", Summary: "Stand-ins for the platform and backend servers, a demo, and experiments.",
 		Stdout: stdout, Stderr: stderr,
-		Add: func(p *flags.Parser) error {
+		AddCommands: func(p *flags.Parser) error {
 			commands := []struct {
 				name, short, long string
 				command           flags.Commander
--- a/cmd/gannetbench/cmds/demo.go
+++ b/cmd/gannetbench/cmds/demo.go
@@ -34,7 +34,7 @@
 	if len(c.Deployments) > 0 {
 		o.Deployments = c.Deployments
 	}
-	o.For, o.Seed, o.Scale, o.Progress = c.For, c.Seed, c.Scale, c.stderr
+	o.Duration, o.Seed, o.Scale, o.Progress = c.For, c.Seed, c.Scale, c.stderr
 	if c.Log != "" {
 		f, err := os.Create(c.Log)
 		if err != nil {
@@ -52,7 +52,7 @@
 		c.print(sum)
 	}
 	if err == nil && sum.Harm() {
-		err = cli.Exit(cli.ExitFailed, errors.New("a counter of harm is not zero"))
+		err = cli.WithExitCode(cli.ExitFailed, errors.New("a counter of harm is not zero"))
 	}
 	return err
 }
--- a/cmd/gannetbench/cmds/late.go
+++ b/cmd/gannetbench/cmds/late.go
@@ -27,23 +27,23 @@
 		return err
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	windows, err := lateness.Table(f, lateness.Objective{Target: c.Target, Stretch: c.Stretch}, c.Window)
+	windows, err := lateness.CountByWindow(f, lateness.Objective{Target: c.Target, Stretch: c.Stretch}, c.Window)
 	if err != nil {
 		return err
 	}
-	sum := lateness.Window{Counts: map[lateness.Cause]int{}}
-	c.row("from", func(cause lateness.Cause) string { return string(cause) })
+	total := lateness.Window{Counts: map[lateness.Cause]int{}}
+	c.printRow("from", func(cause lateness.Cause) string { return string(cause) })
 	for _, w := range windows {
-		c.row(w.From.String(), func(cause lateness.Cause) string { return fmt.Sprint(w.Counts[cause]) })
+		c.printRow(w.From.String(), func(cause lateness.Cause) string { return fmt.Sprint(w.Counts[cause]) })
 		for cause, n := range w.Counts {
-			sum.Counts[cause] += n
+			total.Counts[cause] += n
 		}
 	}
-	c.row("all", func(cause lateness.Cause) string { return fmt.Sprint(sum.Counts[cause]) })
+	c.printRow("all", func(cause lateness.Cause) string { return fmt.Sprint(total.Counts[cause]) })
 	return nil
 }
 
-func (c *lateCommand) row(name string, cell func(lateness.Cause) string) {
+func (c *lateCommand) printRow(name string, cell func(lateness.Cause) string) {
 	_, _ = fmt.Fprintf(c.stdout, "%-8s", name)
 	for _, cause := range lateness.Causes {
 		_, _ = fmt.Fprintf(c.stdout, " %13s", cell(cause))
--- a/cmd/gannetbench/cmds/load.go
+++ b/cmd/gannetbench/cmds/load.go
@@ -34,7 +34,7 @@
 		return nil
 	}
 	if c.Scenario == "" {
-		return cli.Exit(cli.ExitUsage, errors.New("--scenario or --list is needed"))
+		return cli.WithExitCode(cli.ExitUsage, errors.New("--scenario or --list is needed"))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
--- a/cmd/gannetbench/cmds/standin.go
+++ b/cmd/gannetbench/cmds/standin.go
@@ -26,7 +26,7 @@
 	stdout io.Writer
 }
 
-const pathMode = 0o644
+const tableFileMode = 0o644
 
 // Execute implements flags.Commander.
 func (c *standinCommand) Execute([]string) error {
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(c.Table, doc, pathMode); err != nil {
+	if err := os.WriteFile(c.Table, doc, tableFileMode); err != nil {
 		return errors.Wrap(err, "write table file")
 	}
 	_, _ = fmt.Fprintf(c.stdout, "platform of %s; apply %s to fill the table\n", s.Name, c.Table)
--- a/cmd/gannetctl/cmds/audit.go
+++ b/cmd/gannetctl/cmds/audit.go
@@ -45,7 +45,7 @@
 	}
 	audit, err := cl.Audit(context.Background(), q)
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	for _, e := range audit.Entries {
 		c.printf("revision %d  %s  %s: %s\n", e.Revision, time.UnixMilli(int64(e.AtMs)).UTC().Format(time.RFC3339), e.Actor, e.Reason)
@@ -80,7 +80,7 @@
 	}
 	e, err := cl.Explain(context.Background(), c.Args.Kind, c.Args.Name)
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	for _, s := range e.Sentences {
 		c.printf("%s\n", s)
--- a/cmd/gannetctl/cmds/cmds.go
+++ b/cmd/gannetctl/cmds/cmds.go
@@ -33,9 +33,9 @@
 }
 
 const (
-	callTimeout = 15 * time.Second
-	editTries   = 3
-	tryGap      = 250 * time.Millisecond
+	callTimeout     = 15 * time.Second
+	maxEditAttempts = 3
+	retryInterval   = 250 * time.Millisecond
 )
 
 // New returns the program.
@@ -43,52 +43,52 @@
 	c := &console{stdin: stdin, stdout: stdout, stderr: stderr}
 	return &cli.Program{
 		Name: "gannetctl", Summary: "The operators' command line.",
-		Global: c, Stdout: stdout, Stderr: stderr,
-		Add: func(p *flags.Parser) error { return addAll(p, c) },
+		GlobalOptions: c, Stdout: stdout, Stderr: stderr,
+		AddCommands: func(p *flags.Parser) error { return addCommands(p, c) },
 	}
 }
 
-// sub is one sub-command and its own sub-commands.
-type sub struct {
+// subcommand is one subcommand-command and its own subcommand-commands.
+type subcommand struct {
 	name, short, long string
 	data              any
-	subs              []sub
+	subcommands       []subcommand
 }
 
-// group is the data of a command that only has sub-commands.
-type group struct{}
+// noOptions is the data of a command that only has sub-commands.
+type noOptions struct{}
 
-func addAll(p *flags.Parser, c *console) error { return add(p.Command, commands(c)) }
+func addCommands(p *flags.Parser, c *console) error { return addSubcommands(p.Command, commands(c)) }
 
-func add(parent *flags.Command, subs []sub) error {
+func addSubcommands(parent *flags.Command, subs []subcommand) error {
 	for _, s := range subs {
 		data := s.data
 		if data == nil {
-			data = &group{}
+			data = &noOptions{}
 		}
 		cmd, err := parent.AddCommand(s.name, s.short, s.long, data)
 		if err != nil {
 			return err
 		}
-		if err := add(cmd, s.subs); err != nil {
+		if err := addSubcommands(cmd, s.subcommands); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func commands(c *console) []sub {
-	return []sub{
+func commands(c *console) []subcommand {
+	return []subcommand{
 		{name: "check", short: "Check a table file", long: "Checks a table file by itself, without an entry; exits with 3 when it is not valid.\n\nExample:\n  gannetctl check -f _fixtures/aula-pampa.jsonc", data: &checkCommand{console: c}},
-		{name: "table", short: "Read and change the table", long: "Reads and changes the table.", subs: tableCommands(c)},
-		{name: "wave", short: "Maintenance waves", long: "Starts and steers maintenance waves.", subs: waveCommands(c)},
+		{name: "table", short: "Read and change the table", long: "Reads and changes the table.", subcommands: tableCommands(c)},
+		{name: "wave", short: "Maintenance waves", long: "Starts and steers maintenance waves.", subcommands: waveCommands(c)},
 		{name: "audit", short: "Search the audit trail", long: "Prints who or what changed which row, why and on which evidence, the newest first.\n\nExamples:\n  gannetctl audit --kind vm --name w07\n  gannetctl audit --actor maria --since 24h", data: &auditCommand{console: c}},
 		{name: "explain", short: "Say why something is where it is", long: "Tells in sentences where a VM, pool, job or wave is, why, and what it waits for; or why a request failed, by the ID in its answer, asked of the entry that its answer names.\n\nExamples:\n  gannetctl explain vm w07\n  gannetctl explain pool live-rooms\n  gannetctl explain request 554c60245c27f4f779e40801", data: &explainCommand{console: c}},
-		{name: "job", short: "Jobs of the job service", long: "Asks about jobs of the job service.", subs: jobCommands(c)},
-		{name: "pool", short: "Pools of the job service", long: "Asks about pools of the job service.", subs: poolCommands(c)},
-		{name: "owner", short: "Owners of shards", long: "Asks which entry owns what.", subs: ownerCommands(c)},
-		{name: "account", short: "Client accounts", long: "Asks what client accounts have been promised and what they have running.", subs: accountCommands(c)},
-		{name: "zone", short: "Availability zones", long: "Asks which zones are out of use.", subs: zoneCommands(c)},
+		{name: "job", short: "Jobs of the job service", long: "Asks about jobs of the job service.", subcommands: jobCommands(c)},
+		{name: "pool", short: "Pools of the job service", long: "Asks about pools of the job service.", subcommands: poolCommands(c)},
+		{name: "owner", short: "Owners of shards", long: "Asks which entry owns what.", subcommands: ownerCommands(c)},
+		{name: "account", short: "Client accounts", long: "Asks what client accounts have been promised and what they have running.", subcommands: accountCommands(c)},
+		{name: "zone", short: "Availability zones", long: "Asks which zones are out of use.", subcommands: zoneCommands(c)},
 		{name: "token", short: "Make an operator's token", long: "Prints a fresh token and the token_sha256 that settings keep of it.\n\nExample:\n  gannetctl token", data: &tokenCommand{console: c}},
 	}
 }
@@ -138,30 +138,30 @@
 		return err
 	}
 	q := api.EditRequest{ID: newID(), Reason: reason, Changes: changes}
-	lost := false // some try may have been accepted
-	for try := 1; ; try++ {
+	maybeAccepted := false // some attempt may have been accepted
+	for attempt := 1; ; attempt++ {
 		result, err := cl.Edit(context.Background(), q)
 		if err == nil {
 			c.printf("accepted as revision %d, edit %s\n", result.Revision, result.EditID)
 			return nil
 		}
-		code := codeOf(err)
-		lost = lost || code == api.ErrorCodeUnknown
+		code := errorCode(err)
+		maybeAccepted = maybeAccepted || code == api.ErrorCodeUnknown
 		if code != api.ErrorCodeUnknown && code != api.ErrorCodeNotDone {
-			return exitOf(err)
+			return withExitCode(err)
 		}
-		if try == editTries && lost {
-			return cli.Exit(cli.ExitUnknown, errors.Wrapf(err, "edit %s may have been accepted, see gannetctl audit", q.ID))
+		if attempt == maxEditAttempts && maybeAccepted {
+			return cli.WithExitCode(cli.ExitUnknown, errors.Wrapf(err, "edit %s may have been accepted, see gannetctl audit", q.ID))
 		}
-		if try == editTries {
-			return cli.Exit(cli.ExitFailed, errors.Wrap(err, "nothing was written, try again later"))
+		if attempt == maxEditAttempts {
+			return cli.WithExitCode(cli.ExitFailed, errors.Wrap(err, "nothing was written, try again later"))
 		}
-		time.Sleep(tryGap)
+		time.Sleep(retryInterval)
 	}
 }
 
-// codeOf sorts the failure of an edit; without an answer its outcome is unknown.
-func codeOf(err error) api.ErrorCode {
+// errorCode sorts the failure of an edit; without an answer its outcome is unknown.
+func errorCode(err error) api.ErrorCode {
 	var failure client.ErrAPI
 	if !errors.As(err, &failure) {
 		return api.ErrorCodeUnknown
@@ -169,17 +169,17 @@
 	return failure.Body.Code
 }
 
-// exitOf gives an entry's refusal its exit code.
-func exitOf(err error) error {
+// withExitCode gives an entry's refusal its exit code.
+func withExitCode(err error) error {
 	var failure client.ErrAPI
 	if !errors.As(err, &failure) {
 		return err
 	}
 	switch failure.Body.Code {
 	case api.ErrorCodeConflict:
-		return cli.Exit(cli.ExitConflict, err)
+		return cli.WithExitCode(cli.ExitConflict, err)
 	case api.ErrorCodeRejected, api.ErrorCodeNoChange, api.ErrorCodeMalformed:
-		return cli.Exit(cli.ExitInvalid, err)
+		return cli.WithExitCode(cli.ExitInvalid, err)
 	}
 	return err
 }
--- a/cmd/gannetctl/cmds/cmds_test.go
+++ b/cmd/gannetctl/cmds/cmds_test.go
@@ -28,9 +28,11 @@
 	"github.com/gannetwell/gannetwell/service/server"
 )
 
-type blind struct{}
+type noObservations struct{}
 
-func (blind) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation { return nil }
+func (noObservations) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation {
+	return nil
+}
 
 // What differs from run to run.
 var (
@@ -40,7 +42,7 @@
 	ages    = regexp.MustCompile(`\b\d+(\.\d+)?m?s ago`)
 )
 
-func scrub(s, dir string) string {
+func normalizeOutput(s, dir string) string {
 	s = strings.ReplaceAll(s, dir, "DIR")
 	s = editIDs.ReplaceAllString(s, "ID")
 	s = times.ReplaceAllString(s, "TIME")
@@ -52,19 +54,19 @@
 func withJobService(h http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
-	answer := func(path string, v any) {
+	serveJSON := func(path string, v any) {
 		mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(v) })
 	}
-	answer("GET "+api.PathShards, api.Shards{Shards: []api.ShardStatus{
+	serveJSON("GET "+api.PathShards, api.Shards{Shards: []api.ShardStatus{
 		{Pool: "scoring", Owner: "e1", Term: 3, Loaded: true, Workers: 8, Cpu: 256000, CpuUsed: 80000, CpuWaiting: 1000, TasksWaiting: 1},
 		{Pool: "booking"},
 	}})
-	answer("GET "+api.PathJobs+"/score-now/1", api.JobStatus{Queue: "score-now", ID: "1", Outcome: "ok", State: "running", Pool: "scoring", Owner: "e1"})
-	answer("GET "+api.PathJobs+"/score-now/2", api.JobStatus{Queue: "score-now", ID: "2", Outcome: "not_found", Pool: "scoring"})
-	answer("GET "+api.PathZones, api.Zones{Zones: []api.ZoneStatus{
+	serveJSON("GET "+api.PathJobs+"/score-now/1", api.JobStatus{Queue: "score-now", ID: "1", Outcome: "ok", State: "running", Pool: "scoring", Owner: "e1"})
+	serveJSON("GET "+api.PathJobs+"/score-now/2", api.JobStatus{Queue: "score-now", ID: "2", Outcome: "not_found", Pool: "scoring"})
+	serveJSON("GET "+api.PathZones, api.Zones{Zones: []api.ZoneStatus{
 		{Zone: "hall-a", OutForS: 12.3, Workers: 20, Tasks: 7, Complete: true}, {Zone: "hall-b", OutForS: 3, Workers: 4},
 	}})
-	answer("GET "+api.PathAccounts, api.Accounts{CatalogVersion: 7, Accounts: []api.AccountStatus{
+	serveJSON("GET "+api.PathAccounts, api.Accounts{CatalogVersion: 7, Accounts: []api.AccountStatus{
 		{Name: "north", Keys: []string{"90706fbf"}, Weight: 5, Cpu: 4000, MemoryMb: 100, Pools: []api.AccountInPool{
 			{Pool: "booking", Bound: true, Running: 0.25, Wanted: 0.75, Share: 0.5}, {Pool: "scoring", Running: 0.125, Wanted: 0.125},
 		}},
@@ -81,7 +83,7 @@
 		dir := t.TempDir()
 		store := fake.New()
 		r := replica.New(store.View("z"))
-		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, blind{}), server.WithAccounts([]schema.Account{
+		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, noObservations{}), server.WithAccounts([]schema.Account{
 			{Name: "maria", Role: schema.RoleEdit, TokenSha256: server.HashToken("tok")},
 		}))))
 		defer s.Close()
@@ -101,7 +103,7 @@
 			args := strings.Split(strings.ReplaceAll(strings.ReplaceAll(line, "\n", " "), "DIR", dir), " ")
 			var out bytes.Buffer
 			code := cmds.New(strings.NewReader(stdin+"\n"), &out, &out).Run(args)
-			return scrub(out.String(), dir) + fmt.Sprintf("exit %d\n", code)
+			return normalizeOutput(out.String(), dir) + fmt.Sprintf("exit %d\n", code)
 		})
 	})
 }
--- a/cmd/gannetctl/cmds/jobs.go
+++ b/cmd/gannetctl/cmds/jobs.go
@@ -13,39 +13,39 @@
 )
 
 // jobCommands ask about the job service; --entry names the metrics address of an entry.
-func jobCommands(c *console) []sub {
-	return []sub{
+func jobCommands(c *console) []subcommand {
+	return []subcommand{
 		{name: "show", short: "Show a job", long: "Shows what callers are told of a job, and which entry answers for it.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 job show r-u6wsjnb 5c0e7a21d94b36f8", data: &jobShowCommand{console: c}},
 	}
 }
 
-func poolCommands(c *console) []sub {
-	return []sub{
+func poolCommands(c *console) []subcommand {
+	return []subcommand{
 		{name: "list", short: "List pools", long: "Lists the pools of the job service: workers, processors in use and asked for, in thousandths of a core.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 pool list", data: &poolListCommand{console: c}},
 	}
 }
 
-func ownerCommands(c *console) []sub {
-	return []sub{
+func ownerCommands(c *console) []subcommand {
+	return []subcommand{
 		{name: "list", short: "List owners", long: "Lists which entry owns the shard of each pool, and how often that has changed.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 owner list", data: &ownerListCommand{console: c}},
 	}
 }
 
-func accountCommands(c *console) []sub {
-	return []sub{
+func accountCommands(c *console) []subcommand {
+	return []subcommand{
 		{name: "list", short: "List client accounts", long: "Lists the client accounts of the job service: what each has been promised in jobs a second, its limit in thousandths of a core and MB, and what runs, is wanted and may run, in parts of the limit and summed over the pools.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 account list", data: &accountListCommand{console: c}},
 		{name: "show", short: "Show a client account", long: "Shows a client account: fingerprints of its keys, its limit, and what it has in each pool.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 account show north", data: &accountShowCommand{console: c}},
 	}
 }
 
-// asJSON is the flag of commands whose answer programs may read.
-type asJSON struct {
+// jsonOption is the flag of commands whose answer programs may read.
+type jsonOption struct {
 	JSON bool `long:"json" description:"Print JSON"`
 }
 
 type jobShowCommand struct {
 	console *console
-	asJSON
+	jsonOption
 	Args struct {
 		Queue string `positional-arg-name:"QUEUE"`
 		ID    string `positional-arg-name:"ID"`
@@ -60,13 +60,13 @@
 	}
 	job, err := cl.Job(context.Background(), c.Args.Queue, c.Args.ID)
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	if err := c.print(job); err != nil {
 		return err
 	}
 	if job.Outcome != "ok" {
-		return cli.Exit(cli.ExitFailed, errors.Errorf("the job's state is %s", job.Outcome))
+		return cli.WithExitCode(cli.ExitFailed, errors.Errorf("the job's state is %s", job.Outcome))
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 
 type poolListCommand struct {
 	console *console
-	asJSON
+	jsonOption
 }
 
 // Execute implements flags.Commander.
@@ -110,7 +110,7 @@
 
 type ownerListCommand struct {
 	console *console
-	asJSON
+	jsonOption
 }
 
 // Execute implements flags.Commander.
@@ -135,7 +135,7 @@
 
 type accountListCommand struct {
 	console *console
-	asJSON
+	jsonOption
 }
 
 // Execute implements flags.Commander.
@@ -149,20 +149,20 @@
 	}
 	c.console.printf("%-16s %8s %10s %10s %8s %8s %8s\n", "ACCOUNT", "WEIGHT", "CPU", "MEMORY", "RUNNING", "WANTED", "SHARE")
 	for _, a := range accounts.Accounts {
-		sum := api.AccountInPool{}
+		total := api.AccountInPool{}
 		for _, p := range a.Pools {
-			sum.Running += p.Running
-			sum.Wanted += p.Wanted
-			sum.Share += p.Share
+			total.Running += p.Running
+			total.Wanted += p.Wanted
+			total.Share += p.Share
 		}
-		c.console.printf("%-16s %8g %10d %10d %8.3f %8.3f %8.3f\n", a.Name, a.Weight, a.Cpu, a.MemoryMb, sum.Running, sum.Wanted, sum.Share)
+		c.console.printf("%-16s %8g %10d %10d %8.3f %8.3f %8.3f\n", a.Name, a.Weight, a.Cpu, a.MemoryMb, total.Running, total.Wanted, total.Share)
 	}
 	return nil
 }
 
 type accountShowCommand struct {
 	console *console
-	asJSON
+	jsonOption
 	Args struct {
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"yes" required:"yes"`
@@ -174,11 +174,11 @@
 	if err != nil {
 		return err
 	}
-	at := slices.IndexFunc(accounts.Accounts, func(a api.AccountStatus) bool { return a.Name == c.Args.Name })
-	if at < 0 {
-		return cli.Exit(cli.ExitFailed, errors.Errorf("there is no account %s in version %d of the configuration", c.Args.Name, accounts.CatalogVersion))
+	i := slices.IndexFunc(accounts.Accounts, func(a api.AccountStatus) bool { return a.Name == c.Args.Name })
+	if i < 0 {
+		return cli.WithExitCode(cli.ExitFailed, errors.Errorf("there is no account %s in version %d of the configuration", c.Args.Name, accounts.CatalogVersion))
 	}
-	a := accounts.Accounts[at]
+	a := accounts.Accounts[i]
 	if c.JSON {
 		return c.console.printJSON(a)
 	}
@@ -202,7 +202,7 @@
 		return accounts, err
 	}
 	accounts, err = cl.Accounts(context.Background())
-	return accounts, exitOf(err)
+	return accounts, withExitCode(err)
 }
 
 // shards asks an entry who owns each shard and how busy it is.
@@ -212,5 +212,5 @@
 		return nil, err
 	}
 	answer, err := cl.Shards(context.Background())
-	return answer.Shards, exitOf(err)
+	return answer.Shards, withExitCode(err)
 }
--- a/cmd/gannetctl/cmds/sheet.go
+++ b/cmd/gannetctl/cmds/sheet.go
@@ -26,13 +26,13 @@
 
 // Execute implements flags.Commander.
 func (c *sheetCommand) Execute([]string) error {
-	rows, err := c.fetch(c.Args.Kind, "")
+	rows, err := c.fetchRows(c.Args.Kind, "")
 	if err != nil {
 		return err
 	}
 	s := &sheet{console: c.console, kind: c.Args.Kind, rows: rows, edited: map[string]json.RawMessage{}}
-	s.show()
-	return s.converse(c.Reason)
+	s.print()
+	return s.readCommands(c.Reason)
 }
 
 // sheet is the rows of one kind under edit.
@@ -56,14 +56,14 @@
 	return row
 }
 
-// show prints the sheet; rows with changes are marked.
-func (s *sheet) show() {
+// print prints the sheet; rows with changes are marked.
+func (s *sheet) print() {
 	w := tabwriter.NewWriter(s.stdout, 0, 0, 2, ' ', 0)
 	var columns []string
 	names := map[string]bool{}
 	for _, r := range s.rows {
 		names[r.Key.Name] = true
-		for column := range columnsOf(s.row(r.Key.Name).Value) {
+		for column := range decodeColumns(s.row(r.Key.Name).Value) {
 			if !slices.Contains(columns, column) {
 				columns = append(columns, column)
 			}
@@ -74,8 +74,8 @@
 	}
 	slices.Sort(columns)
 	_, _ = fmt.Fprintln(w, strings.ToUpper(s.kind)+"\t"+strings.Join(columns, "\t"))
-	for _, name := range slices.Sorted(mapKeys(names)) {
-		fields := columnsOf(s.row(name).Value)
+	for _, name := range slices.Sorted(keysOf(names)) {
+		fields := decodeColumns(s.row(name).Value)
 		mark := ""
 		if _, ok := s.edited[name]; ok {
 			mark = "*"
@@ -89,7 +89,7 @@
 	_ = w.Flush() // the standard output takes it or the process ends
 }
 
-func mapKeys(m map[string]bool) func(func(string) bool) {
+func keysOf(m map[string]bool) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -99,22 +99,22 @@
 	}
 }
 
-// converse takes lines until the sheet is saved or left.
-func (s *sheet) converse(reason string) error {
+// readCommands takes lines until the sheet is saved or left.
+func (s *sheet) readCommands(reason string) error {
 	in := bufio.NewScanner(s.stdin)
 	for in.Scan() {
 		line := strings.TrimSpace(in.Text())
 		switch line {
 		case "":
 		case "show":
-			s.show()
+			s.print()
 		case "quit":
 			s.printf("left without saving\n")
 			return nil
 		case "save":
 			return s.save(reason)
 		default:
-			if err := s.change(line); err != nil {
+			if err := s.setCell(line); err != nil {
 				s.printf("%v\n", err)
 			}
 		}
@@ -123,13 +123,13 @@
 		return errors.Wrap(err, "read standard input")
 	}
 	if len(s.edited) > 0 {
-		return cli.Exit(cli.ExitFailed, errors.New("the input ended before save: nothing was changed"))
+		return cli.WithExitCode(cli.ExitFailed, errors.New("the input ended before save: nothing was changed"))
 	}
 	return nil
 }
 
-// change takes one line ROW COLUMN VALUE.
-func (s *sheet) change(line string) error {
+// setCell takes one line ROW COLUMN VALUE.
+func (s *sheet) setCell(line string) error {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) != 3 {
 		return errors.Errorf("%q: expected ROW COLUMN VALUE, show, save or quit", line)
@@ -145,7 +145,7 @@
 func (s *sheet) save(reason string) error {
 	var changes []api.RowChange
 	for name, value := range s.edited {
-		changes = append(changes, changeOf(s.row(name), value))
+		changes = append(changes, newRowChange(s.row(name), value))
 	}
 	if len(changes) == 0 {
 		s.printf("nothing has changed\n")
--- a/cmd/gannetctl/cmds/table.go
+++ b/cmd/gannetctl/cmds/table.go
@@ -19,8 +19,8 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-func tableCommands(c *console) []sub {
-	return []sub{
+func tableCommands(c *console) []subcommand {
+	return []subcommand{
 		{name: "get", short: "Print rows", long: "Prints rows as a table file.\n\nExamples:\n  gannetctl table get\n  gannetctl table get --kind pool --name live-rooms", data: &getCommand{console: c}},
 		{name: "set", short: "Change columns of a row", long: "Changes columns of one row; values are JSON, or plain text where that is no JSON.\n\nExample:\n  gannetctl table set pool live-rooms max_unavailable=3 --reason 'quiet week'", data: &setCommand{console: c}},
 		{name: "edit", short: "Edit rows as a sheet", long: "Shows the rows of a kind as a sheet and takes lines from the standard input: ROW COLUMN VALUE changes a cell, show prints the sheet, save sends all changes as one edit, quit leaves without.\n\nExample:\n  gannetctl table edit pool --reason 'more rooms on Mondays'", data: &sheetCommand{console: c}},
@@ -55,7 +55,7 @@
 	}
 	rows, err = table.ParseDocument(o.File, src)
 	if errors.As(err, new(config.ErrInvalid)) {
-		err = cli.Exit(cli.ExitInvalid, err)
+		err = cli.WithExitCode(cli.ExitInvalid, err)
 	}
 	return rows, err
 }
@@ -76,7 +76,7 @@
 		return err
 	}
 	if problems := snap.Check(); len(problems) > 0 {
-		return cli.Exit(cli.ExitInvalid, table.ErrRejected{Problems: problems})
+		return cli.WithExitCode(cli.ExitInvalid, table.ErrRejected{Problems: problems})
 	}
 	c.printf("%s: valid, %d rows\n", c.File, len(rows))
 	return nil
@@ -90,7 +90,7 @@
 
 // Execute implements flags.Commander.
 func (c *getCommand) Execute([]string) error {
-	rows, err := c.fetch(c.Kind, c.Name)
+	rows, err := c.fetchRows(c.Kind, c.Name)
 	if err != nil {
 		return err
 	}
@@ -102,15 +102,15 @@
 	return nil
 }
 
-// fetch reads rows.
-func (c *console) fetch(kind, name string) (rows []table.StoredRow, err error) {
+// fetchRows reads rows.
+func (c *console) fetchRows(kind, name string) (rows []table.StoredRow, err error) {
 	cl, err := c.client()
 	if err != nil {
 		return nil, err
 	}
 	got, err := cl.Rows(context.Background(), kind, name)
 	if err != nil {
-		return nil, exitOf(err)
+		return nil, withExitCode(err)
 	}
 	for _, r := range got.Rows {
 		rows = append(rows, table.StoredRow{Key: table.Key{Kind: schema.Kind(r.Kind), Name: r.Name}, Version: r.Version, Value: r.Value})
@@ -118,16 +118,16 @@
 	return rows, nil
 }
 
-// fetchOne reads one row; a row that does not exist has version 0.
-func (c *console) fetchOne(kind, name string) (row table.StoredRow, err error) {
-	rows, err := c.fetch(kind, name)
+// fetchRow reads one row; a row that does not exist has version 0.
+func (c *console) fetchRow(kind, name string) (row table.StoredRow, err error) {
+	rows, err := c.fetchRows(kind, name)
 	if err != nil || len(rows) == 0 {
 		return table.StoredRow{Key: table.Key{Kind: schema.Kind(kind), Name: name}}, err
 	}
 	return rows[0], nil
 }
 
-func changeOf(row table.StoredRow, value json.RawMessage) api.RowChange {
+func newRowChange(row table.StoredRow, value json.RawMessage) api.RowChange {
 	return api.RowChange{Kind: string(row.Key.Kind), Name: row.Key.Name, Seen: row.Version, Value: value}
 }
 
@@ -143,7 +143,7 @@
 
 // Execute implements flags.Commander.
 func (c *setCommand) Execute([]string) error {
-	row, err := c.fetchOne(c.Args.Kind, c.Args.Name)
+	row, err := c.fetchRow(c.Args.Kind, c.Args.Name)
 	if err != nil {
 		return err
 	}
@@ -151,13 +151,13 @@
 	for _, arg := range c.Args.Columns {
 		column, text, ok := strings.Cut(arg, "=")
 		if !ok {
-			return cli.Exit(cli.ExitUsage, errors.Errorf("%q: expected COLUMN=VALUE", arg))
+			return cli.WithExitCode(cli.ExitUsage, errors.Errorf("%q: expected COLUMN=VALUE", arg))
 		}
 		if value, err = setColumn(value, column, text); err != nil {
 			return err
 		}
 	}
-	return c.edit(c.Reason, []api.RowChange{changeOf(row, value)})
+	return c.edit(c.Reason, []api.RowChange{newRowChange(row, value)})
 }
 
 // setColumn returns a row with one column changed.
@@ -184,11 +184,11 @@
 
 // Execute implements flags.Commander.
 func (c *removeCommand) Execute([]string) error {
-	row, err := c.fetchOne(c.Args.Kind, c.Args.Name)
+	row, err := c.fetchRow(c.Args.Kind, c.Args.Name)
 	if err != nil {
 		return err
 	}
-	return c.edit(c.Reason, []api.RowChange{changeOf(row, json.RawMessage("null"))})
+	return c.edit(c.Reason, []api.RowChange{newRowChange(row, json.RawMessage("null"))})
 }
 
 type applyCommand struct {
@@ -199,7 +199,7 @@
 
 // Execute implements flags.Commander.
 func (c *applyCommand) Execute([]string) error {
-	changes, err := c.differences(c.fileOption)
+	changes, err := c.diffTable(c.fileOption)
 	if err != nil {
 		return err
 	}
@@ -210,25 +210,25 @@
 	return c.edit(c.Reason, changes)
 }
 
-// differences returns the changes that make the table as a file says.
-func (c *console) differences(o fileOption) (changes []api.RowChange, err error) {
-	want, err := o.rows()
+// diffTable returns the changes that make the table as a file says.
+func (c *console) diffTable(o fileOption) (changes []api.RowChange, err error) {
+	desired, err := o.rows()
 	if err != nil {
 		return nil, err
 	}
-	have := map[table.Key]table.StoredRow{}
-	current, err := c.fetch("", "")
+	current := map[table.Key]table.StoredRow{}
+	rows, err := c.fetchRows("", "")
 	if err != nil {
 		return nil, err
 	}
-	for _, r := range current {
-		have[r.Key] = r
+	for _, r := range rows {
+		current[r.Key] = r
 	}
-	for _, w := range want {
-		old, ok := have[w.Key]
+	for _, w := range desired {
+		old, ok := current[w.Key]
 		value := w.Value
 		if ok {
-			if value, err = keepControl(w.Key.Kind, old.Value, w.Value); err != nil {
+			if value, err = keepControllerColumns(w.Key.Kind, old.Value, w.Value); err != nil {
 				return nil, err
 			}
 		}
@@ -240,21 +240,21 @@
 	return changes, nil
 }
 
-// keepControl keeps the columns of a VM and of a wave that control writes.
-func keepControl(kind schema.Kind, old, want json.RawMessage) (json.RawMessage, error) {
+// keepControllerColumns keeps the columns of a VM and of a wave that control writes.
+func keepControllerColumns(kind schema.Kind, old, desired json.RawMessage) (json.RawMessage, error) {
 	switch kind {
 	case schema.KindVM:
-		o, w := table.MustParse[schema.VM](old), table.MustParse[schema.VM](want)
+		o, w := table.MustParse[schema.VM](old), table.MustParse[schema.VM](desired)
 		rack, address := w.Rack, w.Address
 		w = o
 		w.Rack, w.Address = rack, address
 		return table.MustValue(w), nil
 	case schema.KindWave:
-		o, w := table.MustParse[schema.Wave](old), table.MustParse[schema.Wave](want)
+		o, w := table.MustParse[schema.Wave](old), table.MustParse[schema.Wave](desired)
 		w.StartedAtMs, w.FinishedAtMs = o.StartedAtMs, o.FinishedAtMs
 		return table.MustValue(w), nil
 	}
-	return want, nil
+	return desired, nil
 }
 
 type diffCommand struct {
@@ -264,7 +264,7 @@
 
 // Execute implements flags.Commander.
 func (c *diffCommand) Execute([]string) error {
-	changes, err := c.differences(c.fileOption)
+	changes, err := c.diffTable(c.fileOption)
 	if err != nil {
 		return err
 	}
@@ -273,34 +273,34 @@
 		return nil
 	}
 	for _, ch := range changes {
-		row, err := c.fetchOne(ch.Kind, ch.Name)
+		row, err := c.fetchRow(ch.Kind, ch.Name)
 		if err != nil {
 			return err
 		}
 		c.printColumns(table.Key{Kind: schema.Kind(ch.Kind), Name: ch.Name}, row.Value, ch.Value)
 	}
-	return cli.Exit(cli.ExitFailed, errors.Errorf("%d rows differ", len(changes)))
+	return cli.WithExitCode(cli.ExitFailed, errors.Errorf("%d rows differ", len(changes)))
 }
 
 // printColumns prints the columns in which two values of a row differ.
 func (c *console) printColumns(key table.Key, before, after json.RawMessage) {
-	was, is := columnsOf(before), columnsOf(after)
+	oldColumns, newColumns := decodeColumns(before), decodeColumns(after)
 	switch {
-	case len(was) == 0:
+	case len(oldColumns) == 0:
 		c.printf("%s: new row %s\n", key, after)
 		return
-	case len(is) == 0:
+	case len(newColumns) == 0:
 		c.printf("%s: removed, was %s\n", key, before)
 		return
 	}
-	for _, column := range sortedKeys(is) {
-		if !bytes.Equal(was[column], is[column]) {
-			c.printf("%s: %s: %s -> %s\n", key, column, was[column], is[column])
+	for _, column := range sortedKeys(newColumns) {
+		if !bytes.Equal(oldColumns[column], newColumns[column]) {
+			c.printf("%s: %s: %s -> %s\n", key, column, oldColumns[column], newColumns[column])
 		}
 	}
 }
 
-func columnsOf(row json.RawMessage) (fields map[string]json.RawMessage) {
+func decodeColumns(row json.RawMessage) (fields map[string]json.RawMessage) {
 	_ = json.Unmarshal(row, &fields) // no row has no columns
 	return fields
 }
@@ -329,7 +329,7 @@
 	}
 	s, err := cl.Status(context.Background())
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	w := tabwriter.NewWriter(c.stdout, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintln(w, "ENTRY\tZONE\tADDRESS\tREVISION\tSTATE\tHEARD")
@@ -338,7 +338,7 @@
 		if e.HeardMsAgo >= 0 {
 			heard = (time.Duration(e.HeardMsAgo) * time.Millisecond).String() + " ago"
 		}
-		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Zone, e.Address, e.Revision, stateOf(e), heard)
+		_, _ = fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\n", e.Name, e.Zone, e.Address, e.Revision, entryState(e), heard)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -349,7 +349,7 @@
 	return nil
 }
 
-func stateOf(e api.EntryStatus) string {
+func entryState(e api.EntryStatus) string {
 	switch {
 	case e.Stopping:
 		return "stopping"
--- a/cmd/gannetctl/cmds/wave.go
+++ b/cmd/gannetctl/cmds/wave.go
@@ -10,14 +10,14 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-func waveCommands(c *console) []sub {
-	steer := func(to schema.WaveState) *steerCommand { return &steerCommand{console: c, to: to} }
-	return []sub{
+func waveCommands(c *console) []subcommand {
+	setState := func(to schema.WaveState) *setWaveStateCommand { return &setWaveStateCommand{console: c, to: to} }
+	return []subcommand{
 		{name: "plan", short: "Create a wave without starting it", long: "Creates a wave and shows its order and the budgets that bound it.\n\nExample:\n  gannetctl wave plan kernel-update --pool grades --pool reports --reason 'kernel update'", data: &planCommand{console: c}},
-		{name: "start", short: "Start a planned wave", long: "Starts a planned wave.\n\nExample:\n  gannetctl wave start kernel-update --reason 'window is open'", data: steer(schema.WaveStateRunning)},
-		{name: "pause", short: "Pause a wave", long: "Takes no further VM; those that drain go back to work, those that reboot finish.\n\nExample:\n  gannetctl wave pause kernel-update --reason 'exam begins early'", data: steer(schema.WaveStatePaused)},
-		{name: "resume", short: "Resume a paused wave", long: "Goes on with a paused wave.\n\nExample:\n  gannetctl wave resume kernel-update --reason 'exam is over'", data: steer(schema.WaveStateRunning)},
-		{name: "abort", short: "End a wave early", long: "Like pause, but for good.\n\nExample:\n  gannetctl wave abort kernel-update --reason 'bad image'", data: steer(schema.WaveStateAborted)},
+		{name: "start", short: "Start a planned wave", long: "Starts a planned wave.\n\nExample:\n  gannetctl wave start kernel-update --reason 'window is open'", data: setState(schema.WaveStateRunning)},
+		{name: "pause", short: "Pause a wave", long: "Takes no further VM; those that drain go back to work, those that reboot finish.\n\nExample:\n  gannetctl wave pause kernel-update --reason 'exam begins early'", data: setState(schema.WaveStatePaused)},
+		{name: "resume", short: "Resume a paused wave", long: "Goes on with a paused wave.\n\nExample:\n  gannetctl wave resume kernel-update --reason 'exam is over'", data: setState(schema.WaveStateRunning)},
+		{name: "abort", short: "End a wave early", long: "Like pause, but for good.\n\nExample:\n  gannetctl wave abort kernel-update --reason 'bad image'", data: setState(schema.WaveStateAborted)},
 		{name: "status", short: "Show waves and their progress", long: "Shows every wave with its progress.\n\nExample:\n  gannetctl wave status", data: &waveStatusCommand{console: c}},
 	}
 }
@@ -57,7 +57,7 @@
 
 // snapshot reads the whole table.
 func (c *console) snapshot() (*table.Snapshot, error) {
-	rows, err := c.fetch("", "")
+	rows, err := c.fetchRows("", "")
 	if err != nil {
 		return nil, err
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-type steerCommand struct {
+type setWaveStateCommand struct {
 	*console `no-flag:"true"`
 	reasonOption
 	waveArg
@@ -95,20 +95,20 @@
 }
 
 // Execute implements flags.Commander.
-func (c *steerCommand) Execute([]string) error {
-	row, err := c.fetchOne(string(schema.KindWave), c.Args.Name)
+func (c *setWaveStateCommand) Execute([]string) error {
+	row, err := c.fetchRow(string(schema.KindWave), c.Args.Name)
 	if err != nil {
 		return err
 	}
 	if row.Version == 0 {
-		return cli.Exit(cli.ExitInvalid, errors.Errorf("there is no wave %q", c.Args.Name))
+		return cli.WithExitCode(cli.ExitInvalid, errors.Errorf("there is no wave %q", c.Args.Name))
 	}
 	wave := table.MustParse[schema.Wave](row.Value)
 	if wave.State == schema.WaveStateDone || wave.State == schema.WaveStateAborted {
-		return cli.Exit(cli.ExitInvalid, errors.Errorf("wave %q is %s already", c.Args.Name, wave.State))
+		return cli.WithExitCode(cli.ExitInvalid, errors.Errorf("wave %q is %s already", c.Args.Name, wave.State))
 	}
 	wave.State = c.to
-	return c.edit(c.Reason, []api.RowChange{changeOf(row, table.MustValue(wave))})
+	return c.edit(c.Reason, []api.RowChange{newRowChange(row, table.MustValue(wave))})
 }
 
 type waveStatusCommand struct {
--- a/cmd/gannetctl/cmds/zones.go
+++ b/cmd/gannetctl/cmds/zones.go
@@ -2,15 +2,15 @@
 
 import "context"
 
-func zoneCommands(c *console) []sub {
-	return []sub{
+func zoneCommands(c *console) []subcommand {
+	return []subcommand{
 		{name: "list", short: "List zones out of use", long: "Lists the availability zones that the operator has taken out of use: for how long the entry that is asked has known of it, the workers there, and the tasks that run there still.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 zone list", data: &zoneListCommand{console: c}},
 	}
 }
 
 type zoneListCommand struct {
 	console *console
-	asJSON
+	jsonOption
 }
 
 // Execute implements flags.Commander.
@@ -21,7 +21,7 @@
 	}
 	zones, err := cl.Zones(context.Background())
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	if c.JSON {
 		return c.console.printJSON(zones)
--- a/cmd/gannetwelld/cmds/cmds.go
+++ b/cmd/gannetwelld/cmds/cmds.go
@@ -24,7 +24,7 @@
 	return &cli.Program{
 		Name: "gannetwelld", Summary: "The entry daemon: takes callers' requests to backend servers and keeps the fleet.",
 		Stdout: stdout, Stderr: stderr,
-		Add: func(p *flags.Parser) error {
+		AddCommands: func(p *flags.Parser) error {
 			if _, err := p.AddCommand("run", "Run the daemon",
 				"Runs the daemon until SIGTERM or SIGINT, which begins a planned stop; a second one cuts it short.\n\nExample:\n  gannetwelld run --config /etc/gannetwell/entry.jsonc",
 				&runCommand{stdout: stdout, stderr: stderr}); err != nil {
@@ -50,7 +50,7 @@
 func (o configOption) load() (s schema.Settings, err error) {
 	err = config.LoadFile(o.Config, config.TargetSettings, &s)
 	if errors.As(err, new(config.ErrInvalid)) {
-		err = cli.Exit(cli.ExitInvalid, err)
+		err = cli.WithExitCode(cli.ExitInvalid, err)
 	}
 	return s, err
 }
--- a/cmd/gannetwelld/cmds/serve.go
+++ b/cmd/gannetwelld/cmds/serve.go
@@ -24,10 +24,10 @@
 )
 
 const (
-	// logLines is how many lines wait for the output; when it is slower, the oldest are dropped and counted.
-	logLines = 4096
-	// heapShare is the part of the memory limit that the collector tries to stay under; the rest is for stacks and buffers.
-	heapShare = 0.6
+	// logBufferLines is how many lines wait for the output; when it is slower, the oldest are dropped and counted.
+	logBufferLines = 4096
+	// heapFraction is the part of the memory limit that the collector tries to stay under; the rest is for stacks and buffers.
+	heapFraction = 0.6
 	// gcPercent trades memory, of which there is enough, for processor time.
 	gcPercent = 200
 )
@@ -43,13 +43,13 @@
 func (c *serveCommand) Execute([]string) (err error) {
 	if c.Config == "" {
 		if c.Config, err = platform.SettingsFile(); err != nil {
-			return cli.Exit(cli.ExitInvalid, err)
+			return cli.WithExitCode(cli.ExitInvalid, err)
 		}
 	}
 	var s schema.ServiceSettings
 	err = config.LoadFile(c.Config, config.TargetService, &s)
 	if errors.As(err, new(config.ErrInvalid)) {
-		return cli.Exit(cli.ExitInvalid, err)
+		return cli.WithExitCode(cli.ExitInvalid, err)
 	}
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 		return errors.Wrap(err, "log_level")
 	}
 	zerolog.TimeFieldFormat = zerolog.TimeFormatUnixMs
-	out := diode.NewWriter(c.stdout, logLines, 0, func(missed int) {
+	out := diode.NewWriter(c.stdout, logBufferLines, 0, func(missed int) {
 		_, _ = fmt.Fprintf(c.stdout, `{"level":"warn","event":"log_lines_dropped","count":%d}`+"\n", missed)
 	})
 	defer func() {
@@ -67,9 +67,9 @@
 		_ = out.Close()
 	}()
 	log := zerolog.New(out).Level(level).With().Timestamp().Logger()
-	runtime.GOMAXPROCS(processors(s.CpuShare))
+	runtime.GOMAXPROCS(maxProcs(s.CpuShare))
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(float64(s.MemoryMb) * (1 << 20) * heapShare))
+	debug.SetMemoryLimit(int64(float64(s.MemoryMb) * (1 << 20) * heapFraction))
 	client := platform.New(s.Store.Address, s.Machines.Address, s.Advice)
 	n := node.New(s, client, node.Source{
 		CatalogTable: platform.TableOperator, CatalogKey: platform.KeyCatalog, WorkerTable: platform.TableWorkers,
@@ -80,19 +80,19 @@
 	return n.Run(node.Handlers{Callers: platform.Callers(n), Readiness: platform.Readiness(n)})
 }
 
-// processors is how many processors an entry runs on at once: no more than its
+// maxProcs is how many maxProcs an entry runs on at once: no more than its
 // share. On more it is only throttled, and its scheduler spends time on passing
 // work between them: an owner of 400 workers took 321 us for each start on eight
-// processors and 235 us on two.
-func processors(share float64) int { return max(1, int(math.Ceil(share))) }
+// maxProcs and 235 us on two.
+func maxProcs(cpuShare float64) int { return max(1, int(math.Ceil(cpuShare))) }
 
 // reload reads the settings again. An entry takes them at its start only, since
 // its addresses and limits are those of its process; a change is told, so that
 // someone restarts it.
-func (c *serveCommand) reload(inForce schema.ServiceSettings, log zerolog.Logger) {
+func (c *serveCommand) reload(current schema.ServiceSettings, log zerolog.Logger) {
 	var s schema.ServiceSettings
 	err := config.LoadFile(c.Config, config.TargetService, &s)
-	log.Info().Str("event", "reload").Bool("valid", err == nil).Bool("restart_needed", err == nil && !reflect.DeepEqual(s, inForce)).Err(err).Send()
+	log.Info().Str("event", "reload").Bool("valid", err == nil).Bool("restart_needed", err == nil && !reflect.DeepEqual(s, current)).Err(err).Send()
 }
 
 // handleSignals calls stop at SIGTERM or SIGINT, and reload at SIGHUP.
--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -27,7 +27,7 @@
 // Check is rapid.Check with each case in a bubble of virtual time of its own.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
-	rapid.Check(t, func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
+	rapid.Check(t, func(rt *rapid.T) { runInBubble(t, func() { property(rt) }) })
 }
 
 // CheckRealTime is rapid.Check with n cases in real time, for properties over real
@@ -41,23 +41,23 @@
 // FindsFailureRealTime is Finds in real time.
 func FindsFailureRealTime(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
-	return finds(property)
+	return findsFailure(property)
 }
 
-// collectEvery is after how many cases garbage is collected: a case leaves 1 MB or less.
-const collectEvery = 50
+// casesPerGC is after how many cases garbage is collected: a case leaves 1 MB or less.
+const casesPerGC = 50
 
-// bubbles counts the cases that were played; tests that play cases do not run side by side.
-var bubbles int
+// casesRun counts the cases that were played; tests that play cases do not run side by side.
+var casesRun int
 
-// bubble runs f in virtual time; rapid ends a case by a panic, which must reach it. Goroutines
-// that one event wakes run in an order that repeats only on one processor, and only while no
+// runInBubble runs f in virtual time; rapid ends a case by a panic, which must reach it. Goroutines
+// that one event wakes run in an order that deterministic only on one processor, and only while no
 // garbage is collected, which puts those that run at the end of the queue.
-func bubble(t *testing.T, f func()) {
-	if repeats {
+func runInBubble(t *testing.T, f func()) {
+	if deterministic {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 		defer debug.SetGCPercent(debug.SetGCPercent(-1))
-		if bubbles++; bubbles%collectEvery == 0 {
+		if casesRun++; casesRun%casesPerGC == 0 {
 			runtime.GC()
 		}
 	}
@@ -83,18 +83,18 @@
 func Replay(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.seed": strconv.FormatUint(seed, 10), "rapid.checks": "1"})()
-	fails(func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
+	fails(func(rt *rapid.T) { runInBubble(t, func() { property(rt) }) })
 }
 
 // FindsFailure tells whether the property fails for some case; tests use it on variants
 // that are broken on purpose, to show that the property can fail.
 func FindsFailure(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
-	return finds(func(rt *rapid.T) { bubble(t, func() { property(rt) }) })
+	return findsFailure(func(rt *rapid.T) { runInBubble(t, func() { property(rt) }) })
 }
 
-func finds(property func(*rapid.T)) bool {
-	defer setFlags(map[string]string{"rapid.checks": findChecks})()
+func findsFailure(property func(*rapid.T)) bool {
+	defer setFlags(map[string]string{"rapid.checks": maxSearchCases})()
 	return fails(property)
 }
 
@@ -110,9 +110,9 @@
 	return r.failed
 }
 
-// findChecks is how many cases a search for a planted fault may take: it ends at the first that
+// maxSearchCases is how many cases a search for a planted fault may take: it ends at the first that
 // fails, so that it may be long.
-const findChecks = "3000"
+const maxSearchCases = "3000"
 
 // setFlags sets flags, and returns what sets them back.
 func setFlags(values map[string]string) (restore func()) {
--- a/internal/prop/repeats.go
+++ b/internal/prop/repeats.go
@@ -2,5 +2,5 @@
 
 package prop
 
-// repeats tells whether cases are played so that they repeat.
-const repeats = true
+// deterministic tells whether cases are played so that they repeat.
+const deterministic = true
--- a/internal/prop/repeats_race.go
+++ b/internal/prop/repeats_race.go
@@ -2,6 +2,6 @@
 
 package prop
 
-// repeats tells whether cases are played so that they repeat: under the race detector, which runs
+// deterministic tells whether cases are played so that they repeat: under the race detector, which runs
 // goroutines in an order of its own, they can't, and on several processors they end sooner.
-const repeats = false
+const deterministic = false
--- a/pkg/bench/backend/backend.go
+++ b/pkg/bench/backend/backend.go
@@ -24,23 +24,23 @@
 
 // The headers of a request to a stand-in.
 const (
-	HeaderID      = "Bench-Id"
-	HeaderWorkUs  = "Bench-Work-Us" // microseconds
-	HeaderBytes   = "Bench-Bytes"   // of the answer's filling
-	HeaderService = "Bench-Service"
-	// Protocol is what an upgrade asks for; the server echoes lines on it.
-	Protocol = "lesson"
+	HeaderID           = "Bench-Id"
+	HeaderWorkUs       = "Bench-Work-Us" // microseconds
+	HeaderPaddingBytes = "Bench-Bytes"   // of the answer's filling
+	HeaderService      = "Bench-Service"
+	// UpgradeProtocol is what an upgrade asks for; the server echoes lines on it.
+	UpgradeProtocol = "lesson"
 )
 
 const (
-	healthPath = "/healthz"
-	maxBytes   = 8 << 20
+	healthPath      = "/healthz"
+	maxPaddingBytes = 8 << 20
 )
 
-// Watcher is told what the servers do.
-type Watcher interface {
-	Began(vm, service, id string, at time.Time)
-	Ended(vm, service string)
+// Observer is told what the servers do.
+type Observer interface {
+	RequestStarted(vm, service, id string, at time.Time)
+	RequestEnded(vm, service string)
 	Power(vm string, on bool)
 	Leaving(vm string, leaving bool, at time.Time)
 }
@@ -49,39 +49,39 @@
 type Server struct {
 	vm      string
 	address string
-	farm    *Farm
+	group   *Servers
 
-	leaving  atomic.Bool
-	inFlight atomic.Int64
-	slowdown atomic.Int64 // nanoseconds added to each request
-	unwell   atomic.Bool  // answers 503 to everything
-	slots    chan struct{}
+	leaving   atomic.Bool
+	inFlight  atomic.Int64
+	delay     atomic.Int64 // nanoseconds added to each request
+	unhealthy atomic.Bool  // answers 503 to everything
+	slots     chan struct{}
 
 	mu       sync.Mutex
 	http     *http.Server
 	upgraded map[net.Conn]struct{} // connections that http no longer knows
 }
 
-// Farm is the backend servers of all VMs; it implements fake.Machine.
-type Farm struct {
-	watcher Watcher
-	slots   int
+// Servers is the backend servers of all VMs; it implements fake.Machine.
+type Servers struct {
+	observer Observer
+	slots    int
 
 	mu      sync.Mutex
 	servers map[string]*Server
 }
 
 // Option changes how a Farm is made.
-type Option func(*Farm)
+type Option func(*Servers)
 
 // WithSlots bounds the requests that a server works on at once; more wait at it.
-func WithSlots(n int) Option { return func(f *Farm) { f.slots = n } }
+func WithSlots(n int) Option { return func(f *Servers) { f.slots = n } }
 
-const manySlots = 1 << 16
+const unlimitedSlots = 1 << 16
 
-// NewFarm returns a farm without servers.
-func NewFarm(w Watcher, opts ...Option) *Farm {
-	f := &Farm{watcher: w, slots: manySlots, servers: map[string]*Server{}}
+// NewServers returns a farm without servers.
+func NewServers(w Observer, opts ...Option) *Servers {
+	f := &Servers{observer: w, slots: unlimitedSlots, servers: map[string]*Server{}}
 	for _, o := range opts {
 		o(f)
 	}
@@ -89,8 +89,8 @@
 }
 
 // Add starts the server of a VM and returns its address.
-func (f *Farm) Add(vm string) (address string, err error) {
-	s := &Server{vm: vm, address: "127.0.0.1:0", farm: f, slots: make(chan struct{}, f.slots)}
+func (f *Servers) Add(vm string) (address string, err error) {
+	s := &Server{vm: vm, address: "127.0.0.1:0", group: f, slots: make(chan struct{}, f.slots)}
 	if err := s.start(); err != nil {
 		return "", err
 	}
@@ -100,14 +100,14 @@
 	return s.address, nil
 }
 
-func (f *Farm) get(vm string) *Server {
+func (f *Servers) get(vm string) *Server {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.servers[vm]
 }
 
 // Close stops all servers.
-func (f *Farm) Close() {
+func (f *Servers) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -116,66 +116,66 @@
 }
 
 // Leaving implements fake.Machine.
-func (f *Farm) Leaving(vm string, leaving bool) {
+func (f *Servers) Leaving(vm string, leaving bool) {
 	if s := f.get(vm); s != nil {
 		s.leaving.Store(leaving)
-		f.watcher.Leaving(vm, leaving, time.Now())
+		f.observer.Leaving(vm, leaving, time.Now())
 	}
 }
 
 // Power implements fake.Machine.
-func (f *Farm) Power(vm string, on bool) {
+func (f *Servers) Power(vm string, on bool) {
 	s := f.get(vm)
 	if s == nil {
 		return
 	}
-	f.watcher.Power(vm, on)
+	f.observer.Power(vm, on)
 	if !on {
 		s.stop()
 		return
 	}
 	s.leaving.Store(false)
-	f.watcher.Leaving(vm, false, time.Now())
+	f.observer.Leaving(vm, false, time.Now())
 	if err := s.start(); err != nil {
 		panic(fmt.Sprintf("backend server of %s does not come back: %v", vm, err))
 	}
 }
 
 // InFlight implements fake.Machine.
-func (f *Farm) InFlight(vm string) int {
+func (f *Servers) InFlight(vm string) int {
 	if s := f.get(vm); s != nil {
 		return int(s.inFlight.Load())
 	}
 	return 0
 }
 
-// SlowDown adds a delay to each request of a VM's server.
-func (f *Farm) SlowDown(vm string, d time.Duration) {
+// SetDelay adds a delay to each request of a VM's server.
+func (f *Servers) SetDelay(vm string, d time.Duration) {
 	if s := f.get(vm); s != nil {
-		s.slowdown.Store(int64(d))
+		s.delay.Store(int64(d))
 	}
 }
 
 const (
-	startTries = 50
-	startWait  = 10 * time.Millisecond
+	maxListenAttempts   = 50
+	listenRetryInterval = 10 * time.Millisecond
 )
 
-// Unwell makes a VM's server answer 503 to every request, or no longer.
-func (f *Farm) Unwell(vm string, unwell bool) {
+// SetUnhealthy makes a VM's server answer 503 to every request, or no longer.
+func (f *Servers) SetUnhealthy(vm string, unhealthy bool) {
 	if s := f.get(vm); s != nil {
-		s.unwell.Store(unwell)
+		s.unhealthy.Store(unhealthy)
 	}
 }
 
 // start listens at the server's address, the same one again after a stop.
 func (s *Server) start() (err error) {
 	var ln net.Listener
-	for range startTries {
+	for range maxListenAttempts {
 		if ln, err = net.Listen("tcp", s.address); err == nil {
 			break
 		}
-		time.Sleep(startWait)
+		time.Sleep(listenRetryInterval)
 	}
 	if err != nil {
 		return err
@@ -225,53 +225,53 @@
 	}
 	id, service := r.Header.Get(HeaderID), r.Header.Get(HeaderService)
 	s.inFlight.Add(1)
-	s.farm.watcher.Began(s.vm, service, id, time.Now())
+	s.group.observer.RequestStarted(s.vm, service, id, time.Now())
 	defer func() {
-		s.farm.watcher.Ended(s.vm, service)
+		s.group.observer.RequestEnded(s.vm, service)
 		s.inFlight.Add(-1)
 	}()
 	switch {
-	case r.Header.Get("Upgrade") == Protocol:
-		s.upgrade(w)
-	case r.Header.Get(HeaderBytes) == "":
-		s.stream(w, r)
+	case r.Header.Get("Upgrade") == UpgradeProtocol:
+		s.echoUpgraded(w)
+	case r.Header.Get(HeaderPaddingBytes) == "":
+		s.echoBody(w, r)
 	default:
-		s.answer(w, r, id)
+		s.respond(w, r, id)
 	}
 }
 
-// answer works for the time asked for and gives a whole answer.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string) {
+// respond works for the time asked for and gives a whole respond.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, id string) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	if s.unwell.Load() {
+	if s.unhealthy.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	us, _ := strconv.Atoi(r.Header.Get(HeaderWorkUs))
-	n, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
-	if d := time.Duration(us)*time.Microsecond + time.Duration(s.slowdown.Load()); d > 0 {
+	n, _ := strconv.Atoi(r.Header.Get(HeaderPaddingBytes))
+	if d := time.Duration(us)*time.Microsecond + time.Duration(s.delay.Load()); d > 0 {
 		time.Sleep(d)
 	}
-	body := Answer(id, min(n, maxBytes))
+	body := ResponseBody(id, min(n, maxPaddingBytes))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// Answer returns the whole answer to a request: its name, filling, and a checksum of both.
-func Answer(id string, filling int) []byte {
-	body := make([]byte, 0, len(id)+filling+18)
+// ResponseBody returns the whole answer to a request: its name, filling, and a checksum of both.
+func ResponseBody(id string, padding int) []byte {
+	body := make([]byte, 0, len(id)+padding+18)
 	body = append(body, id...)
 	body = append(body, '\n')
-	for i := range filling {
+	for i := range padding {
 		body = append(body, 'a'+byte(i%26))
 	}
 	return fmt.Appendf(body, "%016x", xxhash.Sum64(body))
 }
 
-// stream echoes the body line by line as it comes.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
+// echoBody echoes the body line by line as it comes.
+func (s *Server) echoBody(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	_ = rc.EnableFullDuplex()
 	w.WriteHeader(http.StatusOK)
@@ -294,10 +294,10 @@
 	}
 }
 
-// upgrade changes the protocol and echoes lines until the caller closes.
-func (s *Server) upgrade(w http.ResponseWriter) {
+// echoUpgraded changes the protocol and echoes lines until the caller closes.
+func (s *Server) echoUpgraded(w http.ResponseWriter) {
 	w.Header().Set("Connection", "Upgrade")
-	w.Header().Set("Upgrade", Protocol)
+	w.Header().Set("Upgrade", UpgradeProtocol)
 	w.WriteHeader(http.StatusSwitchingProtocols)
 	conn, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/pkg/bench/capacity/capacity.go
+++ b/pkg/bench/capacity/capacity.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Slope is one measured cost by size with its fitted line.
-type Slope struct {
+// LinearFit is one measured cost by size with its fitted line.
+type LinearFit struct {
 	Name      string    `json:"name"`
 	Role      string    `json:"role"`
 	XUnit     string    `json:"x_unit"`
@@ -26,10 +26,10 @@
 }
 
 // At returns the line's value.
-func (s Slope) At(x float64) float64 { return s.Intercept + s.Slope*x }
+func (s LinearFit) At(x float64) float64 { return s.Intercept + s.Slope*x }
 
 // fit finds the least-squares line.
-func (s *Slope) fit() {
+func (s *LinearFit) fit() {
 	n := float64(len(s.X))
 	var sx, sy, sxx, sxy float64
 	for i := range s.X {
@@ -48,19 +48,19 @@
 	}
 }
 
-// measure is a cost that can be measured at a size.
-type measure struct {
+// measurement is a cost that can be measured at a size.
+type measurement struct {
 	name, role, xUnit, yUnit string
 	sizes                    []int
-	at                       func(size int) (float64, error)
+	run                      func(size int) (float64, error)
 }
 
 // Run measures every slope.
-func Run() (slopes []Slope, err error) {
-	for _, m := range measures() {
-		s := Slope{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
+func Run() (fits []LinearFit, err error) {
+	for _, m := range measurements() {
+		s := LinearFit{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
 		for _, size := range m.sizes {
-			y, err := m.at(size)
+			y, err := m.run(size)
 			if err != nil {
 				return nil, err
 			}
@@ -68,40 +68,40 @@
 			s.Y = append(s.Y, y)
 		}
 		s.fit()
-		slopes = append(slopes, s)
+		fits = append(fits, s)
 	}
-	return slopes, nil
+	return fits, nil
 }
 
 const (
 	timingRounds = 7
-	timingSpan   = 20 * time.Millisecond // of one round, at least
+	minRoundTime = 20 * time.Millisecond // of one round, at least
 )
 
-// timeOf returns the median time of one call in microseconds.
-func timeOf(f func()) float64 {
+// medianTimeUs returns the median time of one call in microseconds.
+func medianTimeUs(f func()) float64 {
 	f()
 	var rounds []float64
 	for range timingRounds {
-		began, n := time.Now(), 0
-		for time.Since(began) < timingSpan {
+		start, n := time.Now(), 0
+		for time.Since(start) < minRoundTime {
 			f()
 			n++
 		}
-		rounds = append(rounds, float64(time.Since(began).Nanoseconds())/1000/float64(n))
+		rounds = append(rounds, float64(time.Since(start).Nanoseconds())/1000/float64(n))
 	}
 	slices.Sort(rounds)
 	return rounds[len(rounds)/2]
 }
 
-// heapOf returns the heap that f's result keeps, in KB.
-func heapOf[T any](f func() T) float64 {
+// retainedHeapKB returns the heap that f's result keeps, in KB.
+func retainedHeapKB[T any](f func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := f()
+	result := f()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return max(0, float64(after.HeapAlloc)-float64(before.HeapAlloc)) / 1024
 }
--- a/pkg/bench/capacity/measures.go
+++ b/pkg/bench/capacity/measures.go
@@ -20,26 +20,26 @@
 )
 
 var (
-	workers = []int{50, 100, 425, 1700, 3400}
-	servers = []int{10, 50, 200, 800, 1700}
-	peers   = []int{2, 5, 11, 25, 50}
+	workerCounts = []int{50, 100, 425, 1700, 3400}
+	serverCounts = []int{10, 50, 200, 800, 1700}
+	peerCounts   = []int{2, 5, 11, 25, 50}
 )
 
-// measures lists every cost.
-func measures() []measure {
-	return []measure{
-		{"snapshot_memory", "config distribution", "workers", "KB", workers, snapshotMemory},
-		{"apply_entry", "config distribution", "workers", "us", workers, applyEntry},
-		{"check_edit", "operators' API", "workers", "us", workers, checkEdit},
-		{"view_update", "router", "workers", "us", workers, viewUpdate},
-		{"view_memory", "router", "workers", "KB", workers, viewMemory},
-		{"pick_server", "router", "servers of a service", "us", servers, pickServer},
-		{"decide_idle", "fleet control", "workers", "us", workers, decideIdle},
-		{"decide_wave", "wave", "workers", "us", workers, decideWave},
-		{"start_bytes", "config distribution", "workers", "bytes", workers, startBytes},
+// measurements lists every cost.
+func measurements() []measurement {
+	return []measurement{
+		{"snapshot_memory", "config distribution", "workers", "KB", workerCounts, snapshotMemory},
+		{"apply_entry", "config distribution", "workers", "us", workerCounts, applyEntry},
+		{"check_edit", "operators' API", "workers", "us", workerCounts, checkEdit},
+		{"view_update", "router", "workers", "us", workerCounts, viewUpdate},
+		{"view_memory", "router", "workers", "KB", workerCounts, viewMemory},
+		{"pick_server", "router", "servers of a service", "us", serverCounts, pickServer},
+		{"decide_idle", "fleet control", "workers", "us", workerCounts, decideIdle},
+		{"decide_wave", "wave", "workers", "us", workerCounts, decideWave},
+		{"start_bytes", "config distribution", "workers", "bytes", workerCounts, startBytes},
 		{"edit_bytes", "config distribution", "rows of an edit", "bytes", []int{1, 2, 5, 10}, editBytes},
 		{"sync_bytes", "membership", "drains asked for", "bytes", []int{0, 5, 20, 50}, syncBytes},
-		{"sync_time", "membership", "peers in a round", "us", peers, syncTime},
+		{"sync_time", "membership", "peers in a round", "us", peerCounts, syncTime},
 	}
 }
 
@@ -50,8 +50,8 @@
 	workersPerZone = 100
 )
 
-// fleetOf builds a table of n workers, of which a tenth is in the buffer.
-func fleetOf(n int) *table.Snapshot {
+// newFleet builds a table of n workers, of which a tenth is in the buffer.
+func newFleet(n int) *table.Snapshot {
 	s := table.Empty()
 	s.Revision = 1
 	s.Zones, s.Racks = table.Rows[schema.Zone]{}, table.Rows[schema.Rack]{}
@@ -85,22 +85,22 @@
 }
 
 func snapshotMemory(n int) (float64, error) {
-	return heapOf(func() *table.Snapshot { return fleetOf(n) }), nil
+	return retainedHeapKB(func() *table.Snapshot { return newFleet(n) }), nil
 }
 
 func applyEntry(n int) (float64, error) {
-	s := fleetOf(n)
+	s := newFleet(n)
 	entry, _, err := s.Prepare(vmEdit(s), 1)
 	if err != nil {
 		return 0, err
 	}
-	return timeOf(func() { _, _ = s.Apply(entry) }), nil
+	return medianTimeUs(func() { _, _ = s.Apply(entry) }), nil
 }
 
 func checkEdit(n int) (float64, error) {
-	s := fleetOf(n)
+	s := newFleet(n)
 	edit := vmEdit(s)
-	return timeOf(func() { _, _, _ = s.Prepare(edit, 1) }), nil
+	return medianTimeUs(func() { _, _, _ = s.Prepare(edit, 1) }), nil
 }
 
 func newGateway(s *table.Snapshot) *gateway.Gateway {
@@ -110,14 +110,14 @@
 }
 
 func viewUpdate(n int) (float64, error) {
-	s := fleetOf(n)
+	s := newFleet(n)
 	g := newGateway(s)
-	return timeOf(func() { g.SetTable(s) }), nil
+	return medianTimeUs(func() { g.SetTable(s) }), nil
 }
 
 func viewMemory(n int) (float64, error) {
-	s := fleetOf(n)
-	return heapOf(func() *gateway.Gateway { return newGateway(s) }), nil
+	s := newFleet(n)
+	return retainedHeapKB(func() *gateway.Gateway { return newGateway(s) }), nil
 }
 
 // target is a plain balance.Target.
@@ -136,12 +136,12 @@
 	}
 	var p balance.PowerOfTwo[*target]
 	none := func(*target) bool { return false }
-	return timeOf(func() { _, _ = p.Pick(targets, none) }), nil
+	return medianTimeUs(func() { _, _ = p.Pick(targets, none) }), nil
 }
 
-// stateOf is a fleet in good health.
-func stateOf(n int) fleet.State {
-	s := fleetOf(n)
+// healthyState is a fleet in good health.
+func healthyState(n int) fleet.State {
+	s := newFleet(n)
 	now := time.Now()
 	seen := map[string]fleet.Observation{}
 	for name := range s.VMs {
@@ -151,24 +151,24 @@
 }
 
 func decideIdle(n int) (float64, error) {
-	state := stateOf(n)
-	return timeOf(func() { fleet.Decide(state, fleet.DefaultLimits()) }), nil
+	state := healthyState(n)
+	return medianTimeUs(func() { fleet.Decide(state, fleet.DefaultLimits()) }), nil
 }
 
 func decideWave(n int) (float64, error) {
-	state := stateOf(n)
+	state := healthyState(n)
 	state.Table.Waves["w"] = table.Row[schema.Wave]{Version: 1, Value: schema.Wave{State: schema.WaveStateRunning, StartedAtMs: 1}}
-	return timeOf(func() { fleet.Decide(state, fleet.DefaultLimits()) }), nil
+	return medianTimeUs(func() { fleet.Decide(state, fleet.DefaultLimits()) }), nil
 }
 
 // startBytes is what a starting entry reads from the table service.
 func startBytes(n int) (float64, error) {
-	raw, err := json.Marshal(fleetOf(n).Stored())
+	raw, err := json.Marshal(newFleet(n).Stored())
 	return float64(len(raw)), err
 }
 
-// frameBytes is the size of a message between peers.
-func frameBytes(v any) (float64, error) {
+// frameSize is the size of a message between peers.
+func frameSize(v any) (float64, error) {
 	var buf bytes.Buffer
 	_, err := peer.WriteFrame(&buf, v)
 	return float64(buf.Len()), err
@@ -176,7 +176,7 @@
 
 // editBytes is what one edit costs on one link.
 func editBytes(rows int) (float64, error) {
-	s := fleetOf(100)
+	s := newFleet(100)
 	entry, _, err := s.Prepare(vmEdit(s), 1)
 	if err != nil {
 		return 0, err
@@ -185,7 +185,7 @@
 	for len(entry.Changes) < rows {
 		entry.Changes = append(entry.Changes, change)
 	}
-	return frameBytes(&schema.PeerRequest{From: selfState(), Entries: []schema.Entry{*entry}})
+	return frameSize(&schema.PeerRequest{From: selfState(), Entries: []schema.Entry{*entry}})
 }
 
 func selfState() schema.PeerState {
@@ -201,12 +201,12 @@
 		q.Drains = append(q.Drains, vm)
 		reply.InFlight = append(reply.InFlight, schema.VMInFlight{VM: vm, Count: 1})
 	}
-	asked, err := frameBytes(q)
+	requestSize, err := frameSize(q)
 	if err != nil {
 		return 0, err
 	}
-	answered, err := frameBytes(reply)
-	return asked + answered, err
+	replySize, err := frameSize(reply)
+	return requestSize + replySize, err
 }
 
 // syncTime is one round of exchanges with all peers over loopback.
@@ -215,18 +215,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r := replica.New(fake.New().View("z"))
-	asker := membership.NewPeers(selfState(), secret, r)
+	client := membership.NewPeers(selfState(), secret, r)
 	var addresses []string
 	for range n {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return 0, err
 		}
-		other := membership.NewPeers(schema.PeerState{Name: "peer", Address: ln.Addr().String()}, secret, replica.New(fake.New().View("z")))
-		go func() { _ = peer.NewServer(ln, secret, other.Handle).Serve(ctx) }()
+		server := membership.NewPeers(schema.PeerState{Name: "peer", Address: ln.Addr().String()}, secret, replica.New(fake.New().View("z")))
+		go func() { _ = peer.NewServer(ln, secret, server.Handle).Serve(ctx) }()
 		addresses = append(addresses, ln.Addr().String())
 	}
-	asker.SetAddresses(addresses)
-	defer asker.Close()
-	return timeOf(func() { asker.SyncAll(ctx) }), nil
+	client.SetAddresses(addresses)
+	defer client.Close()
+	return medianTimeUs(func() { client.SyncAll(ctx) }), nil
 }
--- a/pkg/bench/checker/checker.go
+++ b/pkg/bench/checker/checker.go
@@ -20,12 +20,12 @@
 
 // The results.
 const (
-	ResultWhole     Result = "whole"     // the whole answer to this request
-	ResultWrong     Result = "wrong"     // an answer to another request, or a damaged one
-	ResultTruncated Result = "truncated" // ended as if whole, but a part is missing
-	ResultNotRun    Result = "not-run"   // the system says that it did not run
-	ResultCut       Result = "cut"       // broken off, or its outcome is unknown
-	ResultRefused   Result = "refused"   // an error with the outcome ran: the backend server's own
+	ResultComplete     Result = "whole"     // the whole answer to this request
+	ResultWrong        Result = "wrong"     // an answer to another request, or a damaged one
+	ResultTruncated    Result = "truncated" // ended as if whole, but a part is missing
+	ResultNotRun       Result = "not-run"   // the system says that it did not run
+	ResultCutOff       Result = "cut"       // broken off, or its outcome is unknown
+	ResultBackendError Result = "refused"   // an error with the outcome ran: the backend server's own
 )
 
 // Request is one request as its caller saw it.
@@ -73,41 +73,41 @@
 		r.BudgetViolations+r.VMsInTwoPools+r.ConfigReverts > 0
 }
 
-// accepted is an edit and when an operator was told of it.
-type accepted struct {
+// acceptedEdit is an edit and when an operator was told of it.
+type acceptedEdit struct {
 	revision int
 	at       time.Time
 }
 
-// ranBound caps the run counts that are kept.
-const ranBound = 4 << 20
+// maxTrackedRequests caps the run counts that are kept.
+const maxTrackedRequests = 4 << 20
 
 // Checker counts; its methods may be called from many goroutines.
 type Checker struct {
-	mu      sync.Mutex
-	report  Report
-	begun   int                 // requests at backend servers
-	ran     map[string]int      // runs by request
-	once    map[string]struct{} // requests that must not be repeated
-	notRun  []string            // requests that the system says did not run
-	latency *hdrhistogram.Histogram
-	details []string // of the first harms
+	mu        sync.Mutex
+	report    Report
+	started   int                 // requests at backend servers
+	runs      map[string]int      // runs by request
+	onceIDs   map[string]struct{} // requests that must not be repeated
+	notRunIDs []string            // requests that the system says did not run
+	latency   *hdrhistogram.Histogram
+	details   []string // of the first harms
 
-	edits    []accepted
-	revision map[string]int // highest seen by entry address
+	edits     []acceptedEdit
+	revisions map[string]int // highest seen by entry address
 
 	fleet fleetState
 }
 
 const (
 	maxLatencyUs = 10 * 60 * 1000 * 1000
-	keptDetails  = 20
+	maxDetails   = 20
 )
 
 // New returns a checker.
 func New() *Checker {
 	return &Checker{
-		ran: map[string]int{}, once: map[string]struct{}{}, revision: map[string]int{},
+		runs: map[string]int{}, onceIDs: map[string]struct{}{}, revisions: map[string]int{},
 		latency: hdrhistogram.New(1, maxLatencyUs, 3),
 		fleet:   newFleetState(),
 	}
@@ -117,7 +117,7 @@
 func (c *Checker) Revision(entry string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.revision[entry]
+	return c.revisions[entry]
 }
 
 // Finished takes the result of a request; seen is the entry's revision when it was sent.
@@ -127,10 +127,10 @@
 	c.report.Requests++
 	if r.Once {
 		c.report.OnceRequests++
-		c.once[r.ID] = struct{}{}
+		c.onceIDs[r.ID] = struct{}{}
 	}
 	switch r.Result {
-	case ResultWhole, ResultRefused:
+	case ResultComplete, ResultBackendError:
 		c.report.Answered++
 		if r.Class != schema.ClassLive {
 			_ = c.latency.RecordValue(max(1, r.Done.Sub(r.Sent).Microseconds()))
@@ -141,93 +141,93 @@
 		c.report.Truncated++
 	case ResultNotRun:
 		c.report.NotRun++
-		c.notRun = append(c.notRun, r.ID)
-	case ResultCut:
+		c.notRunIDs = append(c.notRunIDs, r.ID)
+	case ResultCutOff:
 		c.report.CutOff++
 	}
-	if r.Result != ResultWhole && r.Result != ResultNotRun {
-		c.detail(string(r.Result) + " " + string(r.Class) + " " + r.ID + " at " + r.Entry + ": " + r.Detail)
+	if r.Result != ResultComplete && r.Result != ResultNotRun {
+		c.addDetail(string(r.Result) + " " + string(r.Class) + " " + r.ID + " at " + r.Entry + ": " + r.Detail)
 	}
-	c.config(r, seen)
+	c.checkRevision(r, seen)
 }
 
-// detail keeps the first harms for people; the caller holds the lock.
-func (c *Checker) detail(s string) {
-	if len(c.details) < keptDetails {
+// addDetail keeps the first harms for people; the caller holds the lock.
+func (c *Checker) addDetail(s string) {
+	if len(c.details) < maxDetails {
 		c.details = append(c.details, s)
 	}
 }
 
-// config judges the revision that an answer named; the caller holds the lock.
-func (c *Checker) config(r Request, seen int) {
+// checkRevision judges the revision that an answer named; the caller holds the lock.
+func (c *Checker) checkRevision(r Request, seen int) {
 	if r.Revision == 0 {
 		return
 	}
 	if r.Revision < seen {
 		c.report.ConfigReverts++
-		c.detail("entry " + r.Entry + " went back to an earlier revision")
+		c.addDetail("entry " + r.Entry + " went back to an earlier revision")
 	}
-	c.revision[r.Entry] = max(c.revision[r.Entry], r.Revision)
-	i, _ := slices.BinarySearchFunc(c.edits, r.Revision+1, func(a accepted, revision int) int { return a.revision - revision })
+	c.revisions[r.Entry] = max(c.revisions[r.Entry], r.Revision)
+	i, _ := slices.BinarySearchFunc(c.edits, r.Revision+1, func(a acceptedEdit, revision int) int { return a.revision - revision })
 	if i < len(c.edits) && r.Sent.After(c.edits[i].at) {
 		c.report.ConfigInForceMs = max(c.report.ConfigInForceMs, milliseconds(r.Sent.Sub(c.edits[i].at)))
 	}
 }
 
-// Accepted notes an edit that an operator was told is accepted.
-func (c *Checker) Accepted(revision int, at time.Time) {
+// EditAccepted notes an edit that an operator was told is accepted.
+func (c *Checker) EditAccepted(revision int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.report.Edits++
-	c.edits = append(c.edits, accepted{revision, at})
-	slices.SortFunc(c.edits, func(a, b accepted) int { return a.revision - b.revision })
+	c.edits = append(c.edits, acceptedEdit{revision, at})
+	slices.SortFunc(c.edits, func(a, b acceptedEdit) int { return a.revision - b.revision })
 }
 
-// Began notes that a backend server began a request.
-func (c *Checker) Began(vm, service, id string, at time.Time) {
+// RequestStarted notes that a backend server began a request.
+func (c *Checker) RequestStarted(vm, service, id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun++
-	if len(c.ran) < ranBound {
-		c.ran[id]++
+	c.started++
+	if len(c.runs) < maxTrackedRequests {
+		c.runs[id]++
 	}
-	if late := c.fleet.began(vm, service, at); late > 0 {
-		c.report.NewWorkAfterLeavingMs = max(c.report.NewWorkAfterLeavingMs, milliseconds(late))
+	if afterLeaving := c.fleet.requestStarted(vm, service, at); afterLeaving > 0 {
+		c.report.NewWorkAfterLeavingMs = max(c.report.NewWorkAfterLeavingMs, milliseconds(afterLeaving))
 	}
-	if c.fleet.servesTwo(vm) {
+	if c.fleet.servesTwoServices(vm) {
 		c.report.VMsInTwoPools++
-		c.detail("VM " + vm + " serves two services at once")
+		c.addDetail("VM " + vm + " serves two services at once")
 	}
 }
 
-// Requests returns how many requests backend servers have begun.
-func (c *Checker) Requests() int {
+// StartedRequests returns how many requests backend servers have begun.
+func (c *Checker) StartedRequests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.begun
+	return c.started
 }
 
-// Ended notes that a backend server ended a request.
-func (c *Checker) Ended(vm, service string) {
+// RequestEnded notes that a backend server ended a request.
+func (c *Checker) RequestEnded(vm, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fleet.ended(vm, service)
+	c.fleet.requestEnded(vm, service)
 }
 
 // Power notes that a VM goes down or comes up.
 func (c *Checker) Power(vm string, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fleet.off[vm] = !on
-	c.budgets()
+	c.fleet.poweredOff[vm] = !on
+	c.checkBudgets()
 }
 
 // Leaving notes that the platform tells a VM that it is leaving, or takes that back.
 func (c *Checker) Leaving(vm string, leaving bool, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fleet.leaving(vm, leaving, at)
-	c.budgets()
+	c.fleet.setLeaving(vm, leaving, at)
+	c.checkBudgets()
 }
 
 // Wrote implements fake.Observer.
@@ -242,21 +242,21 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.fleet.wrote(key, row, w.Remove, time.Now()) {
+	if c.fleet.applyRow(key, row, w.Remove, time.Now()) {
 		c.report.Moves++
 	}
-	c.budgets()
-	if vm, ok := c.fleet.twice(key); ok {
+	c.checkBudgets()
+	if vm, ok := c.fleet.duplicateAddress(key); ok {
 		c.report.VMsInTwoPools++
-		c.detail("VM " + vm + " has the address of another one")
+		c.addDetail("VM " + vm + " has the address of another one")
 	}
 }
 
-// budgets counts pools that have come to be over their budget; the caller holds the lock.
-func (c *Checker) budgets() {
-	for _, pool := range c.fleet.newlyOver() {
+// checkBudgets counts pools that have come to be over their budget; the caller holds the lock.
+func (c *Checker) checkBudgets() {
+	for _, pool := range c.fleet.newlyOverBudget() {
 		c.report.BudgetViolations++
-		c.detail("pool " + pool + " is over its budget")
+		c.addDetail("pool " + pool + " is over its budget")
 	}
 }
 
@@ -265,18 +265,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.report
-	for id := range c.once {
-		if c.ran[id] > 1 {
+	for id := range c.onceIDs {
+		if c.runs[id] > 1 {
 			r.OnceRanTwice++
 		}
 	}
-	for _, id := range c.notRun {
-		if c.ran[id] > 0 {
+	for _, id := range c.notRunIDs {
+		if c.runs[id] > 0 {
 			r.NotRunButRan++
 		}
 	}
-	r.BufferVMs = c.fleet.buffer()
-	r.WaveDone, r.WaveSeconds = c.fleet.wave()
+	r.BufferVMs = c.fleet.bufferSize()
+	r.WaveDone, r.WaveSeconds = c.fleet.waveStatus()
 	r.P50Ms = float64(c.latency.ValueAtQuantile(50)) / 1000
 	r.P99Ms = float64(c.latency.ValueAtQuantile(99)) / 1000
 	r.P999Ms = float64(c.latency.ValueAtQuantile(99.9)) / 1000
--- a/pkg/bench/checker/checker_test.go
+++ b/pkg/bench/checker/checker_test.go
@@ -41,17 +41,17 @@
 	}{
 		"wrong_answers": {func(c *checker.Checker) { c.Finished(request("a", checker.ResultWrong), 0) }, func(r checker.Report) float64 { return float64(r.WrongAnswers) }, 1, true},
 		"truncated":     {func(c *checker.Checker) { c.Finished(request("a", checker.ResultTruncated), 0) }, func(r checker.Report) float64 { return float64(r.Truncated) }, 1, true},
-		"cut_off":       {func(c *checker.Checker) { c.Finished(request("a", checker.ResultCut), 0) }, func(r checker.Report) float64 { return float64(r.CutOff) }, 1, true},
+		"cut_off":       {func(c *checker.Checker) { c.Finished(request("a", checker.ResultCutOff), 0) }, func(r checker.Report) float64 { return float64(r.CutOff) }, 1, true},
 		"once_ran_twice": {func(c *checker.Checker) {
-			r := request("a", checker.ResultWhole)
+			r := request("a", checker.ResultComplete)
 			r.Once = true
 			c.Finished(r, 0)
-			c.Began("w1", "s", "a", now)
-			c.Began("w2", "s", "a", now)
+			c.RequestStarted("w1", "s", "a", now)
+			c.RequestStarted("w2", "s", "a", now)
 		}, func(r checker.Report) float64 { return float64(r.OnceRanTwice) }, 1, true},
 		"not_run_but_ran": {func(c *checker.Checker) {
 			c.Finished(request("a", checker.ResultNotRun), 0)
-			c.Began("w1", "s", "a", now)
+			c.RequestStarted("w1", "s", "a", now)
 		}, func(r checker.Report) float64 { return float64(r.NotRunButRan) }, 1, true},
 		"budget_violations by the table": {func(c *checker.Checker) {
 			write(c, schema.KindPool, "p", schema.Pool{MaxUnavailable: 1})
@@ -64,8 +64,8 @@
 			c.Power("w1", false)
 		}, func(r checker.Report) float64 { return float64(r.BudgetViolations) }, 1, true},
 		"vms_in_two_pools by work": {func(c *checker.Checker) {
-			c.Began("w1", "s1", "a", now)
-			c.Began("w1", "s2", "b", now)
+			c.RequestStarted("w1", "s1", "a", now)
+			c.RequestStarted("w1", "s2", "b", now)
 		}, func(r checker.Report) float64 { return float64(r.VMsInTwoPools) }, 1, true},
 		"vms_in_two_pools by address": {func(c *checker.Checker) {
 			write(c, schema.KindVM, "w1", vm("a", "p", schema.PhaseActive))
@@ -73,16 +73,16 @@
 		}, func(r checker.Report) float64 { return float64(r.VMsInTwoPools) }, 1, true},
 		"new_work_after_leaving": {func(c *checker.Checker) {
 			c.Leaving("w1", true, now)
-			c.Began("w1", "s", "a", now.Add(2*time.Second))
+			c.RequestStarted("w1", "s", "a", now.Add(2*time.Second))
 		}, func(r checker.Report) float64 { return r.NewWorkAfterLeavingMs }, 2000, false},
 		"config_in_force": {func(c *checker.Checker) {
-			c.Accepted(5, now.Add(-3*time.Second))
-			r := request("a", checker.ResultWhole)
+			c.EditAccepted(5, now.Add(-3*time.Second))
+			r := request("a", checker.ResultComplete)
 			r.Revision = 4
 			c.Finished(r, 4)
 		}, func(r checker.Report) float64 { return r.ConfigInForceMs }, 3000, false},
 		"config_reverts": {func(c *checker.Checker) {
-			r := request("a", checker.ResultWhole)
+			r := request("a", checker.ResultComplete)
 			r.Revision = 4
 			c.Finished(r, 5)
 		}, func(r checker.Report) float64 { return float64(r.ConfigReverts) }, 1, true},
--- a/pkg/bench/claims/claims.go
+++ b/pkg/bench/claims/claims.go
@@ -18,7 +18,7 @@
 
 // Result is one way at one offered rate.
 type Result struct {
-	Way         string  `json:"way"`
+	Method      string  `json:"way"`
 	Offered     int     `json:"offered_per_s"`
 	Claimed     float64 `json:"claimed_per_s"`
 	Refused     float64 `json:"refused_per_s"`
@@ -39,12 +39,12 @@
 // Run offers each rate for a time to both ways.
 func Run(rates []int, d time.Duration) (results []Result) {
 	for _, rate := range rates {
-		results = append(results, measure("grouped", rate, d, grouped), measure("one by one", rate, d, oneByOne))
+		results = append(results, measure("grouped", rate, d, newGroupedClaimer), measure("one by one", rate, d, newSingleClaimer))
 	}
 	return results
 }
 
-func grouped(ctx context.Context, store platform.Table, wg *sync.WaitGroup, i int) claimer {
+func newGroupedClaimer(ctx context.Context, store platform.Table, wg *sync.WaitGroup, i int) claimer {
 	b := once.New(store, fmt.Sprintf("entry-%d", i))
 	wg.Go(func() { _ = b.Run(ctx) })
 	return func(ctx context.Context, key string) error {
@@ -56,7 +56,7 @@
 	}
 }
 
-func oneByOne(_ context.Context, store platform.Table, _ *sync.WaitGroup, _ int) claimer {
+func newSingleClaimer(_ context.Context, store platform.Table, _ *sync.WaitGroup, _ int) claimer {
 	return func(ctx context.Context, key string) error {
 		return store.Commit(ctx, platform.Txn{
 			Conditions: []platform.Condition{{Key: key}}, Writes: []platform.Write{{Key: key, Value: []byte("d")}},
@@ -64,24 +64,24 @@
 	}
 }
 
-func measure(way string, rate int, d time.Duration, make func(context.Context, platform.Table, *sync.WaitGroup, int) claimer) Result {
+func measure(method string, rate int, d time.Duration, newClaimer func(context.Context, platform.Table, *sync.WaitGroup, int) claimer) Result {
 	store := fake.New(fake.WithLatency(storeLatency))
 	ctx, cancel := context.WithCancel(context.Background())
-	var running, sent sync.WaitGroup
+	var background, calls sync.WaitGroup
 	var claimers []claimer
 	for i := range entries {
-		claimers = append(claimers, make(ctx, store.View("z"), &running, i))
+		claimers = append(claimers, newClaimer(ctx, store.View("z"), &background, i))
 	}
 	var mu sync.Mutex
-	var took []float64
+	var latenciesMs []float64
 	refused := 0
 	tick := time.NewTicker(time.Second / time.Duration(rate))
 	defer tick.Stop()
-	began := time.Now()
-	for n := 0; time.Since(began) < d; n++ {
+	start := time.Now()
+	for n := 0; time.Since(start) < d; n++ {
 		<-tick.C
-		sent.Go(func() {
-			at := time.Now()
+		calls.Go(func() {
+			sentAt := time.Now()
 			err := claimers[n%entries](ctx, fmt.Sprint("key-", n))
 			mu.Lock()
 			defer mu.Unlock()
@@ -89,17 +89,17 @@
 				refused++
 				return
 			}
-			took = append(took, float64(time.Since(at).Microseconds())/1000)
+			latenciesMs = append(latenciesMs, float64(time.Since(sentAt).Microseconds())/1000)
 		})
 	}
-	sent.Wait()
-	elapsed := time.Since(began).Seconds()
+	calls.Wait()
+	elapsed := time.Since(start).Seconds()
 	cancel()
-	running.Wait()
-	slices.Sort(took)
-	r := Result{Way: way, Offered: rate, EntriesUsed: entries, Claimed: float64(len(took)) / elapsed, Refused: float64(refused) / elapsed, WritesPerS: float64(store.Calls(rest.OpCommit)) / elapsed}
-	if len(took) > 0 {
-		r.AddedP50Ms, r.AddedP99Ms = took[len(took)/2], took[len(took)*99/100]
+	background.Wait()
+	slices.Sort(latenciesMs)
+	r := Result{Method: method, Offered: rate, EntriesUsed: entries, Claimed: float64(len(latenciesMs)) / elapsed, Refused: float64(refused) / elapsed, WritesPerS: float64(store.Calls(rest.OpCommit)) / elapsed}
+	if len(latenciesMs) > 0 {
+		r.AddedP50Ms, r.AddedP99Ms = latenciesMs[len(latenciesMs)/2], latenciesMs[len(latenciesMs)*99/100]
 	}
 	return r
 }
--- a/pkg/bench/cluster/cluster.go
+++ b/pkg/bench/cluster/cluster.go
@@ -32,13 +32,13 @@
 
 // The pace of these entries: quicker than the defaults, so that a wave takes seconds.
 const (
-	stepMs   = 100
-	probeMs  = 200
-	noticeMs = 500
+	stepIntervalMs  = 100
+	probeIntervalMs = 200
+	stopNoticeMs    = 500
 )
 
-// running is one entry daemon.
-type running struct {
+// runningEntry is one entry daemon.
+type runningEntry struct {
 	entry  *entry.Entry
 	cancel context.CancelFunc
 	done   chan error
@@ -46,15 +46,15 @@
 
 // Entries are the daemons of a deployment.
 type Entries struct {
-	standin  *standin.Standin
-	balancer *load.Balancer
-	log      zerolog.Logger
-	gateway  map[string]any // settings of the request path beside those of pace
-	options  func(zone string) []entry.Option
-	onStart  func(zone, peerAddress string)
+	standin         *standin.Standin
+	balancer        *load.Balancer
+	log             zerolog.Logger
+	gatewaySettings map[string]any // settings of the request path beside those of pace
+	entryOptions    func(zone string) []entry.Option
+	onStart         func(zone, peerAddress string)
 
 	mu      sync.Mutex
-	running map[string]*running
+	running map[string]*runningEntry
 }
 
 // Option changes how Entries are made.
@@ -63,14 +63,14 @@
 // WithLogger sets the daemons' log.
 func WithLogger(l zerolog.Logger) Option { return func(es *Entries) { es.log = l } }
 
-// WithGateway sets fields of the daemons' gateway settings.
-func WithGateway(fields map[string]any) Option {
-	return func(es *Entries) { maps.Copy(es.gateway, fields) }
+// WithGatewaySettings sets fields of the daemons' gateway settings.
+func WithGatewaySettings(fields map[string]any) Option {
+	return func(es *Entries) { maps.Copy(es.gatewaySettings, fields) }
 }
 
 // WithEntryOptions makes each daemon with the options for its zone.
 func WithEntryOptions(f func(zone string) []entry.Option) Option {
-	return func(es *Entries) { es.options = f }
+	return func(es *Entries) { es.entryOptions = f }
 }
 
 // WithOnStart tells f of each entry that starts.
@@ -81,10 +81,10 @@
 // New returns a cluster without entries; the balancer is told of each that comes and goes.
 func New(s *standin.Standin, b *load.Balancer, opts ...Option) *Entries {
 	es := &Entries{
-		standin: s, balancer: b, log: zerolog.Nop(), running: map[string]*running{},
-		gateway: map[string]any{"probe_interval_ms": probeMs, "stop_notice_ms": noticeMs},
-		options: func(string) []entry.Option { return nil },
-		onStart: func(string, string) {},
+		standin: s, balancer: b, log: zerolog.Nop(), running: map[string]*runningEntry{},
+		gatewaySettings: map[string]any{"probe_interval_ms": probeIntervalMs, "stop_notice_ms": stopNoticeMs},
+		entryOptions:    func(string) []entry.Option { return nil },
+		onStart:         func(string, string) {},
 	}
 	for _, o := range opts {
 		o(es)
@@ -105,8 +105,8 @@
 		},
 		"peers":    map[string]any{"address": "127.0.0.1:0", "secret": secret, "seeds": es.peerAddresses()},
 		"platform": map[string]any{"url": es.standin.URL(zone)},
-		"gateway":  es.gateway,
-		"control":  map[string]any{"step_interval_ms": stepMs},
+		"gateway":  es.gatewaySettings,
+		"control":  map[string]any{"step_interval_ms": stepIntervalMs},
 	})
 	if err != nil {
 		return s, err
@@ -132,12 +132,12 @@
 	if err != nil {
 		return err
 	}
-	e, err := entry.New(settings, append(es.options(settings.Zone), entry.WithLogger(es.log))...)
+	e, err := entry.New(settings, append(es.entryOptions(settings.Zone), entry.WithLogger(es.log))...)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	r := &running{entry: e, cancel: cancel, done: make(chan error, 1)}
+	r := &runningEntry{entry: e, cancel: cancel, done: make(chan error, 1)}
 	go func() { r.done <- e.Run(ctx) }()
 	es.standin.Platform.AddVM(platform.ListedVM{
 		Name: name, Zone: settings.Zone, Role: platform.RoleEntry, Address: e.PeerAddress(),
@@ -146,17 +146,17 @@
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	es.running[name] = r
-	es.tellBalancer()
+	es.updateBalancer()
 	return nil
 }
 
-// tellBalancer hands over the entries; the caller holds the lock.
-func (es *Entries) tellBalancer() {
+// updateBalancer hands over the entries; the caller holds the lock.
+func (es *Entries) updateBalancer() {
 	var addresses []string
 	for _, r := range es.running {
 		addresses = append(addresses, r.entry.CallerAddress())
 	}
-	es.balancer.Set(addresses...)
+	es.balancer.SetEntries(addresses...)
 }
 
 const stopTimeout = 30 * time.Second
@@ -179,7 +179,7 @@
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	delete(es.running, name)
-	es.tellBalancer()
+	es.updateBalancer()
 	es.standin.Platform.Fail(name)
 	return nil
 }
@@ -194,24 +194,24 @@
 	es.standin.Platform.Fail(name)
 }
 
-// Any returns an operators' client of some entry.
-func (es *Entries) Any() *client.Client {
+// AnyClient returns an operators' client of some entry.
+func (es *Entries) AnyClient() *client.Client {
 	es.mu.Lock()
 	defer es.mu.Unlock()
-	var ready []*running
+	var entries []*runningEntry
 	for _, r := range es.running {
-		ready = append(ready, r)
+		entries = append(entries, r)
 	}
-	if len(ready) == 0 {
+	if len(entries) == 0 {
 		return nil
 	}
-	slices.SortFunc(ready, func(a, b *running) int {
+	slices.SortFunc(entries, func(a, b *runningEntry) int {
 		if a.entry.OperatorAddress() < b.entry.OperatorAddress() {
 			return -1
 		}
 		return 1
 	})
-	return client.New("http://"+ready[rand.IntN(len(ready))].entry.OperatorAddress(), token)
+	return client.New("http://"+entries[rand.IntN(len(entries))].entry.OperatorAddress(), token)
 }
 
 // CloseAll ends what still runs.
--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -25,7 +25,7 @@
 // Options are what a demo is told.
 type Options struct {
 	Deployments []string      // table files
-	For         time.Duration // of the load; a wave under way is waited for
+	Duration    time.Duration // of the load; a wave under way is waited for
 	Seed        uint64
 	Scale       float64 // of the load
 	Progress    io.Writer
@@ -39,7 +39,7 @@
 			filepath.Join(root, "_fixtures", "test-platform.jsonc"),
 			filepath.Join(root, "_fixtures", "aula-pampa.jsonc"),
 		},
-		For: 20 * time.Second, Seed: 1, Scale: 1, Progress: io.Discard, Log: zerolog.Nop(),
+		Duration: 20 * time.Second, Seed: 1, Scale: 1, Progress: io.Discard, Log: zerolog.Nop(),
 	}
 }
 
@@ -82,12 +82,12 @@
 		})
 	}
 	err = g.Wait()
-	sum.Report = total(sum.Deployments)
+	sum.Report = aggregate(sum.Deployments)
 	return sum, err
 }
 
-// total sums counters and takes the worst of the times.
-func total(reports map[string]checker.Report) (t checker.Report) {
+// aggregate sums counters and takes the worst of the times.
+func aggregate(reports map[string]checker.Report) (t checker.Report) {
 	t.WaveDone = len(reports) > 0
 	for _, r := range reports {
 		t.Requests += r.Requests
@@ -134,7 +134,7 @@
 	}
 }
 
-func (d *deployment) progress(format string, args ...any) {
+func (d *deployment) logProgress(format string, args ...any) {
 	_, _ = fmt.Fprintf(d.o.Progress, "%-14s %s\n", d.Name, fmt.Sprintf(format, args...))
 }
 
@@ -158,22 +158,22 @@
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	generator := load.NewGenerator(d.balancer, d.Checker, d.Name, d.seed)
-	loaded := make(chan struct{})
+	loadDone := make(chan struct{})
 	background.Go(func() {
-		defer close(loaded)
+		defer close(loadDone)
 		generator.Run(loadCtx, load.StreamsOf(d.Routes(), d.o.Scale))
 	})
-	background.Go(func() { d.report(loadCtx) })
-	background.Go(func() { d.operator.editNowAndThen(loadCtx) })
-	err = d.acts(ctx)
+	background.Go(func() { d.reportProgress(loadCtx) })
+	background.Go(func() { d.operator.editPeriodically(loadCtx) })
+	err = d.runSteps(ctx)
 	stopLoad()
-	<-loaded
+	<-loadDone
 	return err
 }
 
 // prepare applies the table and waits until the pools are full.
 func (d *deployment) prepare(ctx context.Context) error {
-	if err := d.await(ctx, startTimeout, "entries to be ready", func() bool { return d.balancer.Ready() == entriesPerDeployment }); err != nil {
+	if err := d.waitFor(ctx, startTimeout, "entries to be ready", func() bool { return d.balancer.ReadyCount() == entriesPerDeployment }); err != nil {
 		return err
 	}
 	if err := d.operator.apply(ctx, d.Table.Stored(), "the deployment's table"); err != nil {
@@ -183,18 +183,18 @@
 	for _, p := range d.Table.Pools {
 		want += p.Value.Size
 	}
-	d.progress("table applied, %d VMs, %d routes; pools fill up", len(d.Table.VMs), len(d.Table.Routes))
-	return d.await(ctx, startTimeout, "pools to be full", func() bool {
+	d.logProgress("table applied, %d VMs, %d routes; pools fill up", len(d.Table.VMs), len(d.Table.Routes))
+	return d.waitFor(ctx, startTimeout, "pools to be full", func() bool {
 		return d.Checker.Report().BufferVMs == len(d.Table.VMs)-want
 	})
 }
 
-// await waits for a condition.
-func (d *deployment) await(ctx context.Context, limit time.Duration, what string, f func() bool) error {
-	deadline := time.Now().Add(limit)
+// waitFor waits for a condition.
+func (d *deployment) waitFor(ctx context.Context, timeout time.Duration, what string, f func() bool) error {
+	deadline := time.Now().Add(timeout)
 	for !f() {
 		if time.Now().After(deadline) {
-			return errors.Errorf("waited %s for %s", limit, what)
+			return errors.Errorf("waited %s for %s", timeout, what)
 		}
 		select {
 		case <-ctx.Done():
@@ -205,50 +205,50 @@
 	return nil
 }
 
-// acts takes the deployment through a wave, the stop of an entry and the replacement of another.
-func (d *deployment) acts(ctx context.Context) error {
-	end := time.Now().Add(d.o.For)
-	const act = 5 // parts of the time
-	wait(ctx, d.o.For/act)
+// runSteps takes the deployment through a wave, the stop of an entry and the replacement of another.
+func (d *deployment) runSteps(ctx context.Context) error {
+	end := time.Now().Add(d.o.Duration)
+	const intervals = 5 // parts of the time
+	sleep(ctx, d.o.Duration/intervals)
 	if err := d.operator.startWave(ctx, "demo-wave"); err != nil {
 		return err
 	}
-	d.progress("maintenance wave over all VMs begins")
-	wait(ctx, d.o.For/act)
-	d.progress("planned stop of entry-6")
+	d.logProgress("maintenance wave over all VMs begins")
+	sleep(ctx, d.o.Duration/intervals)
+	d.logProgress("planned stop of entry-6")
 	if err := d.entries.Stop("entry-6"); err != nil {
 		return err
 	}
-	d.progress("entry-5 is replaced")
+	d.logProgress("entry-5 is replaced")
 	if err := d.entries.Start(ctx, "entry-5b", entriesPerDeployment); err != nil {
 		return err
 	}
 	if err := d.entries.Stop("entry-5"); err != nil {
 		return err
 	}
-	if err := d.await(ctx, waveTimeout, "the wave to end", func() bool { return d.Checker.Report().WaveDone }); err != nil {
+	if err := d.waitFor(ctx, waveTimeout, "the wave to end", func() bool { return d.Checker.Report().WaveDone }); err != nil {
 		return err
 	}
-	d.progress("wave done in %.1f s", d.Checker.Report().WaveSeconds)
-	wait(ctx, time.Until(end))
+	d.logProgress("wave done in %.1f s", d.Checker.Report().WaveSeconds)
+	sleep(ctx, time.Until(end))
 	return ctx.Err()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// report prints a line of progress now and then.
-func (d *deployment) report(ctx context.Context) {
+// reportProgress prints a line of progress now and then.
+func (d *deployment) reportProgress(ctx context.Context) {
 	for {
-		wait(ctx, progressInterval)
+		sleep(ctx, progressInterval)
 		if ctx.Err() != nil {
 			return
 		}
 		r := d.Checker.Report()
-		d.progress("requests %d  answered %d  not-run %d  edits %d  p99 %.1f ms  harm %v", r.Requests, r.Answered, r.NotRun, r.Edits, r.P99Ms, r.Harm())
+		d.logProgress("requests %d  answered %d  not-run %d  edits %d  p99 %.1f ms  harm %v", r.Requests, r.Answered, r.NotRun, r.Edits, r.P99Ms, r.Harm())
 	}
 }
--- a/pkg/bench/demo/demo_test.go
+++ b/pkg/bench/demo/demo_test.go
@@ -24,7 +24,7 @@
 	qt.Assert(t, os.WriteFile(file, deadlines.ReplaceAll(src, []byte(`"deadline_ms": 50000`)), 0o600), qt.IsNil)
 
 	o := demo.DefaultOptions("")
-	o.Deployments, o.For, o.Scale = []string{file}, 5*time.Second, 0.2
+	o.Deployments, o.Duration, o.Scale = []string{file}, 5*time.Second, 0.2
 	sum, err := demo.Run(context.Background(), o)
 	c := qt.New(t)
 	c.Assert(err, qt.IsNil)
--- a/pkg/bench/demo/operator.go
+++ b/pkg/bench/demo/operator.go
@@ -17,35 +17,35 @@
 )
 
 const (
-	editGap   = 700 * time.Millisecond
-	editTries = 20
-	tryGap    = 50 * time.Millisecond
+	editInterval    = 700 * time.Millisecond
+	maxEditAttempts = 20
+	retryInterval   = 50 * time.Millisecond
 )
 
 // operator edits the table through some entry, as a person would.
 type operator struct {
-	checker *checker.Checker
-	entries *cluster.Entries
-	next    int
+	checker   *checker.Checker
+	entries   *cluster.Entries
+	editCount int
 }
 
 // edit makes an edit and tells the checker when it is accepted; the same edit
 // is sent again when its outcome is unknown.
 func (o *operator) edit(ctx context.Context, reason string, changes []api.RowChange) (err error) {
-	o.next++
-	q := api.EditRequest{ID: fmt.Sprintf("demo-%d-%d", time.Now().UnixNano(), o.next), Reason: reason, Changes: changes}
-	for range editTries {
+	o.editCount++
+	q := api.EditRequest{ID: fmt.Sprintf("demo-%d-%d", time.Now().UnixNano(), o.editCount), Reason: reason, Changes: changes}
+	for range maxEditAttempts {
 		var result api.EditResult
-		result, err = o.entries.Any().Edit(ctx, q)
+		result, err = o.entries.AnyClient().Edit(ctx, q)
 		if err == nil {
-			o.checker.Accepted(result.Revision, time.Now())
+			o.checker.EditAccepted(result.Revision, time.Now())
 			return nil
 		}
 		var failure client.ErrAPI
 		if errors.As(err, &failure) && failure.Body.Code != api.ErrorCodeNotDone && failure.Body.Code != api.ErrorCodeUnknown {
 			return err
 		}
-		wait(ctx, tryGap)
+		sleep(ctx, retryInterval)
 	}
 	return err
 }
@@ -67,10 +67,10 @@
 	}})
 }
 
-// editNowAndThen changes the weights until ctx ends.
-func (o *operator) editNowAndThen(ctx context.Context) {
+// editPeriodically changes the weights until ctx ends.
+func (o *operator) editPeriodically(ctx context.Context) {
 	for n := 1; ; n++ {
-		wait(ctx, editGap)
+		sleep(ctx, editInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -79,7 +79,7 @@
 }
 
 func (o *operator) changeWeights(ctx context.Context, n int) error {
-	rows, err := o.entries.Any().Rows(ctx, string(schema.KindWeights), table.FleetWeights)
+	rows, err := o.entries.AnyClient().Rows(ctx, string(schema.KindWeights), table.FleetWeights)
 	if err != nil || len(rows.Rows) != 1 {
 		return err
 	}
--- a/pkg/bench/lateness/lateness.go
+++ b/pkg/bench/lateness/lateness.go
@@ -40,19 +40,19 @@
 	Counts map[Cause]int
 }
 
-// Table reads a log and counts the jobs in windows of a length; cancelled jobs are left out.
-func Table(log io.Reader, o Objective, length time.Duration) (windows []Window, err error) {
-	lines, err := read(log)
+// CountByWindow reads a log and counts the jobs in windows of a length; cancelled jobs are left out.
+func CountByWindow(log io.Reader, o Objective, length time.Duration) (windows []Window, err error) {
+	lines, err := readLines(log)
 	if err != nil {
 		return nil, err
 	}
 	byStart := map[time.Duration]*Window{}
-	for _, j := range gather(lines) {
+	for _, j := range jobsByID(lines) {
 		if j.state == "cancelled" {
 			continue
 		}
-		from := j.first.Truncate(length)
-		if j.first < 0 {
+		from := j.submittedAt.Truncate(length)
+		if j.submittedAt < 0 {
 			from -= length
 		}
 		w := byStart[from]
@@ -71,21 +71,21 @@
 
 // attempt is one start of a task.
 type attempt struct {
-	step  string
-	start time.Duration
-	end   time.Duration
-	done  bool
+	step      string
+	start     time.Duration
+	end       time.Duration
+	succeeded bool
 }
 
 // job is what the log tells of a job.
 type job struct {
-	first    time.Duration
-	accepted time.Duration
-	taken    bool
-	ended    time.Duration
-	state    string
-	starts   map[string]int // by task
-	attempts map[attemptKey]*attempt
+	submittedAt time.Duration
+	acceptedAt  time.Duration
+	wasAccepted bool
+	endedAt     time.Duration
+	state       string
+	startCounts map[string]int // by task
+	attempts    map[attemptKey]*attempt
 }
 
 type attemptKey struct {
@@ -93,47 +93,47 @@
 	number int64
 }
 
-// gather puts the lines of each job together.
-func gather(lines []line) map[string]*job {
+// jobsByID puts the lines of each job together.
+func jobsByID(lines []logLine) map[string]*job {
 	jobs := map[string]*job{}
 	for _, l := range lines { // a task's start may be written before its job's submission
 		if l.Event == "submission" && jobs[l.Request] == nil {
-			jobs[l.Request] = &job{first: l.at, starts: map[string]int{}, attempts: map[attemptKey]*attempt{}}
+			jobs[l.Request] = &job{submittedAt: l.at, startCounts: map[string]int{}, attempts: map[attemptKey]*attempt{}}
 		}
 	}
 	for _, l := range lines {
 		id := cmp.Or(l.Request, l.Job, strings.Split(l.Task, ".")[0])
 		if j := jobs[id]; j != nil {
-			j.take(l)
+			j.apply(l)
 		}
 	}
 	return jobs
 }
 
-// take applies one line.
-func (j *job) take(l line) {
+// apply applies one line.
+func (j *job) apply(l logLine) {
 	key := attemptKey{task: l.Task, number: l.Attempt}
 	switch l.Event {
 	case "submission":
-		if l.Outcome == "ok" && !j.taken {
-			j.accepted, j.taken = l.at, true
+		if l.Outcome == "ok" && !j.wasAccepted {
+			j.acceptedAt, j.wasAccepted = l.at, true
 		}
 	case "start_ordered":
-		j.starts[l.Task]++
-		j.attempts[key] = &attempt{step: stepOf(l.Task), start: l.at}
+		j.startCounts[l.Task]++
+		j.attempts[key] = &attempt{step: taskStep(l.Task), start: l.at}
 	case "attempt_ended":
 		if a := j.attempts[key]; a != nil {
-			a.end, a.done = l.at, l.Reason == "done"
+			a.end, a.succeeded = l.at, l.Reason == "done"
 		}
 	case "job_ended":
 		if j.state == "" {
-			j.ended, j.state = l.at, l.State
+			j.endedAt, j.state = l.at, l.State
 		}
 	}
 }
 
-// stepOf is the step of a task's name.
-func stepOf(task string) string {
+// taskStep is the step of a task's name.
+func taskStep(task string) string {
 	parts := strings.Split(task, ".")
 	if len(parts) < 3 {
 		return ""
@@ -143,59 +143,59 @@
 
 // stepTimes are the times of one step of a job.
 type stepTimes struct {
-	first, last, end time.Duration // of the starts of its tasks, and of the last end
-	work             time.Duration // of its longest task
+	firstStart, lastStart, end time.Duration // of the starts of its tasks, and of the last end
+	longestTask                time.Duration // of its longest task
 }
 
 // steps returns the times of the steps in the order in which they began.
 func (j *job) steps() (all []stepTimes) {
 	byStep := map[string]*stepTimes{}
 	for _, a := range j.attempts {
-		if !a.done {
+		if !a.succeeded {
 			continue
 		}
 		s := byStep[a.step]
 		if s == nil {
-			s = &stepTimes{first: a.start, last: a.start}
+			s = &stepTimes{firstStart: a.start, lastStart: a.start}
 			byStep[a.step] = s
 		}
-		s.first, s.last = min(s.first, a.start), max(s.last, a.start)
-		s.end, s.work = max(s.end, a.end), max(s.work, a.end-a.start)
+		s.firstStart, s.lastStart = min(s.firstStart, a.start), max(s.lastStart, a.start)
+		s.end, s.longestTask = max(s.end, a.end), max(s.longestTask, a.end-a.start)
 	}
 	for _, s := range byStep {
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(a, b stepTimes) int { return cmp.Compare(a.first, b.first) })
+	slices.SortFunc(all, func(a, b stepTimes) int { return cmp.Compare(a.firstStart, b.firstStart) })
 	return all
 }
 
 // cause tells whether a job was in time, and if not what took most of the time.
 func (j *job) cause(o Objective) Cause {
 	switch {
-	case j.state != "completed" && !j.taken:
+	case j.state != "completed" && !j.wasAccepted:
 		return NotAccepted
 	case j.state != "completed":
 		return NotEnded
 	}
-	if !j.taken {
-		j.accepted = j.first // the answer was lost
+	if !j.wasAccepted {
+		j.acceptedAt = j.submittedAt // the answer was lost
 	}
 	steps := j.steps()
 	var work, spread, between time.Duration
 	for i, s := range steps {
-		work += s.work
-		spread += s.last - s.first
+		work += s.longestTask
+		spread += s.lastStart - s.firstStart
 		if i > 0 {
-			between += max(0, s.first-steps[i-1].end)
+			between += max(0, s.firstStart-steps[i-1].end)
 		}
 	}
-	total := j.ended - j.first
+	total := j.endedAt - j.submittedAt
 	if total <= o.Target+time.Duration(o.Stretch*float64(work)) {
 		return InTime
 	}
-	accepting, first := j.accepted-j.first, j.waitedFor()
+	accepting, first := j.acceptedAt-j.submittedAt, j.startDelay()
 	spans := map[Cause]time.Duration{Accepting: accepting, FirstStart: first}
-	if j.startedAgain() {
+	if j.hasRerun() {
 		spans[Rerun] = total - accepting - first - work
 	} else {
 		spans[Spread], spans[BetweenSteps] = spread, between
@@ -210,17 +210,17 @@
 	return longest
 }
 
-// waitedFor is how long the job waited for its first start, whatever became of that.
-func (j *job) waitedFor() time.Duration {
-	first := j.ended
+// startDelay is how long the job waited for its first start, whatever became of that.
+func (j *job) startDelay() time.Duration {
+	first := j.endedAt
 	for _, a := range j.attempts {
 		first = min(first, a.start)
 	}
-	return max(0, first-j.accepted)
+	return max(0, first-j.acceptedAt)
 }
 
-func (j *job) startedAgain() bool {
-	for _, n := range j.starts {
+func (j *job) hasRerun() bool {
+	for _, n := range j.startCounts {
 		if n > 1 {
 			return true
 		}
--- a/pkg/bench/lateness/lateness_test.go
+++ b/pkg/bench/lateness/lateness_test.go
@@ -13,7 +13,7 @@
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
-			windows, err := Table(strings.NewReader(d.Input), Objective{Target: 600 * time.Millisecond, Stretch: 1.6}, 4*time.Second)
+			windows, err := CountByWindow(strings.NewReader(d.Input), Objective{Target: 600 * time.Millisecond, Stretch: 1.6}, 4*time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/pkg/bench/lateness/read.go
+++ b/pkg/bench/lateness/read.go
@@ -12,11 +12,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds one line of a log, in bytes.
+const maxLineBytes = 1 << 20
 
-// line is a log line as far as it is needed here.
-type line struct {
+// logLine is a log logLine as far as it is needed here.
+type logLine struct {
 	Event   string `json:"event"`
 	TimeMs  int64  `json:"time"`
 	Request string `json:"request"`
@@ -31,26 +31,26 @@
 	at time.Duration
 }
 
-// prefixed is a line that whoever gathered the log has put a time in seconds before.
-var prefixed = regexp.MustCompile(`^\s*(-?\d+(?:\.\d+)?)(?: s)?\s+\S+?:?\s+(\{.*)$`)
+// timePrefix is a line that whoever gathered the log has put a time in seconds before.
+var timePrefix = regexp.MustCompile(`^\s*(-?\d+(?:\.\d+)?)(?: s)?\s+\S+?:?\s+(\{.*)$`)
 
-// read returns the log lines in order; others are passed over. A time in seconds
+// readLines returns the log lines in order; others are passed over. A time in seconds
 // before a line goes before the line's own, which is by the clock of one entry.
-func read(r io.Reader) (lines []line, err error) {
+func readLines(r io.Reader) (lines []logLine, err error) {
 	defer func() { err = errors.Wrap(err, "read log") }()
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		if l, ok := parse(s.Text()); ok {
+		if l, ok := parseLine(s.Text()); ok {
 			lines = append(lines, l)
 		}
 	}
 	return lines, s.Err()
 }
 
-func parse(text string) (l line, ok bool) {
+func parseLine(text string) (l logLine, ok bool) {
 	body, seconds := strings.TrimSpace(text), ""
-	if m := prefixed.FindStringSubmatch(text); m != nil {
+	if m := timePrefix.FindStringSubmatch(text); m != nil {
 		seconds, body = m[1], m[2]
 	}
 	if err := json.Unmarshal([]byte(body), &l); err != nil || l.Event == "" {
--- a/pkg/bench/load/balancer.go
+++ b/pkg/bench/load/balancer.go
@@ -12,34 +12,34 @@
 )
 
 const (
-	readyInterval = 100 * time.Millisecond
-	readyTimeout  = 500 * time.Millisecond
+	pollInterval = 100 * time.Millisecond
+	pollTimeout  = 500 * time.Millisecond
 )
 
 // Balancer stands for the platform's balancer: it gives requests to entries that say that they are ready.
 type Balancer struct {
 	client *http.Client
 
-	mu    sync.Mutex
-	known []string
-	ready []string
+	mu      sync.Mutex
+	entries []string
+	ready   []string
 }
 
 // NewBalancer returns a balancer that knows no entries.
 func NewBalancer() *Balancer {
-	return &Balancer{client: &http.Client{Timeout: readyTimeout}}
+	return &Balancer{client: &http.Client{Timeout: pollTimeout}}
 }
 
-// Set tells the balancer which entries there are, by the address for callers.
-func (b *Balancer) Set(addresses ...string) {
+// SetEntries tells the balancer which entries there are, by the address for callers.
+func (b *Balancer) SetEntries(addresses ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.known = slices.Clone(addresses)
+	b.entries = slices.Clone(addresses)
 }
 
 // Run asks the entries whether they are ready until ctx ends.
 func (b *Balancer) Run(ctx context.Context) {
-	t := time.NewTicker(readyInterval)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	defer b.client.CloseIdleConnections()
 	for {
@@ -54,7 +54,7 @@
 
 func (b *Balancer) poll(ctx context.Context) {
 	b.mu.Lock()
-	known := slices.Clone(b.known)
+	known := slices.Clone(b.entries)
 	b.mu.Unlock()
 	var mu sync.Mutex
 	var ready []string
@@ -87,8 +87,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Ready returns how many entries are ready.
-func (b *Balancer) Ready() int {
+// ReadyCount returns how many entries are ready.
+func (b *Balancer) ReadyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.ready)
--- a/pkg/bench/load/exchange.go
+++ b/pkg/bench/load/exchange.go
@@ -44,38 +44,38 @@
 	}
 	req, err := newRequest(s, r, bytes.NewReader(bytes.Repeat([]byte("x"), size)))
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
 	req.ContentLength = int64(size)
 	req.Header.Set(backend.HeaderWorkUs, strconv.Itoa(s.WorkUs))
-	req.Header.Set(backend.HeaderBytes, strconv.Itoa(s.Bytes))
+	req.Header.Set(backend.HeaderPaddingBytes, strconv.Itoa(s.ResponseBytes))
 	resp, err := g.client.Do(req)
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	note(r, resp)
+	recordRevision(r, resp)
 	switch {
 	case err != nil:
-		cut(r, "the answer broke off: "+err.Error())
-	case failed(r, resp):
+		setCutOff(r, "the answer broke off: "+err.Error())
+	case recordFailure(r, resp):
 	default:
-		judge(r, body, backend.Answer(r.ID, s.Bytes))
+		compareBody(r, body, backend.ResponseBody(r.ID, s.ResponseBytes))
 	}
 }
 
-func cut(r *checker.Request, detail string) { r.Result, r.Detail = checker.ResultCut, detail }
+func setCutOff(r *checker.Request, detail string) { r.Result, r.Detail = checker.ResultCutOff, detail }
 
-// note takes the revision from an answer.
-func note(r *checker.Request, resp *http.Response) {
+// recordRevision takes the revision from an answer.
+func recordRevision(r *checker.Request, resp *http.Response) {
 	r.Revision, _ = strconv.Atoi(resp.Header.Get(gateway.HeaderRevision))
 }
 
-// failed sorts answers of the entry itself.
-func failed(r *checker.Request, resp *http.Response) bool {
+// recordFailure sorts answers of the entry itself.
+func recordFailure(r *checker.Request, resp *http.Response) bool {
 	outcome := gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome))
 	detail := resp.Header.Get(gateway.HeaderReason)
 	switch outcome {
@@ -85,18 +85,18 @@
 		if resp.StatusCode/100 == 2 || resp.StatusCode == http.StatusSwitchingProtocols {
 			return false
 		}
-		r.Result, r.Detail = checker.ResultRefused, resp.Status
+		r.Result, r.Detail = checker.ResultBackendError, resp.Status
 	default:
-		cut(r, "outcome "+string(outcome)+" "+detail)
+		setCutOff(r, "outcome "+string(outcome)+" "+detail)
 	}
 	return true
 }
 
-// judge compares an answer with the whole answer to the request.
-func judge(r *checker.Request, got, want []byte) {
+// compareBody compares an answer with the whole answer to the request.
+func compareBody(r *checker.Request, got, want []byte) {
 	switch {
 	case bytes.Equal(got, want):
-		r.Result = checker.ResultWhole
+		r.Result = checker.ResultComplete
 	case len(got) < len(want) && bytes.HasPrefix(want, got):
 		r.Result, r.Detail = checker.ResultTruncated, fmt.Sprintf("%d of %d bytes", len(got), len(want))
 	default:
@@ -105,110 +105,110 @@
 }
 
 const (
-	lineGap    = 50 * time.Millisecond
-	lineWait   = 5 * time.Second
-	connectIn  = 2 * time.Second
-	headerWait = 5 * time.Second
+	lineInterval   = 50 * time.Millisecond
+	lineTimeout    = 5 * time.Second
+	connectTimeout = 2 * time.Second
+	headerTimeout  = 5 * time.Second
 )
 
-// lesson runs a live exchange: by a streamed body, or by an upgrade for every other request.
-func (g *Generator) lesson(s Stream, r *checker.Request) {
-	if g.next.Add(1)%2 == 0 {
-		upgraded(s, r)
+// exchangeLive runs a live exchange: by a streamed body, or by an upgrade for every other request.
+func (g *Generator) exchangeLive(s Stream, r *checker.Request) {
+	if g.lastID.Add(1)%2 == 0 {
+		exchangeUpgraded(s, r)
 		return
 	}
-	g.streamed(s, r)
+	g.exchangeStreamed(s, r)
 }
 
-// streamed sends lines in a body and expects each back while it goes on.
-func (g *Generator) streamed(s Stream, r *checker.Request) {
+// exchangeStreamed sends lines in a body and expects each back while it goes on.
+func (g *Generator) exchangeStreamed(s Stream, r *checker.Request) {
 	pr, pw := io.Pipe()
 	defer func() { _ = pw.Close() }()
 	req, err := newRequest(s, r, pr)
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
 	req.ContentLength = -1
 	resp, err := (&http.Client{Transport: g.client.Transport}).Do(req)
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
-	note(r, resp)
-	if failed(r, resp) {
+	recordRevision(r, resp)
+	if recordFailure(r, resp) {
 		return
 	}
-	back := bufio.NewReader(resp.Body)
-	if !converse(s, r, pw, back) {
+	echoed := bufio.NewReader(resp.Body)
+	if !echoLines(s, r, pw, echoed) {
 		return
 	}
 	_ = pw.Close()
-	if rest, err := io.ReadAll(back); err != nil || len(rest) > 0 {
-		cut(r, fmt.Sprintf("the lesson did not end cleanly: %d bytes more, error %v", len(rest), err))
+	if rest, err := io.ReadAll(echoed); err != nil || len(rest) > 0 {
+		setCutOff(r, fmt.Sprintf("the lesson did not end cleanly: %d bytes more, error %v", len(rest), err))
 	}
 }
 
-// converse sends lines for the length of a lesson and expects each one back.
-func converse(s Stream, r *checker.Request, w io.Writer, back *bufio.Reader) bool {
-	end := time.Now().Add(s.Lesson)
+// echoLines sends lines for the length of a lesson and expects each one back.
+func echoLines(s Stream, r *checker.Request, w io.Writer, echoed *bufio.Reader) bool {
+	end := time.Now().Add(s.LiveDuration)
 	for n := 0; time.Now().Before(end); n++ {
 		line := fmt.Sprintf("%s line %d\n", r.ID, n)
 		if _, err := io.WriteString(w, line); err != nil {
-			cut(r, "cannot send: "+err.Error())
+			setCutOff(r, "cannot send: "+err.Error())
 			return false
 		}
-		got, err := back.ReadString('\n')
+		got, err := echoed.ReadString('\n')
 		if err != nil {
-			cut(r, fmt.Sprintf("cut off at line %d: %v", n, err))
+			setCutOff(r, fmt.Sprintf("cut off at line %d: %v", n, err))
 			return false
 		}
 		if got != line {
 			r.Result, r.Detail = checker.ResultWrong, "another line came back: "+strings.TrimSpace(got)
 			return false
 		}
-		time.Sleep(lineGap)
+		time.Sleep(lineInterval)
 	}
-	r.Result = checker.ResultWhole
+	r.Result = checker.ResultComplete
 	return true
 }
 
-// upgraded changes the protocol on a connection of its own and talks on it.
-func upgraded(s Stream, r *checker.Request) {
-	conn, err := net.DialTimeout("tcp", r.Entry, connectIn)
+// exchangeUpgraded changes the protocol on a connection of its own and talks on it.
+func exchangeUpgraded(s Stream, r *checker.Request) {
+	conn, err := net.DialTimeout("tcp", r.Entry, connectTimeout)
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
 	defer func() { _ = conn.Close() }()
 	req, err := newRequest(s, r, strings.NewReader(""))
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
 	req.Method, req.Body = http.MethodGet, nil
 	req.Header.Set("Connection", "Upgrade")
-	req.Header.Set("Upgrade", backend.Protocol)
-	_ = conn.SetDeadline(time.Now().Add(headerWait))
+	req.Header.Set("Upgrade", backend.UpgradeProtocol)
+	_ = conn.SetDeadline(time.Now().Add(headerTimeout))
 	if err := req.Write(conn); err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
-	back := bufio.NewReader(conn)
-	resp, err := http.ReadResponse(back, req)
+	echoed := bufio.NewReader(conn)
+	resp, err := http.ReadResponse(echoed, req)
 	if err != nil {
-		cut(r, err.Error())
+		setCutOff(r, err.Error())
 		return
 	}
-	note(r, resp)
-	if failed(r, resp) {
+	recordRevision(r, resp)
+	if recordFailure(r, resp) {
 		return
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		cut(r, "no upgrade: "+resp.Status)
+		setCutOff(r, "no upgrade: "+resp.Status)
 		return
 	}
-	_ = conn.SetDeadline(time.Now().Add(s.Lesson + lineWait))
-	converse(s, r, conn, back)
+	_ = conn.SetDeadline(time.Now().Add(s.LiveDuration + lineTimeout))
+	echoLines(s, r, conn, echoed)
 }
--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -15,27 +15,27 @@
 
 // Stream is the load of one route.
 type Stream struct {
-	Route     string
-	Row       schema.Route
-	PerSecond float64
-	WorkUs    int           // of a backend server for one request, in microseconds
-	Bytes     int           // of an answer
-	BodyBytes int           // of a request
-	Lesson    time.Duration // length of a live exchange
+	Route         string
+	Row           schema.Route
+	PerSecond     float64
+	WorkUs        int           // of a backend server for one request, in microseconds
+	ResponseBytes int           // of an answer
+	BodyBytes     int           // of a request
+	LiveDuration  time.Duration // length of a live exchange
 }
 
 // The load of one route by its class, before scaling.
-var byClass = map[schema.Class]Stream{
-	schema.ClassLive:        {PerSecond: 2, Lesson: 3 * time.Second},
-	schema.ClassInteractive: {PerSecond: 60, WorkUs: 1500, Bytes: 600, BodyBytes: 300},
-	schema.ClassClerk:       {PerSecond: 25, WorkUs: 4000, Bytes: 4000, BodyBytes: 800},
-	schema.ClassBatch:       {PerSecond: 4, WorkUs: 40000, Bytes: 200000, BodyBytes: 100000},
+var defaultStreams = map[schema.Class]Stream{
+	schema.ClassLive:        {PerSecond: 2, LiveDuration: 3 * time.Second},
+	schema.ClassInteractive: {PerSecond: 60, WorkUs: 1500, ResponseBytes: 600, BodyBytes: 300},
+	schema.ClassClerk:       {PerSecond: 25, WorkUs: 4000, ResponseBytes: 4000, BodyBytes: 800},
+	schema.ClassBatch:       {PerSecond: 4, WorkUs: 40000, ResponseBytes: 200000, BodyBytes: 100000},
 }
 
 // StreamsOf returns the load of a deployment's routes, scaled.
 func StreamsOf(routes map[string]schema.Route, scale float64) (streams []Stream) {
 	for name, row := range routes {
-		s := byClass[row.Class]
+		s := defaultStreams[row.Class]
 		s.Route, s.Row = name, row
 		s.PerSecond *= scale
 		streams = append(streams, s)
@@ -49,10 +49,10 @@
 	sink     Sink
 	rng      *rand.Rand
 	prefix   string
-	next     atomic.Int64
+	lastID   atomic.Int64
 	inFlight atomic.Int64
 	client   *http.Client
-	wg       sync.WaitGroup
+	requests sync.WaitGroup
 }
 
 // Sink takes results; a checker is one.
@@ -62,10 +62,10 @@
 }
 
 const (
-	maxIdle = 256
+	maxIdleConns = 256
 	// maxInFlight keeps a generator within the process's open files; requests above are given up at once.
-	maxInFlight = 3000
-	callTimeout = time.Minute
+	maxInFlight    = 3000
+	requestTimeout = time.Minute
 )
 
 // NewGenerator returns a generator whose requests are named after prefix.
@@ -73,8 +73,8 @@
 	return &Generator{
 		balancer: b, sink: sink, prefix: prefix, rng: rand.New(rand.NewPCG(seed, 1)),
 		client: &http.Client{
-			Timeout:   callTimeout,
-			Transport: &http.Transport{MaxIdleConnsPerHost: maxIdle, DisableCompression: true},
+			Timeout:   requestTimeout,
+			Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConns, DisableCompression: true},
 		},
 	}
 }
@@ -84,15 +84,15 @@
 	var senders sync.WaitGroup
 	for _, s := range streams {
 		seed := g.rng.Uint64()
-		senders.Go(func() { g.send(ctx, s, rand.New(rand.NewPCG(seed, 2))) })
+		senders.Go(func() { g.runStream(ctx, s, rand.New(rand.NewPCG(seed, 2))) })
 	}
 	senders.Wait()
-	g.wg.Wait()
+	g.requests.Wait()
 	g.client.CloseIdleConnections()
 }
 
-// send starts one stream's requests at random times with its mean rate.
-func (g *Generator) send(ctx context.Context, s Stream, rng *rand.Rand) {
+// runStream starts one stream's requests at random times with its mean rate.
+func (g *Generator) runStream(ctx context.Context, s Stream, rng *rand.Rand) {
 	for {
 		gap := time.Duration(rng.ExpFloat64() / s.PerSecond * float64(time.Second))
 		select {
@@ -100,13 +100,13 @@
 			return
 		case <-time.After(gap):
 		}
-		g.wg.Go(func() { g.one(s) })
+		g.requests.Go(func() { g.sendOne(s) })
 	}
 }
 
-// one sends one request to a ready entry; with none ready it counts as not run by the balancer's word.
-func (g *Generator) one(s Stream) {
-	id := fmt.Sprintf("%s-%s-%d", g.prefix, s.Route, g.next.Add(1))
+// sendOne sends sendOne request to a ready entry; with none ready it counts as not run by the balancer's word.
+func (g *Generator) sendOne(s Stream) {
+	id := fmt.Sprintf("%s-%s-%d", g.prefix, s.Route, g.lastID.Add(1))
 	r := checker.Request{ID: id, Once: s.Row.Repeat == schema.RepeatOnce, Class: s.Row.Class}
 	addr, ok := g.balancer.Pick()
 	defer g.inFlight.Add(-1)
@@ -120,7 +120,7 @@
 	seen := g.sink.Revision(addr)
 	r.Sent = time.Now()
 	if s.Row.Class == schema.ClassLive {
-		g.lesson(s, &r)
+		g.exchangeLive(s, &r)
 	} else {
 		g.exchange(s, &r)
 	}
--- a/pkg/bench/overhead/overhead.go
+++ b/pkg/bench/overhead/overhead.go
@@ -26,15 +26,15 @@
 
 // Options are what a measurement is told.
 type Options struct {
-	Rounds      int // of each way, in turn
-	Requests    int // of a round, for latency
-	Concurrency int // of the throughput rounds
-	Bytes       int // of an answer
+	Rounds        int // of each way, in turn
+	Requests      int // of a round, for latency
+	Concurrency   int // of the throughput rounds
+	ResponseBytes int // of an answer
 }
 
 // DefaultOptions take a few seconds.
 func DefaultOptions() Options {
-	return Options{Rounds: 5, Requests: 3000, Concurrency: 32, Bytes: 600}
+	return Options{Rounds: 5, Requests: 3000, Concurrency: 32, ResponseBytes: 600}
 }
 
 // Result is the medians over the rounds.
@@ -57,16 +57,16 @@
 	RequestsOfOneRound int     `json:"requests_of_one_round"`
 }
 
-// nobody watches the backend server.
-type nobody struct{}
+// noObserver watches the backend server.
+type noObserver struct{}
 
-func (nobody) Began(string, string, string, time.Time) {}
-func (nobody) Ended(string, string)                    {}
-func (nobody) Power(string, bool)                      {}
-func (nobody) Leaving(string, bool, time.Time)         {}
+func (noObserver) RequestStarted(string, string, string, time.Time) {}
+func (noObserver) RequestEnded(string, string)                      {}
+func (noObserver) Power(string, bool)                               {}
+func (noObserver) Leaving(string, bool, time.Time)                  {}
 
-// way is one way to the backend server.
-type way struct {
+// route is one route to the backend server.
+type route struct {
 	address  string
 	p50, p99 []float64 // microseconds, by round
 	rps, cpu []float64 // requests a second, processor microseconds for a request
@@ -75,13 +75,13 @@
 // Run measures.
 func Run(o Options) (r Result, err error) {
 	defer func() { err = errors.Wrap(err, "measure overhead") }()
-	farm := backend.NewFarm(nobody{})
+	farm := backend.NewServers(noObserver{})
 	defer farm.Close()
 	address, err := farm.Add("w1")
 	if err != nil {
 		return r, err
 	}
-	hop, stopHop, err := serve(bareHop(address))
+	hop, stopHop, err := listenAndServe(bareHop(address))
 	if err != nil {
 		return r, err
 	}
@@ -91,23 +91,23 @@
 		return r, err
 	}
 	defer g.Close()
-	through, stopThrough, err := serve(g)
+	through, stopThrough, err := listenAndServe(g)
 	if err != nil {
 		return r, err
 	}
 	defer stopThrough()
-	ways := []*way{{address: address}, {address: hop}, {address: through}}
+	routes := []*route{{address: address}, {address: hop}, {address: through}}
 	for range o.Rounds {
-		for _, w := range ways {
-			if err := w.round(o); err != nil {
+		for _, w := range routes {
+			if err := w.runRound(o); err != nil {
 				return r, err
 			}
 		}
 	}
-	return result(ways[0], ways[1], ways[2], o), nil
+	return newResult(routes[0], routes[1], routes[2], o), nil
 }
 
-func result(direct, hop, through *way, o Options) Result {
+func newResult(direct, hop, through *route, o Options) Result {
 	r := Result{
 		DirectP50Us: median(direct.p50), HopP50Us: median(hop.p50), ThroughP50Us: median(through.p50),
 		DirectP99Us: median(direct.p99), HopP99Us: median(hop.p99), ThroughP99Us: median(through.p99),
@@ -126,8 +126,8 @@
 	return s[len(s)/2]
 }
 
-// serve serves a handler on loopback.
-func serve(h http.Handler) (address string, stop func(), err error) {
+// listenAndServe serves a handler on loopback.
+func listenAndServe(h http.Handler) (address string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -178,15 +178,15 @@
 	})
 }
 
-// round measures latency with one caller and throughput with many.
-func (w *way) round(o Options) error {
+// runRound measures latency with one caller and throughput with many.
+func (w *route) runRound(o Options) error {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	defer c.CloseIdleConnections()
-	want := backend.Answer("bench", o.Bytes)
+	want := backend.ResponseBody("bench", o.ResponseBytes)
 	times := make([]float64, 0, o.Requests)
 	for range o.Requests {
 		began := time.Now()
-		if err := call(c, w.address, o.Bytes, want); err != nil {
+		if err := sendRequest(c, w.address, o.ResponseBytes, want); err != nil {
 			return err
 		}
 		times = append(times, float64(time.Since(began).Nanoseconds())/1000)
@@ -194,19 +194,19 @@
 	slices.Sort(times)
 	w.p50 = append(w.p50, times[len(times)/2])
 	w.p99 = append(w.p99, times[len(times)*99/100])
-	return w.throughput(c, o, want)
+	return w.measureThroughput(c, o, want)
 }
 
-func (w *way) throughput(c *http.Client, o Options, want []byte) error {
+func (w *route) measureThroughput(c *http.Client, o Options, want []byte) error {
 	var wg sync.WaitGroup
-	failed := make(chan error, o.Concurrency)
-	cpu, began := processorTime(), time.Now()
-	each := max(1, 4*o.Requests/o.Concurrency)
+	errs := make(chan error, o.Concurrency)
+	cpu, began := cpuTime(), time.Now()
+	perCaller := max(1, 4*o.Requests/o.Concurrency)
 	for range o.Concurrency {
 		wg.Go(func() {
-			for range each {
-				if err := call(c, w.address, o.Bytes, want); err != nil {
-					failed <- err
+			for range perCaller {
+				if err := sendRequest(c, w.address, o.ResponseBytes, want); err != nil {
+					errs <- err
 					return
 				}
 			}
@@ -214,23 +214,23 @@
 	}
 	wg.Wait()
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return err
 	default:
 	}
-	n := float64(each * o.Concurrency)
+	n := float64(perCaller * o.Concurrency)
 	w.rps = append(w.rps, n/time.Since(began).Seconds())
-	w.cpu = append(w.cpu, float64((processorTime()-cpu).Microseconds())/n)
+	w.cpu = append(w.cpu, float64((cpuTime()-cpu).Microseconds())/n)
 	return nil
 }
 
-func call(c *http.Client, address string, size int, want []byte) error {
+func sendRequest(c *http.Client, address string, size int, want []byte) error {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/x", nil)
 	if err != nil {
 		return err
 	}
 	req.Header.Set(backend.HeaderID, "bench")
-	req.Header.Set(backend.HeaderBytes, strconv.Itoa(size))
+	req.Header.Set(backend.HeaderPaddingBytes, strconv.Itoa(size))
 	resp, err := c.Do(req)
 	if err != nil {
 		return err
@@ -246,8 +246,8 @@
 	return nil
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the processor time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/pkg/bench/report/report.go
+++ b/pkg/bench/report/report.go
@@ -67,13 +67,13 @@
 			Product: r.Variants[scenario.VariantProduct], Baseline: r.Variants[scenario.VariantBaseline],
 			Classes: []schema.Class{schema.ClassLive, schema.ClassInteractive, schema.ClassClerk, schema.ClassBatch},
 		}
-		if s.Latency, err = latency(r); err != nil {
+		if s.Latency, err = plotLatency(r); err != nil {
 			return err
 		}
-		if s.Goodput, err = goodput(r); err != nil {
+		if s.Goodput, err = plotGoodput(r); err != nil {
 			return err
 		}
-		if s.Shed, err = shed(r, s.Classes); err != nil {
+		if s.Shed, err = plotShed(r, s.Classes); err != nil {
 			return err
 		}
 		sections = append(sections, s)
@@ -81,8 +81,8 @@
 	return page.Execute(w, sections)
 }
 
-// image draws a plot as a data URL.
-func image(p *plot.Plot) (template.URL, error) {
+// dataURL draws a plot as a data URL.
+func dataURL(p *plot.Plot) (template.URL, error) {
 	p.Legend.Top, p.Legend.Left = true, true
 	wt, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// latency plots the latency by quantile on a logarithmic scale.
-func latency(r scenario.Result) (template.URL, error) {
+// plotLatency plots the plotLatency by quantile on a logarithmic scale.
+func plotLatency(r scenario.Result) (template.URL, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "latency by quantile", "percent of requests", "ms"
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
@@ -130,11 +130,11 @@
 	if !slices.ContainsFunc(variants, func(v scenario.Variant) bool { return r.Variants[v].P99Ms > 0 }) {
 		p.Y.Scale, p.Y.Tick.Marker = plot.LinearScale{}, plot.DefaultTicks{} // nothing was answered
 	}
-	return image(p)
+	return dataURL(p)
 }
 
-// goodput plots whole answers by second.
-func goodput(r scenario.Result) (template.URL, error) {
+// plotGoodput plots whole answers by second.
+func plotGoodput(r scenario.Result) (template.URL, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "whole answers by second", "s", "answers"
 	p.Y.Min = 0
@@ -147,11 +147,11 @@
 			return "", err
 		}
 	}
-	return image(p)
+	return dataURL(p)
 }
 
-// shed plots the refused requests by class.
-func shed(r scenario.Result, classes []schema.Class) (template.URL, error) {
+// plotShed plots the refused requests by class.
+func plotShed(r scenario.Result, classes []schema.Class) (template.URL, error) {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = "refused before they ran, by class", "requests"
 	const width = 14
@@ -174,7 +174,7 @@
 		p.Legend.Add(string(v), bars)
 	}
 	p.NominalX(names...)
-	return image(p)
+	return dataURL(p)
 }
 
 var page = template.Must(template.New("report").Parse(`<!doctype html>
--- a/pkg/bench/scenario/collect.go
+++ b/pkg/bench/scenario/collect.go
@@ -64,7 +64,7 @@
 	c := p.class(r.Class)
 	c.requests++
 	switch r.Result {
-	case checker.ResultWhole:
+	case checker.ResultComplete:
 		c.good++
 		if r.Class == schema.ClassLive {
 			return // a lesson's length is its own
@@ -82,36 +82,36 @@
 type collector struct {
 	checker *checker.Checker
 
-	mu       sync.Mutex
-	began    time.Time // of the fault phase, zero before
-	faults   []time.Time
-	steady   *phase
-	fault    *phase
-	struck   int
-	reasons  map[string]int // of requests that did not run, in the fault phase
-	timeline map[int]*Point
-	start    time.Time
-	closed   bool
+	mu            sync.Mutex
+	faultStart    time.Time // of the fault phase, zero before
+	faultTimes    []time.Time
+	steady        *phase
+	fault         *phase
+	cutOffByFault int
+	notRunReasons map[string]int // of requests that did not run, in the fault phase
+	timeline      map[int]*Point
+	runStart      time.Time
+	closed        bool
 }
 
 func newCollector(c *checker.Checker) *collector {
-	return &collector{checker: c, steady: newPhase(), fault: newPhase(), timeline: map[int]*Point{}, reasons: map[string]int{}, start: time.Now()}
+	return &collector{checker: c, steady: newPhase(), fault: newPhase(), timeline: map[int]*Point{}, notRunReasons: map[string]int{}, runStart: time.Now()}
 }
 
-// detection is how long a fault may go unseen.
-const detection = 2 * time.Second
+// detectionWindow is how long a fault may go unseen.
+const detectionWindow = 2 * time.Second
 
-// strike notes that a fault begins or ends now.
-func (c *collector) strike() {
+// recordFault notes that a fault begins or ends now.
+func (c *collector) recordFault() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.faults = append(c.faults, time.Now())
+	c.faultTimes = append(c.faultTimes, time.Now())
 }
 
-// explained tells whether a fault falls into a request's time or shortly before; the caller holds the lock.
-func (c *collector) explained(r checker.Request) bool {
-	for _, f := range c.faults {
-		if r.Done.After(f) && r.Sent.Before(f.Add(detection)) {
+// explainedByFault tells whether a fault falls into a request's time or shortly before; the caller holds the lock.
+func (c *collector) explainedByFault(r checker.Request) bool {
+	for _, f := range c.faultTimes {
+		if r.Done.After(f) && r.Sent.Before(f.Add(detectionWindow)) {
 			return true
 		}
 	}
@@ -128,39 +128,39 @@
 		c.mu.Unlock()
 		return
 	}
-	second := int(r.Done.Sub(c.start).Seconds())
+	second := int(r.Done.Sub(c.runStart).Seconds())
 	point, ok := c.timeline[second]
 	if !ok {
 		point = &Point{Second: float64(second)}
 		c.timeline[second] = point
 	}
 	switch r.Result {
-	case checker.ResultWhole:
+	case checker.ResultComplete:
 		point.Good++
 	case checker.ResultNotRun:
 		point.Shed++
 	}
 	p := c.steady
-	if !c.began.IsZero() && r.Sent.After(c.began) {
+	if !c.faultStart.IsZero() && r.Sent.After(c.faultStart) {
 		p = c.fault
 		if r.Result == checker.ResultNotRun {
-			c.reasons[r.Detail]++
+			c.notRunReasons[r.Detail]++
 		}
 	}
 	p.add(r)
-	struck := r.Result == checker.ResultCut && c.explained(r)
-	if struck {
-		c.struck++
+	explained := r.Result == checker.ResultCutOff && c.explainedByFault(r)
+	if explained {
+		c.cutOffByFault++
 	}
 	c.mu.Unlock()
-	if !struck {
+	if !explained {
 		c.checker.Finished(r, seen)
 	}
 }
 
-// beginFault ends the steady phase.
-func (c *collector) beginFault() {
+// beginFaultPhase ends the steady phase.
+func (c *collector) beginFaultPhase() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.began = time.Now()
+	c.faultStart = time.Now()
 }
--- a/pkg/bench/scenario/fixture.go
+++ b/pkg/bench/scenario/fixture.go
@@ -13,10 +13,10 @@
 	zones          = 3
 	serversPerZone = 2
 	roomsPerZone   = 1
-	slots          = 4      // requests that a server works on at once
+	slotsPerServer = 4      // requests that a server works on at once
 	workUs         = 20_000 // of one request
-	// capacity is what the servers of the service can answer in a second.
-	capacity = zones * serversPerZone * slots * 1_000_000 / workUs
+	// capacityRPS is what the servers of the service can answer in a second.
+	capacityRPS = zones * serversPerZone * slotsPerServer * 1_000_000 / workUs
 )
 
 const (
@@ -35,11 +35,11 @@
 	"batch":       {Method: "POST", PathPrefix: "/batch", Service: serviceWork, Class: schema.ClassBatch, Repeat: schema.RepeatSafe, DeadlineMs: 10000, MaxBodyBytes: 1 << 20, MaxInFlight: 4096},
 }
 
-// shares are the routes' parts of the load on the service.
-var shares = map[string]float64{"interactive": 0.2, "file": 0.05, "clerk": 0.25, "batch": 0.5}
+// loadShares are the routes' parts of the load on the service.
+var loadShares = map[string]float64{"interactive": 0.2, "file": 0.05, "clerk": 0.25, "batch": 0.5}
 
-// rows builds the deployment's table.
-func rows() (out []table.StoredRow) {
+// tableRows builds the deployment's table.
+func tableRows() (out []table.StoredRow) {
 	add := func(kind schema.Kind, name string, v any) {
 		out = append(out, table.StoredRow{Key: table.Key{Kind: kind, Name: name}, Value: table.MustValue(v)})
 	}
--- a/pkg/bench/scenario/scenario.go
+++ b/pkg/bench/scenario/scenario.go
@@ -31,8 +31,8 @@
 	VariantBaseline Variant = "baseline"
 )
 
-// gatewayOf returns a variant's settings of the request path.
-func gatewayOf(v Variant) map[string]any {
+// gatewaySettings returns a variant's settings of the request path.
+func gatewaySettings(v Variant) map[string]any {
 	if v == VariantBaseline {
 		return map[string]any{"policy": "round-robin", "limits": false, "hedging": false, "retries": "always"}
 	}
@@ -89,7 +89,7 @@
 		return r, errors.Errorf("there is no such scenario, there are %s", strings.Join(Names(), ", "))
 	}
 	r = Result{
-		Scenario: name, CapacityRPS: capacity, OfferedRPS: capacity * steadyShare * s.factor(),
+		Scenario: name, CapacityRPS: capacityRPS, OfferedRPS: capacityRPS * steadyLoadFraction * s.offeredFactor(),
 		FaultS: o.Fault.Seconds(), Variants: map[Variant]Figures{},
 	}
 	for _, v := range []Variant{VariantProduct, VariantBaseline} {
@@ -102,38 +102,38 @@
 	return r, nil
 }
 
-// steadyShare is the steady load as a share of the capacity.
-const steadyShare = 0.5
+// steadyLoadFraction is the steady load as a share of the capacity.
+const steadyLoadFraction = 0.5
 
 // Names returns the scenarios.
 func Names() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
-// stage is what a scenario acts on.
-type stage struct {
+// environment is what a scenario acts on.
+type environment struct {
 	ctx       context.Context
 	standin   *standin.Standin
 	entries   *cluster.Entries
 	balancer  *load.Balancer
 	partition *partition
 	collector *collector
-	more      func(factor float64, d time.Duration) // adds load
+	addLoad   func(factor float64, d time.Duration) // adds load
 }
 
 func runVariant(ctx context.Context, s scenario, v Variant, o Options) (f Figures, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	so := standin.DefaultOptions()
-	so.Seed, so.Slots = o.Seed, slots
-	st, err := standin.New("scenario", rows(), so)
+	so.Seed, so.Slots = o.Seed, slotsPerServer
+	st, err := standin.New("scenario", tableRows(), so)
 	if err != nil {
 		return f, err
 	}
 	defer st.Close()
 	p := newPartition(st)
 	b := load.NewBalancer()
-	entries := cluster.New(st, b, cluster.WithGateway(gatewayOf(v)), cluster.WithEntryOptions(func(zone string) []entry.Option {
+	entries := cluster.New(st, b, cluster.WithGatewaySettings(gatewaySettings(v)), cluster.WithEntryOptions(func(zone string) []entry.Option {
 		return []entry.Option{entry.WithDial(p.dial(zone))}
-	}), cluster.WithOnStart(p.add))
+	}), cluster.WithOnStart(p.addEntry))
 	defer entries.CloseAll()
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -144,32 +144,32 @@
 			return f, err
 		}
 	}
-	for b.Ready() < zones && ctx.Err() == nil {
+	for b.ReadyCount() < zones && ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
-	if err := apply(ctx, entries, st); err != nil {
+	if err := applyTable(ctx, entries, st); err != nil {
 		return f, err
 	}
 	time.Sleep(time.Second) // the first probes
-	return measure(ctx, s, o, &stage{ctx: ctx, standin: st, entries: entries, balancer: b, partition: p, collector: newCollector(st.Checker)}, &background)
+	return measure(ctx, s, o, &environment{ctx: ctx, standin: st, entries: entries, balancer: b, partition: p, collector: newCollector(st.Checker)}, &background)
 }
 
-// apply writes the deployment's table.
-func apply(ctx context.Context, entries *cluster.Entries, st *standin.Standin) error {
+// applyTable writes the deployment's table.
+func applyTable(ctx context.Context, entries *cluster.Entries, st *standin.Standin) error {
 	q := api.EditRequest{ID: "scenario", Reason: "the scenario's table"}
 	for _, r := range st.Table.Stored() {
 		q.Changes = append(q.Changes, api.RowChange{Kind: string(r.Key.Kind), Name: r.Key.Name, Value: r.Value})
 	}
-	_, err := entries.Any().Edit(ctx, q)
+	_, err := entries.AnyClient().Edit(ctx, q)
 	return err
 }
 
-// streams are the load at a factor of the steady one.
-func streams(factor float64) (out []load.Stream) {
+// newStreams are the load at a factor of the steady one.
+func newStreams(factor float64) (out []load.Stream) {
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
 		s := load.Stream{
-			Route: name, Row: routes[name], WorkUs: workUs, Bytes: 600, BodyBytes: 300,
-			PerSecond: capacity * steadyShare * shares[name] * factor, Lesson: 2 * time.Second,
+			Route: name, Row: routes[name], WorkUs: workUs, ResponseBytes: 600, BodyBytes: 300,
+			PerSecond: capacityRPS * steadyLoadFraction * loadShares[name] * factor, LiveDuration: 2 * time.Second,
 		}
 		if s.Row.Class == schema.ClassLive {
 			s.PerSecond = 4
@@ -180,30 +180,30 @@
 }
 
 // measure runs both phases.
-func measure(ctx context.Context, s scenario, o Options, st *stage, background *sync.WaitGroup) (f Figures, err error) {
+func measure(ctx context.Context, s scenario, o Options, st *environment, background *sync.WaitGroup) (f Figures, err error) {
 	c := st.collector
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var loads sync.WaitGroup
 	generate := func(ctx context.Context, name string, factor float64, seed uint64) {
-		loads.Go(func() { load.NewGenerator(st.balancer, c, name, seed).Run(ctx, streams(factor)) })
+		loads.Go(func() { load.NewGenerator(st.balancer, c, name, seed).Run(ctx, newStreams(factor)) })
 	}
 	generate(loadCtx, "base", 1, o.Seed)
-	st.more = func(factor float64, d time.Duration) {
+	st.addLoad = func(factor float64, d time.Duration) {
 		moreCtx, cancel := context.WithTimeout(loadCtx, d)
 		background.Go(func() { <-moreCtx.Done(); cancel() })
 		generate(moreCtx, fmt.Sprintf("more-%d", time.Now().UnixNano()), factor, o.Seed+1)
 	}
-	wait(ctx, o.Steady)
-	before := st.standin.Checker.Requests()
-	c.beginFault()
-	if err := s.act(st, o.Fault); err != nil {
+	sleep(ctx, o.Steady)
+	before := st.standin.Checker.StartedRequests()
+	c.beginFaultPhase()
+	if err := s.inject(st, o.Fault); err != nil {
 		return f, err
 	}
-	wait(ctx, time.Until(c.began.Add(o.Fault)))
+	sleep(ctx, time.Until(c.faultStart.Add(o.Fault)))
 	stopLoad()
 	loads.Wait()
-	f = c.figures(o.Fault, st.standin.Checker.Requests()-before)
+	f = c.figures(o.Fault, st.standin.Checker.StartedRequests()-before)
 	f.RSSMB = residentMB()
 	r := st.standin.Checker.Report()
 	f.WrongAnswers, f.OnceRanTwice, f.NotRunButRan, f.CutOff = r.WrongAnswers+r.Truncated, r.OnceRanTwice, r.NotRunButRan, r.CutOff
@@ -211,7 +211,7 @@
 	return f, ctx.Err()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
@@ -219,14 +219,14 @@
 }
 
 // figures works out the results of the fault phase.
-func (c *collector) figures(d time.Duration, atServers int) (f Figures) {
+func (c *collector) figures(d time.Duration, backendRequests int) (f Figures) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	f = Figures{
 		ByClass: map[schema.Class]ClassFigures{}, ShedByClass: map[schema.Class]int{},
 		P50Ms: quantile(c.fault, 50), P99Ms: quantile(c.fault, 99), P999Ms: quantile(c.fault, 99.9),
-		StruckByFault: c.struck, NotRunReasons: maps.Clone(c.reasons),
+		StruckByFault: c.cutOffByFault, NotRunReasons: maps.Clone(c.notRunReasons),
 	}
 	sent, good := 0, 0
 	for name, cl := range c.fault.classes {
@@ -241,7 +241,7 @@
 	}
 	f.GoodputRPS = float64(good) / d.Seconds()
 	if sent > 0 {
-		f.RetriesRatio = float64(atServers) / float64(sent)
+		f.RetriesRatio = float64(backendRequests) / float64(sent)
 	}
 	for _, q := range []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 100} {
 		f.Distribution = append(f.Distribution, Bucket{Ms: quantile(c.fault, q), Quantile: q})
@@ -272,21 +272,21 @@
 type partition struct {
 	zoneOf map[string]string // by address
 
-	mu    sync.Mutex
-	cut   string // zone that is cut off from the others
-	conns map[net.Conn]string
+	mu        sync.Mutex
+	isolated  string // zone that is cut off from the others
+	crossZone map[net.Conn]string
 }
 
 func newPartition(st *standin.Standin) *partition {
-	p := &partition{zoneOf: map[string]string{}, conns: map[net.Conn]string{}}
+	p := &partition{zoneOf: map[string]string{}, crossZone: map[net.Conn]string{}}
 	for name, vm := range st.Table.VMs {
 		p.zoneOf[vm.Value.Address] = st.Table.ZoneOf(name)
 	}
 	return p
 }
 
-// add tells where an entry is.
-func (p *partition) add(zone, address string) {
+// addEntry tells where an entry is.
+func (p *partition) addEntry(zone, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zoneOf[address] = zone
@@ -297,31 +297,31 @@
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		p.mu.Lock()
 		to := p.zoneOf[addr]
-		apart := from != to && p.cut != "" && (from == p.cut || to == p.cut)
+		blocked := from != to && p.isolated != "" && (from == p.isolated || to == p.isolated)
 		p.mu.Unlock()
-		if apart {
+		if blocked {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("the zone is cut off")}
 		}
 		var d net.Dialer
 		conn, err := d.DialContext(ctx, network, addr)
 		if err == nil && from != to {
 			p.mu.Lock()
-			p.conns[conn] = from + " " + to
+			p.crossZone[conn] = from + " " + to
 			p.mu.Unlock()
 		}
 		return conn, err
 	}
 }
 
-// set cuts a zone off, or none.
-func (p *partition) set(zone string) {
+// isolate cuts a zone off, or none.
+func (p *partition) isolate(zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = zone
-	for conn, between := range p.conns {
+	p.isolated = zone
+	for conn, between := range p.crossZone {
 		if zone != "" && strings.Contains(between, zone) {
 			_ = conn.Close()
-			delete(p.conns, conn)
+			delete(p.crossZone, conn)
 		}
 	}
 }
--- a/pkg/bench/standin/standin.go
+++ b/pkg/bench/standin/standin.go
@@ -27,7 +27,7 @@
 	Name     string
 	Checker  *checker.Checker
 	Platform *fake.Platform
-	Farm     *backend.Farm
+	Backends *backend.Servers
 	Table    *table.Snapshot // the deployment's rows, with the addresses of the backend servers that run here
 	server   *http.Server
 	address  string
@@ -68,13 +68,13 @@
 // New starts the surroundings of the rows of a deployment.
 func New(name string, rows []table.StoredRow, o Options) (s *Standin, err error) {
 	s = &Standin{Name: name, Checker: checker.New()}
-	var farm []backend.Option
+	var options []backend.Option
 	if o.Slots > 0 {
-		farm = append(farm, backend.WithSlots(o.Slots))
+		options = append(options, backend.WithSlots(o.Slots))
 	}
-	s.Farm = backend.NewFarm(s.Checker, farm...)
+	s.Backends = backend.NewServers(s.Checker, options...)
 	s.Platform = fake.New(fake.WithSeed(o.Seed), fake.WithLatency(o.Latency), fake.WithListLag(o.ListLag),
-		fake.WithRebootTime(o.RebootTime), fake.WithMachine(s.Farm), fake.WithObserver(s.Checker))
+		fake.WithRebootTime(o.RebootTime), fake.WithMachine(s.Backends), fake.WithObserver(s.Checker))
 	if err := s.startBackends(rows); err != nil {
 		s.Close()
 		return nil, err
@@ -94,7 +94,7 @@
 	}
 	for _, name := range snap.VMs.Names() {
 		row := snap.VMs[name]
-		if row.Value.Address, err = s.Farm.Add(name); err != nil {
+		if row.Value.Address, err = s.Backends.Add(name); err != nil {
 			return err
 		}
 		snap.VMs[name] = row
@@ -128,13 +128,13 @@
 
 // serveZone serves the platform as the zone in the path sees it.
 func (s *Standin) serveZone(w http.ResponseWriter, r *http.Request) {
-	zone, rest1, ok := strings.Cut(strings.TrimPrefix(r.URL.Path, pathZones), "/")
+	zone, path, ok := strings.Cut(strings.TrimPrefix(r.URL.Path, pathZones), "/")
 	if !ok || zone == "" {
 		http.NotFound(w, r)
 		return
 	}
 	r2 := r.Clone(r.Context())
-	r2.URL.Path = "/" + rest1
+	r2.URL.Path = "/" + path
 	rest.Handler(s.Platform.View(zone)).ServeHTTP(w, r2)
 }
 
@@ -174,5 +174,5 @@
 	if s.server != nil {
 		_ = s.server.Close()
 	}
-	s.Farm.Close()
+	s.Backends.Close()
 }
--- a/pkg/cli/cli.go
+++ b/pkg/cli/cli.go
@@ -32,8 +32,8 @@
 // Error gives the cause.
 func (e ErrExit) Error() string { return e.Cause.Error() }
 
-// Exit gives a failure an exit code.
-func Exit(code int, cause error) error {
+// WithExitCode gives a failure an exit code.
+func WithExitCode(code int, cause error) error {
 	if cause == nil {
 		return nil
 	}
@@ -42,12 +42,12 @@
 
 // Program is one program with its sub-commands.
 type Program struct {
-	Name    string
-	Summary string
-	Global  any // options of all commands, may be nil
-	Stdout  io.Writer
-	Stderr  io.Writer
-	Add     func(p *flags.Parser) error // adds the sub-commands
+	Name          string
+	Summary       string
+	GlobalOptions any // options of all commands, may be nil
+	Stdout        io.Writer
+	Stderr        io.Writer
+	AddCommands   func(p *flags.Parser) error // adds the sub-commands
 }
 
 // versionOption is the option that every program has.
@@ -65,12 +65,12 @@
 	if _, err := parser.AddGroup("Program Options", "", &versionOption{}); err != nil {
 		return nil, err
 	}
-	if p.Global != nil {
-		if _, err := parser.AddGroup("Connection Options", "", p.Global); err != nil {
+	if p.GlobalOptions != nil {
+		if _, err := parser.AddGroup("Connection Options", "", p.GlobalOptions); err != nil {
 			return nil, err
 		}
 	}
-	return parser, p.Add(parser)
+	return parser, p.AddCommands(parser)
 }
 
 // Run parses the arguments, runs the command and returns the exit code.
--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -18,27 +18,27 @@
 	Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation
 }
 
-// Log finds the entries of the table's log.
-type Log interface {
+// TableReader finds the entries of the table's log.
+type TableReader interface {
 	Snapshot() *table.Snapshot
 	History(ctx context.Context, from, limit int) ([]schema.Entry, error)
 }
 
 // Explainer explains rows.
 type Explainer struct {
-	log      Log
+	reader   TableReader
 	observer Observer
 	now      func() time.Time
 }
 
 // New returns an explainer.
-func New(log Log, o Observer) *Explainer {
-	return &Explainer{log: log, observer: o, now: time.Now}
+func New(reader TableReader, o Observer) *Explainer {
+	return &Explainer{reader: reader, observer: o, now: time.Now}
 }
 
 // Explain returns sentences about a row; ok is false when there is none.
 func (e *Explainer) Explain(ctx context.Context, kind schema.Kind, name string) (sentences []string, ok bool) {
-	snap := e.log.Snapshot()
+	snap := e.reader.Snapshot()
 	key := table.Key{Kind: kind, Name: name}
 	if snap.Version(key) == 0 {
 		return nil, false
@@ -54,17 +54,17 @@
 	case schema.KindWave:
 		x.wave(name)
 	default:
-		x.say("%s is at version %d.", key, snap.Version(key))
+		x.addf("%s is at version %d.", key, snap.Version(key))
 	}
-	x.lastChange(ctx, e.log, key)
+	x.lastChange(ctx, e.reader, key)
 	return x.sentences, true
 }
 
 // observe looks at one VM only.
 func (e *Explainer) observe(ctx context.Context, snap *table.Snapshot, vm string) map[string]fleet.Observation {
-	one := *snap
-	one.VMs = table.Rows[schema.VM]{vm: snap.VMs[vm]}
-	return e.observer.Observe(ctx, &one)
+	single := *snap
+	single.VMs = table.Rows[schema.VM]{vm: snap.VMs[vm]}
+	return e.observer.Observe(ctx, &single)
 }
 
 type explanation struct {
@@ -73,11 +73,11 @@
 	sentences []string
 }
 
-func (x *explanation) say(format string, args ...any) {
+func (x *explanation) addf(format string, args ...any) {
 	x.sentences = append(x.sentences, fmt.Sprintf(format, args...))
 }
 
-func (x *explanation) ago(ms int) string {
+func (x *explanation) elapsed(ms int) string {
 	return x.now.Sub(time.UnixMilli(int64(ms))).Round(time.Second).String()
 }
 
@@ -85,42 +85,42 @@
 	row := x.snap.VMs[name]
 	vm := row.Value
 	if vm.Pool == "" {
-		x.say("VM %s is in the shared buffer, in rack %s of zone %s.", name, vm.Rack, x.snap.ZoneOf(name))
+		x.addf("VM %s is in the shared buffer, in rack %s of zone %s.", name, vm.Rack, x.snap.ZoneOf(name))
 	} else {
-		x.say("VM %s is in pool %s, which serves %s, in rack %s of zone %s.", name, vm.Pool, x.snap.Pools[vm.Pool].Value.Service, vm.Rack, x.snap.ZoneOf(name))
+		x.addf("VM %s is in pool %s, which serves %s, in rack %s of zone %s.", name, vm.Pool, x.snap.Pools[vm.Pool].Value.Service, vm.Rack, x.snap.ZoneOf(name))
 	}
 	switch vm.Phase {
 	case schema.PhaseActive:
-		x.say("It is active: entries give it work. Its health by probes is %q and this entry has %d requests in flight to it.", o.Health, o.InFlight)
+		x.addf("It is active: entries give it work. Its health by probes is %q and this entry has %d requests in flight to it.", o.Health, o.InFlight)
 	case schema.PhaseDraining:
-		x.say("It has been draining for %s%s.", x.ago(vm.PhaseSinceMs), inWave(vm))
+		x.addf("It has been draining for %s%s.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm))
 		if blocker := fleet.Blocker(row.Version, o); blocker != "" {
-			x.say("It waits: %s.", blocker)
+			x.addf("It waits: %s.", blocker)
 		} else {
-			x.say("Nothing is in flight any more; it is about to reboot.")
+			x.addf("Nothing is in flight any more; it is about to reboot.")
 		}
 	case schema.PhaseRebooting:
-		x.say("It has been rebooting for %s%s, by operation %s.", x.ago(vm.PhaseSinceMs), inWave(vm), vm.Operation)
+		x.addf("It has been rebooting for %s%s, by operation %s.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm), vm.Operation)
 	case schema.PhaseChecking:
-		x.say("It came back from its reboot %s ago%s and waits for its backend server to answer probes.", x.ago(vm.PhaseSinceMs), inWave(vm))
+		x.addf("It came back from its reboot %s ago%s and waits for its backend server to answer probes.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm))
 	case schema.PhaseDown:
-		x.say("It has been down for %s.", x.ago(vm.PhaseSinceMs))
+		x.addf("It has been down for %s.", x.elapsed(vm.PhaseSinceMs))
 	}
 	if vm.MaintainedBy != "" {
-		x.say("It was last maintained by wave %s, %s ago.", vm.MaintainedBy, x.ago(vm.MaintainedAtMs))
+		x.addf("It was last maintained by wave %s, %s ago.", vm.MaintainedBy, x.elapsed(vm.MaintainedAtMs))
 	}
 }
 
-func inWave(vm schema.VM) string {
+func waveSuffix(vm schema.VM) string {
 	if vm.Wave == "" {
 		return ""
 	}
 	return " in wave " + vm.Wave
 }
 
-func (x *explanation) pool(name string, seen map[string]fleet.Observation) {
+func (x *explanation) pool(name string, observations map[string]fleet.Observation) {
 	p := x.snap.Pools[name].Value
-	members, out := 0, 0
+	members, unavailable := 0, 0
 	for _, vmName := range x.snap.VMs.Names() {
 		vm := x.snap.VMs[vmName].Value
 		if vm.Pool != name {
@@ -128,48 +128,48 @@
 		}
 		members++
 		if vm.Phase != schema.PhaseActive {
-			out++
-			x.say("%s is %s%s for %s.", vmName, vm.Phase, inWave(vm), x.ago(vm.PhaseSinceMs))
-		} else if seen[vmName].Health != fleet.HealthGood {
-			out++
-			x.say("%s is active but its health is %q.", vmName, seen[vmName].Health)
+			unavailable++
+			x.addf("%s is %s%s for %s.", vmName, vm.Phase, waveSuffix(vm), x.elapsed(vm.PhaseSinceMs))
+		} else if observations[vmName].Health != fleet.HealthGood {
+			unavailable++
+			x.addf("%s is active but its health is %q.", vmName, observations[vmName].Health)
 		}
 	}
-	x.say("Pool %s serves %s with %d of %d VMs; %d are out of service and its budget is %d.", name, p.Service, members, p.Size, out, p.MaxUnavailable)
+	x.addf("Pool %s serves %s with %d of %d VMs; %d are out of service and its budget is %d.", name, p.Service, members, p.Size, unavailable, p.MaxUnavailable)
 	if members < p.Size {
-		x.say("It waits for %d free VMs; the buffer has none that are healthy.", p.Size-members)
+		x.addf("It waits for %d free VMs; the buffer has none that are healthy.", p.Size-members)
 	}
 }
 
 func (x *explanation) job(name string) {
 	j := x.snap.Jobs[name].Value
-	x.say("Job %s of team %s wants %d tasks of %g processors and %d MB on pool %s, class %s.", name, j.Team, j.Count, j.Cpus, j.MemoryMb, j.Pool, j.Class)
-	x.say("It waits: this version keeps jobs in the table but does not start tasks yet.")
+	x.addf("Job %s of team %s wants %d tasks of %g processors and %d MB on pool %s, class %s.", name, j.Team, j.Count, j.Cpus, j.MemoryMb, j.Pool, j.Class)
+	x.addf("It waits: this version keeps jobs in the table but does not start tasks yet.")
 }
 
 func (x *explanation) wave(name string) {
 	w := x.snap.Waves[name].Value
 	p := fleet.ProgressOf(x.snap, name)
-	x.say("Wave %s is %s: %d of %d VMs are maintained, %d are under way, %d are left, %d are down.", name, w.State, p.Done, p.Total, p.Current, p.Left(), p.Down)
+	x.addf("Wave %s is %s: %d of %d VMs are maintained, %d are under way, %d are left, %d are down.", name, w.State, p.Done, p.Total, p.Current, p.Left(), p.Down)
 	for _, vmName := range x.snap.VMs.Names() {
 		vm := x.snap.VMs[vmName].Value
 		if vm.Wave == name {
-			x.say("%s has been %s for %s.", vmName, vm.Phase, x.ago(vm.PhaseSinceMs))
+			x.addf("%s has been %s for %s.", vmName, vm.Phase, x.elapsed(vm.PhaseSinceMs))
 		}
 	}
 }
 
 // lastChange tells who changed the row last and why.
-func (x *explanation) lastChange(ctx context.Context, log Log, key table.Key) {
+func (x *explanation) lastChange(ctx context.Context, reader TableReader, key table.Key) {
 	version := x.snap.Version(key)
-	entries, err := log.History(ctx, version, 1)
+	entries, err := reader.History(ctx, version, 1)
 	if err != nil || len(entries) == 0 {
-		x.say("Its last change was revision %d; the audit trail cannot be read now.", version)
+		x.addf("Its last change was revision %d; the audit trail cannot be read now.", version)
 		return
 	}
 	e := entries[0]
-	x.say("Its last change was revision %d by %s, %s ago: %s.", e.Revision, e.Actor, x.ago(e.AtMs), e.Reason)
+	x.addf("Its last change was revision %d by %s, %s ago: %s.", e.Revision, e.Actor, x.elapsed(e.AtMs), e.Reason)
 	if e.Evidence != "" {
-		x.say("The evidence was: %s.", e.Evidence)
+		x.addf("The evidence was: %s.", e.Evidence)
 	}
 }
