--- a/cmd/gannetbench/cmds/cmds.go
+++ b/cmd/gannetbench/cmds/cmds.go
@@ -1,4 +1,5 @@
-// Package cmds holds the sub-commands of gannetbench.
+// Package cmds holds the subcommands of gannetbench. Each parses its flags, calls a
+// package below pkg/bench and prints the result as text or JSON.
 package cmds
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/gannetwell/gannetwell/pkg/cli"
 )
 
-// New returns the program.
+// New returns the gannetbench program.
 func New(stdout, stderr io.Writer) *cli.Program {
 	return &cli.Program{
 		Name: "gannetbench", Summary: "Stand-ins for the platform and backend servers, a demo, and experiments.",
@@ -39,7 +40,7 @@
 	}
 }
 
-// printJSON prints one indented object.
+// printJSON writes v as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/gannetbench/cmds/demo.go
+++ b/cmd/gannetbench/cmds/demo.go
@@ -57,7 +57,7 @@
 	return err
 }
 
-// print writes the summary for a person.
+// print writes the summary as text.
 func (c *demoCommand) print(s demo.Summary) {
 	p := func(format string, args ...any) { _, _ = fmt.Fprintf(c.stdout, format+"\n", args...) }
 	p("")
--- a/cmd/gannetbench/cmds/late.go
+++ b/cmd/gannetbench/cmds/late.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // it was only read
+	defer func() { _ = f.Close() }()
 	windows, err := lateness.CountByWindow(f, lateness.Objective{Target: c.Target, Stretch: c.Stretch}, c.Window)
 	if err != nil {
 		return err
@@ -43,6 +43,7 @@
 	return nil
 }
 
+// printRow prints one table row with a cell for each cause.
 func (c *lateCommand) printRow(name string, cell func(lateness.Cause) string) {
 	_, _ = fmt.Fprintf(c.stdout, "%-8s", name)
 	for _, cause := range lateness.Causes {
--- a/cmd/gannetbench/main.go
+++ b/cmd/gannetbench/main.go
@@ -1,4 +1,4 @@
-// Command gannetbench runs stand-ins, the demo and experiments.
+// Command gannetbench runs simulated deployments, the demo and the measurements.
 package main
 
 import (
--- a/cmd/gannetctl/cmds/audit.go
+++ b/cmd/gannetctl/cmds/audit.go
@@ -37,7 +37,7 @@
 	return c.printAudit(q)
 }
 
-// printAudit prints entries with the columns that changed.
+// printAudit prints the matching audit entries with the columns that each changed.
 func (c *console) printAudit(q auditQuery) error {
 	cl, err := c.client()
 	if err != nil {
@@ -60,7 +60,7 @@
 		}
 	}
 	if !audit.Complete {
-		c.printf("the search ended before the beginning of the trail; narrow it by --limit or ask by --kind and --name\n")
+		c.printf("the search stopped before the start of the audit trail; narrow it with --limit, or with --kind and --name\n")
 	}
 	return nil
 }
--- a/cmd/gannetctl/cmds/cmds.go
+++ b/cmd/gannetctl/cmds/cmds.go
@@ -1,4 +1,5 @@
-// Package cmds holds the sub-commands of gannetctl.
+// Package cmds holds the subcommands of gannetctl. Each parses its flags, calls the
+// operators' API of an entry through service/client and prints the answer.
 package cmds
 
 import (
@@ -22,7 +23,7 @@
 	"github.com/gannetwell/gannetwell/service/client"
 )
 
-// console is where a command reads and writes, and the connection options.
+// console holds the connection options and the standard streams that all commands share.
 type console struct {
 	Entry string `long:"entry" env:"GANNETWELL_ENTRY" value-name:"URL" default:"http://127.0.0.1:7080" description:"Operators' address of an entry"`
 	Token string `long:"token" env:"GANNETWELL_TOKEN" value-name:"TOKEN" description:"Bearer token of the operator"`
@@ -38,7 +39,7 @@
 	retryInterval   = 250 * time.Millisecond
 )
 
-// New returns the program.
+// New returns the gannetctl program.
 func New(stdin io.Reader, stdout, stderr io.Writer) *cli.Program {
 	c := &console{stdin: stdin, stdout: stdout, stderr: stderr}
 	return &cli.Program{
@@ -48,14 +49,14 @@
 	}
 }
 
-// subcommand is one subcommand-command and its own subcommand-commands.
+// subcommand describes a command, its options and its nested subcommands.
 type subcommand struct {
 	name, short, long string
 	data              any
 	subcommands       []subcommand
 }
 
-// noOptions is the data of a command that only has sub-commands.
+// noOptions is the data of a command that only groups subcommands.
 type noOptions struct{}
 
 func addCommands(p *flags.Parser, c *console) error { return addSubcommands(p.Command, commands(c)) }
@@ -93,29 +94,29 @@
 	}
 }
 
-// client returns a client of the entry.
+// client returns an API client for the configured entry.
 func (c *console) client() (*client.Client, error) {
 	h := &http.Client{Timeout: callTimeout}
 	if c.CA != "" {
 		pem, err := os.ReadFile(c.CA)
 		if err != nil {
-			return nil, errors.Wrap(err, "read authorities")
+			return nil, errors.Wrap(err, "read CA file")
 		}
 		roots := x509.NewCertPool()
 		if !roots.AppendCertsFromPEM(pem) {
-			return nil, errors.Errorf("%s holds no certificate", c.CA)
+			return nil, errors.Errorf("CA file %s contains no PEM certificate", c.CA)
 		}
 		h.Transport = &http.Transport{TLSClientConfig: &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12}}
 	}
 	return client.New(c.Entry, c.Token, client.WithHTTP(h)), nil
 }
 
-// printf writes to the standard output.
+// printf writes formatted text to standard output.
 func (c *console) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(c.stdout, format, args...)
 }
 
-// printJSON writes a value to the standard output, for programs.
+// printJSON writes a value to standard output as indented JSON.
 func (c *console) printJSON(v any) error {
 	raw, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
@@ -125,20 +126,22 @@
 	return nil
 }
 
+// newID returns a random ID, used for edits and tokens.
 func newID() string {
 	raw := make([]byte, 12)
-	_, _ = rand.Read(raw) // never fails, it ends the process instead
+	_, _ = rand.Read(raw) // never returns an error
 	return "ctl-" + hex.EncodeToString(raw)
 }
 
-// edit makes an edit and settles an unknown outcome by sending the same edit again.
+// edit submits an edit. When the outcome is unknown it sends the edit again under the
+// same ID, which the entry deduplicates.
 func (c *console) edit(reason string, changes []api.RowChange) error {
 	cl, err := c.client()
 	if err != nil {
 		return err
 	}
 	q := api.EditRequest{ID: newID(), Reason: reason, Changes: changes}
-	maybeAccepted := false // some attempt may have been accepted
+	maybeAccepted := false // an earlier attempt had an unknown outcome
 	for attempt := 1; ; attempt++ {
 		result, err := cl.Edit(context.Background(), q)
 		if err == nil {
@@ -160,7 +163,7 @@
 	}
 }
 
-// errorCode sorts the failure of an edit; without an answer its outcome is unknown.
+// errorCode returns the API's code of a failed edit; without an answer the outcome is unknown.
 func errorCode(err error) api.ErrorCode {
 	var failure client.ErrAPI
 	if !errors.As(err, &failure) {
@@ -169,7 +172,7 @@
 	return failure.Body.Code
 }
 
-// withExitCode gives an entry's refusal its exit code.
+// withExitCode attaches the exit code that matches an API error.
 func withExitCode(err error) error {
 	var failure client.ErrAPI
 	if !errors.As(err, &failure) {
--- a/cmd/gannetctl/cmds/cmds_test.go
+++ b/cmd/gannetctl/cmds/cmds_test.go
@@ -28,13 +28,14 @@
 	"github.com/gannetwell/gannetwell/service/server"
 )
 
-type noObservations struct{}
+// noObserver is an explain.Observer that knows no VM.
+type noObserver struct{}
 
-func (noObservations) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation {
+func (noObserver) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation {
 	return nil
 }
 
-// What differs from run to run.
+// Patterns of output that differs from run to run.
 var (
 	editIDs = regexp.MustCompile(`ctl-[0-9a-f]+`)
 	times   = regexp.MustCompile(`\d{4}-\d\d-\d\dT\S+Z`)
@@ -42,6 +43,7 @@
 	ages    = regexp.MustCompile(`\b\d+(\.\d+)?m?s ago`)
 )
 
+// normalizeOutput replaces what differs from run to run by placeholders.
 func normalizeOutput(s, dir string) string {
 	s = strings.ReplaceAll(s, dir, "DIR")
 	s = editIDs.ReplaceAllString(s, "ID")
@@ -50,7 +52,7 @@
 	return ages.ReplaceAllString(s, "AGO")
 }
 
-// withJobService answers for the job service too, which has two accounts and one pool.
+// withJobService adds fixed answers of the job service's API to h.
 func withJobService(h http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
@@ -75,15 +77,15 @@
 	return mux
 }
 
-// TestScripts runs each file of testdata against an entry of its own. The
-// commands are: run, a command line, its standard input after a line "---"; and
-// file, which writes its input to a file; and fault, which puts a fault in the way of every commit.
+// TestScripts runs each file of testdata against an entry of its own. Commands: run
+// takes a command line and, after a line "---", its standard input; file writes its
+// input to a file; fault injects a fault into every commit.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		dir := t.TempDir()
 		store := fake.New()
 		r := replica.New(store.View("z"))
-		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, noObservations{}), server.WithAccounts([]schema.Account{
+		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, noObserver{}), server.WithAccounts([]schema.Account{
 			{Name: "maria", Role: schema.RoleEdit, TokenSha256: server.HashToken("tok")},
 		}))))
 		defer s.Close()
--- a/cmd/gannetctl/cmds/jobs.go
+++ b/cmd/gannetctl/cmds/jobs.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// jobCommands ask about the job service; --entry names the metrics address of an entry.
+// jobCommands query the job service, for which --entry is the metrics address of an entry.
 func jobCommands(c *console) []subcommand {
 	return []subcommand{
 		{name: "show", short: "Show a job", long: "Shows what callers are told of a job, and which entry answers for it.\n\nExample:\n  gannetctl --entry http://10.1.0.9:9464 job show r-u6wsjnb 5c0e7a21d94b36f8", data: &jobShowCommand{console: c}},
@@ -38,7 +38,7 @@
 	}
 }
 
-// jsonOption is the flag of commands whose answer programs may read.
+// jsonOption is the flag of commands that can print JSON.
 type jsonOption struct {
 	JSON bool `long:"json" description:"Print JSON"`
 }
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// accounts asks an entry for the client accounts.
+// accounts fetches the client accounts and their usage.
 func (c *console) accounts() (accounts api.Accounts, err error) {
 	cl, err := c.client()
 	if err != nil {
@@ -205,7 +205,7 @@
 	return accounts, withExitCode(err)
 }
 
-// shards asks an entry who owns each shard and how busy it is.
+// shards fetches the owner and the load of each shard.
 func (c *console) shards() (shards []api.ShardStatus, err error) {
 	cl, err := c.client()
 	if err != nil {
--- a/cmd/gannetctl/cmds/sheet.go
+++ b/cmd/gannetctl/cmds/sheet.go
@@ -31,19 +31,19 @@
 		return err
 	}
 	s := &sheet{console: c.console, kind: c.Args.Kind, rows: rows, edited: map[string]json.RawMessage{}}
-	s.print()
+	s.printRows()
 	return s.readCommands(c.Reason)
 }
 
-// sheet is the rows of one kind under edit.
+// sheet holds the rows of one kind and their unsaved changes.
 type sheet struct {
 	*console
 	kind   string
 	rows   []table.StoredRow
-	edited map[string]json.RawMessage // new values by row
+	edited map[string]json.RawMessage // unsaved values by row name
 }
 
-// row returns a row with the value under edit; a name that is not there is a new row.
+// row returns a row with its unsaved value; an unknown name yields a new row.
 func (s *sheet) row(name string) table.StoredRow {
 	i := slices.IndexFunc(s.rows, func(r table.StoredRow) bool { return r.Key.Name == name })
 	row := table.StoredRow{Key: table.Key{Kind: schema.Kind(s.kind), Name: name}}
@@ -56,8 +56,8 @@
 	return row
 }
 
-// print prints the sheet; rows with changes are marked.
-func (s *sheet) print() {
+// printRows prints the sheet and marks rows that have unsaved changes with "*".
+func (s *sheet) printRows() {
 	w := tabwriter.NewWriter(s.stdout, 0, 0, 2, ' ', 0)
 	var columns []string
 	names := map[string]bool{}
@@ -86,7 +86,7 @@
 		}
 		_, _ = fmt.Fprintln(w, strings.Join(cells, "\t"))
 	}
-	_ = w.Flush() // the standard output takes it or the process ends
+	_ = w.Flush() // write errors on standard output are ignored, as in printf
 }
 
 func keysOf(m map[string]bool) func(func(string) bool) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// readCommands takes lines until the sheet is saved or left.
+// readCommands handles input lines until the sheet is saved or abandoned.
 func (s *sheet) readCommands(reason string) error {
 	in := bufio.NewScanner(s.stdin)
 	for in.Scan() {
@@ -107,9 +107,9 @@
 		switch line {
 		case "":
 		case "show":
-			s.print()
+			s.printRows()
 		case "quit":
-			s.printf("left without saving\n")
+			s.printf("quit without saving\n")
 			return nil
 		case "save":
 			return s.save(reason)
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// setCell takes one line ROW COLUMN VALUE.
+// setCell handles a line of the form ROW COLUMN VALUE.
 func (s *sheet) setCell(line string) error {
 	parts := strings.SplitN(line, " ", 3)
 	if len(parts) != 3 {
--- a/cmd/gannetctl/cmds/table.go
+++ b/cmd/gannetctl/cmds/table.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// rowArgs name one row.
+// rowArgs are the positional arguments that name one row.
 type rowArgs struct {
 	Args struct {
 		Kind string `positional-arg-name:"KIND" required:"true"`
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// fetchRows reads rows.
+// fetchRows reads the rows of a kind and name from the entry; an empty string matches all.
 func (c *console) fetchRows(kind, name string) (rows []table.StoredRow, err error) {
 	cl, err := c.client()
 	if err != nil {
@@ -118,7 +118,7 @@
 	return rows, nil
 }
 
-// fetchRow reads one row; a row that does not exist has version 0.
+// fetchRow reads one row; a row that does not exist is returned with version 0.
 func (c *console) fetchRow(kind, name string) (row table.StoredRow, err error) {
 	rows, err := c.fetchRows(kind, name)
 	if err != nil || len(rows) == 0 {
@@ -160,7 +160,7 @@
 	return c.edit(c.Reason, []api.RowChange{newRowChange(row, value)})
 }
 
-// setColumn returns a row with one column changed.
+// setColumn returns a row with one column replaced; text that is not JSON becomes a string.
 func setColumn(row json.RawMessage, column, text string) (json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	if len(row) > 0 {
@@ -210,7 +210,7 @@
 	return c.edit(c.Reason, changes)
 }
 
-// diffTable returns the changes that make the table as a file says.
+// diffTable returns the changes that bring the table to the state of a file.
 func (c *console) diffTable(o fileOption) (changes []api.RowChange, err error) {
 	desired, err := o.rows()
 	if err != nil {
@@ -240,7 +240,8 @@
 	return changes, nil
 }
 
-// keepControllerColumns keeps the columns of a VM and of a wave that control writes.
+// keepControllerColumns returns the desired row of a VM or wave with the current values of
+// the columns that the fleet controller owns.
 func keepControllerColumns(kind schema.Kind, old, desired json.RawMessage) (json.RawMessage, error) {
 	switch kind {
 	case schema.KindVM:
@@ -282,7 +283,7 @@
 	return cli.WithExitCode(cli.ExitFailed, errors.Errorf("%d rows differ", len(changes)))
 }
 
-// printColumns prints the columns in which two values of a row differ.
+// printColumns prints the columns that differ between two values of a row.
 func (c *console) printColumns(key table.Key, before, after json.RawMessage) {
 	oldColumns, newColumns := decodeColumns(before), decodeColumns(after)
 	switch {
@@ -301,7 +302,7 @@
 }
 
 func decodeColumns(row json.RawMessage) (fields map[string]json.RawMessage) {
-	_ = json.Unmarshal(row, &fields) // no row has no columns
+	_ = json.Unmarshal(row, &fields) // an absent row has no columns
 	return fields
 }
 
--- a/cmd/gannetctl/cmds/wave.go
+++ b/cmd/gannetctl/cmds/wave.go
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// snapshot reads the whole table.
+// snapshot fetches the whole table from the entry.
 func (c *console) snapshot() (*table.Snapshot, error) {
 	rows, err := c.fetchRows("", "")
 	if err != nil {
@@ -64,7 +64,7 @@
 	return table.Load(0, rows)
 }
 
-// printPlan shows per pool how many rounds its budget makes of it.
+// printPlan prints the number of maintenance rounds that each pool's budget requires.
 func (c *console) printPlan(snap *table.Snapshot, wave schema.Wave) {
 	members := map[string]int{}
 	for _, row := range snap.VMs {
@@ -87,6 +87,7 @@
 	}
 }
 
+// setWaveStateCommand moves a wave to another state.
 type setWaveStateCommand struct {
 	*console `no-flag:"true"`
 	reasonOption
--- a/cmd/gannetwelld/cmds/cmds.go
+++ b/cmd/gannetwelld/cmds/cmds.go
@@ -1,4 +1,5 @@
-// Package cmds holds the sub-commands of gannetwelld.
+// Package cmds holds the subcommands of gannetwelld. They load the settings and run an
+// entry of the request path (pkg/entry) or of the job service (pkg/node).
 package cmds
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// New returns the program.
+// New returns the gannetwelld program.
 func New(stdout, stderr io.Writer) *cli.Program {
 	return &cli.Program{
 		Name: "gannetwelld", Summary: "The entry daemon: takes callers' requests to backend servers and keeps the fleet.",
--- a/cmd/gannetwelld/cmds/cmds_test.go
+++ b/cmd/gannetwelld/cmds/cmds_test.go
@@ -14,15 +14,15 @@
 	"github.com/gannetwell/gannetwell/cmd/gannetwelld/cmds"
 )
 
-// TestScripts runs each file of testdata; the input is a settings file, for serve one
-// that must not be valid, or the arguments of "run".
+// TestScripts runs each file of testdata. The input is a settings file, or the command
+// line of "run". Settings of "serve" must be invalid, so that no daemon starts.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		name := filepath.Join(t.TempDir(), "entry.jsonc")
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			args := []string{"check", "-c", name}
 			if d.Cmd == "serve" {
-				args[0] = "serve" // with settings that are not valid, so that nothing starts
+				args[0] = "serve"
 			}
 			if d.Cmd == "run" {
 				args = strings.Fields(d.Input)
--- a/cmd/gannetwelld/cmds/serve.go
+++ b/cmd/gannetwelld/cmds/serve.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	// logBufferLines is how many lines wait for the output; when it is slower, the oldest are dropped and counted.
+	// logBufferLines is the capacity of the log buffer, in lines; when output is slower, the oldest are dropped and counted.
 	logBufferLines = 4096
-	// heapFraction is the part of the memory limit that the collector tries to stay under; the rest is for stacks and buffers.
+	// heapFraction is the part of the memory limit given to the garbage collector as its soft limit; the rest is for stacks and buffers.
 	heapFraction = 0.6
-	// gcPercent trades memory, of which there is enough, for processor time.
+	// gcPercent is GOGC: above the default, to spend less CPU time on garbage collection.
 	gcPercent = 200
 )
 
-// serveCommand runs an entry of the job service on the users' platform.
+// serveCommand runs an entry of the job service.
 type serveCommand struct {
 	Config string `long:"config" short:"c" value-name:"FILE" description:"Settings, JSON with comments; without it the file that the platform names"`
 
@@ -63,7 +63,7 @@
 		_, _ = fmt.Fprintf(c.stdout, `{"level":"warn","event":"log_lines_dropped","count":%d}`+"\n", missed)
 	})
 	defer func() {
-		time.Sleep(10 * time.Millisecond) // the writer takes what is left
+		time.Sleep(10 * time.Millisecond) // lets the writer flush the buffered lines
 		_ = out.Close()
 	}()
 	log := zerolog.New(out).Level(level).With().Timestamp().Logger()
@@ -80,15 +80,12 @@
 	return n.Run(node.Handlers{Callers: platform.Callers(n), Readiness: platform.Readiness(n)})
 }
 
-// maxProcs is how many maxProcs an entry runs on at once: no more than its
-// share. On more it is only throttled, and its scheduler spends time on passing
-// work between them: an owner of 400 workers took 321 us for each start on eight
-// maxProcs and 235 us on two.
+// maxProcs returns the GOMAXPROCS value for a CPU share, in cores. With more
+// processors than its share the process is throttled and loses time to scheduling.
 func maxProcs(cpuShare float64) int { return max(1, int(math.Ceil(cpuShare))) }
 
-// reload reads the settings again. An entry takes them at its start only, since
-// its addresses and limits are those of its process; a change is told, so that
-// someone restarts it.
+// reload validates the settings file and logs whether it differs from the current
+// settings. An entry applies settings only at its start, so a change needs a restart.
 func (c *serveCommand) reload(current schema.ServiceSettings, log zerolog.Logger) {
 	var s schema.ServiceSettings
 	err := config.LoadFile(c.Config, config.TargetService, &s)
--- a/pkg/bench/scenario/collect.go
+++ b/pkg/bench/scenario/collect.go
@@ -148,12 +148,12 @@
 		}
 	}
 	p.add(r)
-	explained := r.Result == checker.ResultCutOff && c.explainedByFault(r)
-	if explained {
+	byFault := r.Result == checker.ResultCutOff && c.explainedByFault(r)
+	if byFault {
 		c.cutOffByFault++
 	}
 	c.mu.Unlock()
-	if !explained {
+	if !byFault {
 		c.checker.Finished(r, seen)
 	}
 }
--- a/pkg/cli/cli.go
+++ b/pkg/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli holds what the three programs share: their exit codes, how a
-// command line is parsed and how a failure is told.
+// Package cli holds what gannetwelld, gannetctl and gannetbench share: exit codes,
+// command-line parsing and the reporting of errors on standard error.
 package cli
 
 import (
@@ -16,23 +16,23 @@
 // The exit codes of the programs.
 const (
 	ExitOK       = 0
-	ExitFailed   = 1 // the command did not succeed
-	ExitUsage    = 2 // the command line is wrong
-	ExitInvalid  = 3 // a file or an edit is not valid
-	ExitConflict = 4 // rows changed after they were seen
-	ExitUnknown  = 5 // it is not known whether the edit was accepted
+	ExitFailed   = 1 // the command failed
+	ExitUsage    = 2 // invalid command line
+	ExitInvalid  = 3 // a file or an edit failed validation
+	ExitConflict = 4 // rows changed since they were read
+	ExitUnknown  = 5 // the edit may or may not have been accepted
 )
 
-// ErrExit is a failure with its exit code.
+// ErrExit is an error with the exit code that the program ends with.
 type ErrExit struct {
 	Code  int
 	Cause error
 }
 
-// Error gives the cause.
+// Error returns the message of the cause.
 func (e ErrExit) Error() string { return e.Cause.Error() }
 
-// WithExitCode gives a failure an exit code.
+// WithExitCode attaches an exit code to an error; a nil cause stays nil.
 func WithExitCode(code int, cause error) error {
 	if cause == nil {
 		return nil
@@ -40,24 +40,24 @@
 	return ErrExit{Code: code, Cause: cause}
 }
 
-// Program is one program with its sub-commands.
+// Program is a command-line program with its subcommands.
 type Program struct {
 	Name          string
 	Summary       string
-	GlobalOptions any // options of all commands, may be nil
+	GlobalOptions any // struct with the options of all commands, may be nil
 	Stdout        io.Writer
 	Stderr        io.Writer
-	AddCommands   func(p *flags.Parser) error // adds the sub-commands
+	AddCommands   func(p *flags.Parser) error // adds the subcommands to the parser
 }
 
-// versionOption is the option that every program has.
+// versionOption declares --version for the help text; Run handles the flag before parsing.
 type versionOption struct {
 	Version bool `long:"version" description:"Print the version and exit"`
 }
 
-// Parser returns the program's parser with all sub-commands.
+// Parser returns the program's parser with all subcommands.
 func (p *Program) Parser() (parser *flags.Parser, err error) {
-	defer func() { err = errors.Wrap(err, "set up the command line") }()
+	defer func() { err = errors.Wrap(err, "build command-line parser") }()
 	parser = flags.NewNamedParser(p.Name, flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = p.Summary
 	parser.LongDescription = p.Summary
@@ -110,5 +110,5 @@
 	return ExitFailed
 }
 
-// Main runs the program with the process's arguments and ends the process.
+// Main runs the program with the process's arguments and exits with its code.
 func (p *Program) Main() { os.Exit(p.Run(os.Args[1:])) }
--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -1,6 +1,6 @@
-// Package explain tells in sentences why a VM, a pool, a job or a wave is where
-// it is and what it waits for, from the table and from a fresh look at the VMs
-// concerned.
+// Package explain describes the state of a VM, pool, job or wave in sentences for
+// operators: where it is, why, and what it waits for. It combines the table, a fresh
+// observation of the VMs concerned and the audit trail. The operators' API calls it.
 package explain
 
 import (
@@ -13,30 +13,30 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Observer looks at the VMs of a snapshot.
+// Observer returns the current health and in-flight requests of a snapshot's VMs, by VM name.
 type Observer interface {
 	Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation
 }
 
-// TableReader finds the entries of the table's log.
+// TableReader reads the current table and, from a revision on, the entries of its log.
 type TableReader interface {
 	Snapshot() *table.Snapshot
 	History(ctx context.Context, from, limit int) ([]schema.Entry, error)
 }
 
-// Explainer explains rows.
+// Explainer describes table rows.
 type Explainer struct {
 	reader   TableReader
 	observer Observer
 	now      func() time.Time
 }
 
-// New returns an explainer.
+// New returns an explainer of the reader's table.
 func New(reader TableReader, o Observer) *Explainer {
 	return &Explainer{reader: reader, observer: o, now: time.Now}
 }
 
-// Explain returns sentences about a row; ok is false when there is none.
+// Explain returns sentences about a row; ok is false when the row does not exist.
 func (e *Explainer) Explain(ctx context.Context, kind schema.Kind, name string) (sentences []string, ok bool) {
 	snap := e.reader.Snapshot()
 	key := table.Key{Kind: kind, Name: name}
@@ -60,13 +60,14 @@
 	return x.sentences, true
 }
 
-// observe looks at one VM only.
+// observe observes one VM only.
 func (e *Explainer) observe(ctx context.Context, snap *table.Snapshot, vm string) map[string]fleet.Observation {
 	single := *snap
 	single.VMs = table.Rows[schema.VM]{vm: snap.VMs[vm]}
 	return e.observer.Observe(ctx, &single)
 }
 
+// explanation collects the sentences about one row.
 type explanation struct {
 	snap      *table.Snapshot
 	now       time.Time
@@ -77,6 +78,7 @@
 	x.sentences = append(x.sentences, fmt.Sprintf(format, args...))
 }
 
+// elapsed formats the time since ms, a Unix time in milliseconds.
 func (x *explanation) elapsed(ms int) string {
 	return x.now.Sub(time.UnixMilli(int64(ms))).Round(time.Second).String()
 }
@@ -91,18 +93,18 @@
 	}
 	switch vm.Phase {
 	case schema.PhaseActive:
-		x.addf("It is active: entries give it work. Its health by probes is %q and this entry has %d requests in flight to it.", o.Health, o.InFlight)
+		x.addf("It is active and receives requests. Its probed health is %q and this entry has %d requests in flight to it.", o.Health, o.InFlight)
 	case schema.PhaseDraining:
 		x.addf("It has been draining for %s%s.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm))
 		if blocker := fleet.Blocker(row.Version, o); blocker != "" {
 			x.addf("It waits: %s.", blocker)
 		} else {
-			x.addf("Nothing is in flight any more; it is about to reboot.")
+			x.addf("No requests are in flight; it is about to reboot.")
 		}
 	case schema.PhaseRebooting:
 		x.addf("It has been rebooting for %s%s, by operation %s.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm), vm.Operation)
 	case schema.PhaseChecking:
-		x.addf("It came back from its reboot %s ago%s and waits for its backend server to answer probes.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm))
+		x.addf("It came back from its reboot %s ago%s and waits for its backend server to pass health probes.", x.elapsed(vm.PhaseSinceMs), waveSuffix(vm))
 	case schema.PhaseDown:
 		x.addf("It has been down for %s.", x.elapsed(vm.PhaseSinceMs))
 	}
@@ -144,7 +146,7 @@
 func (x *explanation) job(name string) {
 	j := x.snap.Jobs[name].Value
 	x.addf("Job %s of team %s wants %d tasks of %g processors and %d MB on pool %s, class %s.", name, j.Team, j.Count, j.Cpus, j.MemoryMb, j.Pool, j.Class)
-	x.addf("It waits: this version keeps jobs in the table but does not start tasks yet.")
+	x.addf("It waits: this version stores jobs in the table but does not run them.")
 }
 
 func (x *explanation) wave(name string) {
@@ -159,7 +161,7 @@
 	}
 }
 
-// lastChange tells who changed the row last and why.
+// lastChange adds who changed the row last, and why.
 func (x *explanation) lastChange(ctx context.Context, reader TableReader, key table.Key) {
 	version := x.snap.Version(key)
 	entries, err := reader.History(ctx, version, 1)
