--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -1,5 +1,6 @@
-// Package prop runs property tests in virtual time and with a fixed seed, so
-// that they try the same cases at every run and CI gives the same verdict.
+// Package prop runs rapid property tests with a fixed seed and in virtual time
+// (testing/synctest), so that every run plays the same cases. Tests of the decision
+// packages call Check; FindsFailure shows that a property detects an injected fault.
 package prop
 
 import (
@@ -13,46 +14,47 @@
 	"pgregory.net/rapid"
 )
 
+// seed is rapid's seed for all checks that name none.
 const seed = "20261202"
 
-// init has a case reported as it was drawn: what ends a case leaves its bubble at one place, so that
-// the library, which tells failures apart by where they come from, would go on to cases that
-// only ended early, and report "overrun" for what had failed.
+// init sets rapid's flags. Shrinking is off: rapid identifies a failure by its call
+// stack, and all failures leave the bubble at the same place, so it would shrink to
+// cases that merely ended early and report "overrun".
 func init() {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.nofailfile": "true", "rapid.shrinktime": "1ns"} {
 		mustSet(name, value)
 	}
 }
 
-// Check is rapid.Check with each case in a bubble of virtual time of its own.
+// Check is rapid.Check with each case in its own synctest bubble.
 func Check(t *testing.T, property func(*rapid.T)) {
 	t.Helper()
 	rapid.Check(t, func(rt *rapid.T) { runInBubble(t, func() { property(rt) }) })
 }
 
-// CheckRealTime is rapid.Check with n cases in real time, for properties over real
-// connections; such a property must not judge by time.
+// CheckRealTime is rapid.Check with n cases in real time, for properties over network
+// connections. Such a property must not depend on timing.
 func CheckRealTime(t *testing.T, n int, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.checks": strconv.Itoa(n)})()
 	rapid.Check(t, property)
 }
 
-// FindsFailureRealTime is Finds in real time.
+// FindsFailureRealTime is FindsFailure in real time.
 func FindsFailureRealTime(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	return findsFailure(property)
 }
 
-// casesPerGC is after how many cases garbage is collected: a case leaves 1 MB or less.
+// casesPerGC is the number of cases between two garbage collections.
 const casesPerGC = 50
 
-// casesRun counts the cases that were played; tests that play cases do not run side by side.
+// casesRun counts the cases played. It needs no lock, since tests with cases do not run in parallel.
 var casesRun int
 
-// runInBubble runs f in virtual time; rapid ends a case by a panic, which must reach it. Goroutines
-// that one event wakes run in an order that deterministic only on one processor, and only while no
-// garbage is collected, which puts those that run at the end of the queue.
+// runInBubble runs f in virtual time and passes on the panic by which rapid ends a
+// case. One processor and no garbage collection keep the order in which goroutines run
+// the same in every run.
 func runInBubble(t *testing.T, f func()) {
 	if deterministic {
 		defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
@@ -71,23 +73,23 @@
 	}
 }
 
-// CheckSeed is Check with the one case that a seed draws.
+// CheckSeed is Check with the single case that a seed draws.
 func CheckSeed(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.seed": strconv.FormatUint(seed, 10), "rapid.checks": "1"})()
 	Check(t, property)
 }
 
-// Replay plays the one case that a seed draws, whether it fails or not. A case that fails is
-// played more than once.
+// Replay plays the single case that a seed draws and ignores its result. rapid plays a
+// failing case more than once.
 func Replay(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
 	defer setFlags(map[string]string{"rapid.seed": strconv.FormatUint(seed, 10), "rapid.checks": "1"})()
 	fails(func(rt *rapid.T) { runInBubble(t, func() { property(rt) }) })
 }
 
-// FindsFailure tells whether the property fails for some case; tests use it on variants
-// that are broken on purpose, to show that the property can fail.
+// FindsFailure reports whether the property fails for some case. Tests call it on
+// deliberately broken variants, to show that the property can fail.
 func FindsFailure(t *testing.T, property func(*rapid.T)) bool {
 	t.Helper()
 	return findsFailure(func(rt *rapid.T) { runInBubble(t, func() { property(rt) }) })
@@ -98,7 +100,7 @@
 	return fails(property)
 }
 
-// fails tells whether a check of the property fails.
+// fails reports whether a check of the property fails.
 func fails(property func(*rapid.T)) bool {
 	r := &recorder{}
 	done := make(chan struct{})
@@ -110,11 +112,10 @@
 	return r.failed
 }
 
-// maxSearchCases is how many cases a search for a planted fault may take: it ends at the first that
-// fails, so that it may be long.
+// maxSearchCases bounds the cases that FindsFailure plays; it stops at the first failure.
 const maxSearchCases = "3000"
 
-// setFlags sets flags, and returns what sets them back.
+// setFlags sets flags and returns a function that restores their previous values.
 func setFlags(values map[string]string) (restore func()) {
 	before := map[string]string{}
 	for name, value := range values {
@@ -134,7 +135,7 @@
 	}
 }
 
-// recorder is a rapid.TB that only notes whether the check failed.
+// recorder is a rapid.TB that only records whether the check failed.
 type recorder struct{ failed bool }
 
 func (r *recorder) Helper()               {}
--- a/internal/prop/repeats.go
+++ b/internal/prop/repeats.go
@@ -2,5 +2,5 @@
 
 package prop
 
-// deterministic tells whether cases are played so that they repeat.
+// deterministic reports whether cases run on one processor without garbage collection.
 const deterministic = true
--- a/internal/prop/repeats_race.go
+++ b/internal/prop/repeats_race.go
@@ -2,6 +2,6 @@
 
 package prop
 
-// deterministic tells whether cases are played so that they repeat: under the race detector, which runs
-// goroutines in an order of its own, they can't, and on several processors they end sooner.
+// deterministic is false under the race detector, which randomizes the order of
+// goroutines: one processor would only make the cases slower.
 const deterministic = false
--- a/pkg/bench/backend/backend.go
+++ b/pkg/bench/backend/backend.go
@@ -1,10 +1,10 @@
-// Package backend is a stand-in for the users' backend servers: one HTTP server
-// for each VM, over loopback TCP, that can be told to leave, lose its power and
-// come back, and that shows what it ran to a checker.
+// Package backend simulates backend servers: one HTTP server for each VM, over
+// loopback TCP, that can be drained, powered off and on, slowed down and made to fail.
+// It reports each request to an Observer, usually the checker.
 //
-// A request names itself and the work that it asks for in headers. The answer
-// begins with the request's name and ends with a checksum, so that its caller
-// can tell a whole answer to its own request from anything else.
+// Headers of a request carry its ID and the work that it asks for. The response starts
+// with the ID and ends with a checksum, so that the caller can detect a truncated
+// response, a corrupted one, or one to another request.
 package backend
 
 import (
@@ -22,13 +22,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The headers of a request to a stand-in.
+// The headers of a request to a simulated backend server.
 const (
 	HeaderID           = "Bench-Id"
 	HeaderWorkUs       = "Bench-Work-Us" // microseconds
-	HeaderPaddingBytes = "Bench-Bytes"   // of the answer's filling
+	HeaderPaddingBytes = "Bench-Bytes"   // padding in the response
 	HeaderService      = "Bench-Service"
-	// UpgradeProtocol is what an upgrade asks for; the server echoes lines on it.
+	// UpgradeProtocol is the value of the Upgrade header; the server echoes lines on the upgraded connection.
 	UpgradeProtocol = "lesson"
 )
 
@@ -37,7 +37,7 @@
 	maxPaddingBytes = 8 << 20
 )
 
-// Observer is told what the servers do.
+// Observer is notified of the requests at the servers and of their state. Calls are concurrent.
 type Observer interface {
 	RequestStarted(vm, service, id string, at time.Time)
 	RequestEnded(vm, service string)
@@ -54,15 +54,15 @@
 	leaving   atomic.Bool
 	inFlight  atomic.Int64
 	delay     atomic.Int64 // nanoseconds added to each request
-	unhealthy atomic.Bool  // answers 503 to everything
+	unhealthy atomic.Bool  // answers requests with 503
 	slots     chan struct{}
 
 	mu       sync.Mutex
 	http     *http.Server
-	upgraded map[net.Conn]struct{} // connections that http no longer knows
+	upgraded map[net.Conn]struct{} // hijacked connections, which http.Server does not close
 }
 
-// Servers is the backend servers of all VMs; it implements fake.Machine.
+// Servers holds the backend servers of all VMs; it implements fake.Machine.
 type Servers struct {
 	observer Observer
 	slots    int
@@ -71,15 +71,16 @@
 	servers map[string]*Server
 }
 
-// Option changes how a Farm is made.
+// Option configures Servers.
 type Option func(*Servers)
 
-// WithSlots bounds the requests that a server works on at once; more wait at it.
+// WithSlots bounds the requests that each server processes at once; more wait in a queue.
 func WithSlots(n int) Option { return func(f *Servers) { f.slots = n } }
 
+// unlimitedSlots is the default bound of concurrent requests, never reached in practice.
 const unlimitedSlots = 1 << 16
 
-// NewServers returns a farm without servers.
+// NewServers returns an empty set of servers.
 func NewServers(w Observer, opts ...Option) *Servers {
 	f := &Servers{observer: w, slots: unlimitedSlots, servers: map[string]*Server{}}
 	for _, o := range opts {
@@ -137,7 +138,7 @@
 	s.leaving.Store(false)
 	f.observer.Leaving(vm, false, time.Now())
 	if err := s.start(); err != nil {
-		panic(fmt.Sprintf("backend server of %s does not come back: %v", vm, err))
+		panic(fmt.Sprintf("restart backend server of %s: %v", vm, err))
 	}
 }
 
@@ -161,14 +162,14 @@
 	listenRetryInterval = 10 * time.Millisecond
 )
 
-// SetUnhealthy makes a VM's server answer 503 to every request, or no longer.
+// SetUnhealthy makes a VM's server answer ordinary requests with 503, or ends that.
 func (f *Servers) SetUnhealthy(vm string, unhealthy bool) {
 	if s := f.get(vm); s != nil {
 		s.unhealthy.Store(unhealthy)
 	}
 }
 
-// start listens at the server's address, the same one again after a stop.
+// start listens on the server's address, which stays the same after a restart.
 func (s *Server) start() (err error) {
 	var ln net.Listener
 	for range maxListenAttempts {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// stop cuts everything off.
+// stop closes the listener and all connections at once.
 func (s *Server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +199,7 @@
 	}
 }
 
-// track keeps an upgraded connection, so that a stop cuts it too.
+// track registers an upgraded connection, so that stop closes it.
 func (s *Server) track(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,7 +241,7 @@
 	}
 }
 
-// respond works for the time asked for and gives a whole respond.
+// respond waits for the work time of the request and sends the full response.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, id string) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if s.unhealthy.Load() {
@@ -259,7 +260,7 @@
 	_, _ = w.Write(body)
 }
 
-// ResponseBody returns the whole answer to a request: its name, filling, and a checksum of both.
+// ResponseBody returns the full response to a request: its ID, padding bytes, and a checksum of both.
 func ResponseBody(id string, padding int) []byte {
 	body := make([]byte, 0, len(id)+padding+18)
 	body = append(body, id...)
@@ -270,7 +271,7 @@
 	return fmt.Appendf(body, "%016x", xxhash.Sum64(body))
 }
 
-// echoBody echoes the body line by line as it comes.
+// echoBody echoes the request body line by line as it arrives.
 func (s *Server) echoBody(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	_ = rc.EnableFullDuplex()
@@ -294,7 +295,7 @@
 	}
 }
 
-// echoUpgraded changes the protocol and echoes lines until the caller closes.
+// echoUpgraded upgrades the connection and echoes lines until the caller closes it.
 func (s *Server) echoUpgraded(w http.ResponseWriter) {
 	w.Header().Set("Connection", "Upgrade")
 	w.Header().Set("Upgrade", UpgradeProtocol)
--- a/pkg/bench/capacity/capacity.go
+++ b/pkg/bench/capacity/capacity.go
@@ -1,8 +1,6 @@
-// Package capacity measures what each role of an entry costs by size, fits a
-// line and works out the cost at the size to design for.
-//
-// What is measured runs here, in one process and on the product's own code;
-// what a line gives beyond the largest measured size is marked as extrapolated.
+// Package capacity measures the cost of each role of an entry at several fleet sizes,
+// in time, memory or bytes, and fits a line to each cost. The measurements run the
+// product's code in this process; gannetbench capacity calls Run and prints the fits.
 package capacity
 
 import (
@@ -12,7 +10,7 @@
 	"time"
 )
 
-// LinearFit is one measured cost by size with its fitted line.
+// LinearFit holds a cost Y measured at sizes X and the line fitted to it.
 type LinearFit struct {
 	Name      string    `json:"name"`
 	Role      string    `json:"role"`
@@ -22,13 +20,13 @@
 	Y         []float64 `json:"y"`
 	Slope     float64   `json:"slope"`
 	Intercept float64   `json:"intercept"`
-	Residual  float64   `json:"residual"` // largest distance of a point from the line, as a share of the largest y
+	Residual  float64   `json:"residual"` // largest distance of a point from the line, as a fraction of the largest Y
 }
 
-// At returns the line's value.
+// At returns the cost that the line predicts at size x.
 func (s LinearFit) At(x float64) float64 { return s.Intercept + s.Slope*x }
 
-// fit finds the least-squares line.
+// fit computes the least-squares line and its residual.
 func (s *LinearFit) fit() {
 	n := float64(len(s.X))
 	var sx, sy, sxx, sxy float64
@@ -48,14 +46,14 @@
 	}
 }
 
-// measurement is a cost that can be measured at a size.
+// measurement is a cost and the function that measures it at a size.
 type measurement struct {
 	name, role, xUnit, yUnit string
 	sizes                    []int
 	run                      func(size int) (float64, error)
 }
 
-// Run measures every slope.
+// Run takes every measurement and fits a line to each.
 func Run() (fits []LinearFit, err error) {
 	for _, m := range measurements() {
 		s := LinearFit{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
@@ -75,10 +73,10 @@
 
 const (
 	timingRounds = 7
-	minRoundTime = 20 * time.Millisecond // of one round, at least
+	minRoundTime = 20 * time.Millisecond // of a round
 )
 
-// medianTimeUs returns the median time of one call in microseconds.
+// medianTimeUs returns the median time of one call of f in microseconds, after a warm-up call.
 func medianTimeUs(f func()) float64 {
 	f()
 	var rounds []float64
@@ -94,7 +92,7 @@
 	return rounds[len(rounds)/2]
 }
 
-// retainedHeapKB returns the heap that f's result keeps, in KB.
+// retainedHeapKB returns the heap memory that the result of f retains, in KB.
 func retainedHeapKB[T any](f func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/pkg/bench/capacity/measures.go
+++ b/pkg/bench/capacity/measures.go
@@ -25,7 +25,7 @@
 	peerCounts   = []int{2, 5, 11, 25, 50}
 )
 
-// measurements lists every cost.
+// measurements lists all costs with their role, units and sizes.
 func measurements() []measurement {
 	return []measurement{
 		{"snapshot_memory", "config distribution", "workers", "KB", workerCounts, snapshotMemory},
@@ -43,14 +43,14 @@
 	}
 }
 
-// The shape of the fleet at any size, from the size to design for.
+// Proportions of the generated fleets.
 const (
 	workersPerPool = 18
 	workersPerRack = 4
 	workersPerZone = 100
 )
 
-// newFleet builds a table of n workers, of which a tenth is in the buffer.
+// newFleet builds a table of n workers, each in a pool, a rack and a zone.
 func newFleet(n int) *table.Snapshot {
 	s := table.Empty()
 	s.Revision = 1
@@ -74,7 +74,7 @@
 	return s
 }
 
-// vmEdit is an edit of one VM row, as control makes them.
+// vmEdit returns an edit of one VM row like those that the fleet controller makes.
 func vmEdit(s *table.Snapshot) *table.Edit {
 	name := s.VMs.Names()[0]
 	vm := s.VMs[name].Value
@@ -120,7 +120,7 @@
 	return retainedHeapKB(func() *gateway.Gateway { return newGateway(s) }), nil
 }
 
-// target is a plain balance.Target.
+// target is a balance.Target with a fixed cost.
 type target struct{ cost float64 }
 
 // Usable implements balance.Target.
@@ -139,7 +139,7 @@
 	return medianTimeUs(func() { _, _ = p.Pick(targets, none) }), nil
 }
 
-// healthyState is a fleet in good health.
+// healthyState returns the state of a fleet of n healthy workers.
 func healthyState(n int) fleet.State {
 	s := newFleet(n)
 	now := time.Now()
@@ -161,20 +161,20 @@
 	return medianTimeUs(func() { fleet.Decide(state, fleet.DefaultLimits()) }), nil
 }
 
-// startBytes is what a starting entry reads from the table service.
+// startBytes returns the size of the table that an entry reads when it starts.
 func startBytes(n int) (float64, error) {
 	raw, err := json.Marshal(newFleet(n).Stored())
 	return float64(len(raw)), err
 }
 
-// frameSize is the size of a message between peers.
+// frameSize returns the encoded size of a message between peers.
 func frameSize(v any) (float64, error) {
 	var buf bytes.Buffer
 	_, err := peer.WriteFrame(&buf, v)
 	return float64(buf.Len()), err
 }
 
-// editBytes is what one edit costs on one link.
+// editBytes returns the size of the message that sends one edit to one peer.
 func editBytes(rows int) (float64, error) {
 	s := newFleet(100)
 	entry, _, err := s.Prepare(vmEdit(s), 1)
@@ -192,7 +192,7 @@
 	return schema.PeerState{Name: "entry-01", Incarnation: int(time.Now().UnixMilli()), Zone: "zone-0", Address: "10.0.0.1:9090", Revision: 100_000}
 }
 
-// syncBytes is a question and its answer with nothing new.
+// syncBytes returns the size of a sync request and its reply without new entries.
 func syncBytes(drains int) (float64, error) {
 	q := &schema.PeerRequest{From: selfState()}
 	reply := &schema.PeerReply{From: selfState(), Entries: []schema.Entry{}, InFlight: []schema.VMInFlight{}}
@@ -209,7 +209,7 @@
 	return requestSize + replySize, err
 }
 
-// syncTime is one round of exchanges with all peers over loopback.
+// syncTime measures one round of exchanges with n peers over loopback.
 func syncTime(n int) (float64, error) {
 	const secret = "capacity-secret-0123"
 	ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/bench/checker/checker.go
+++ b/pkg/bench/checker/checker.go
@@ -1,5 +1,7 @@
-// Package checker counts harm from outside: at the callers, at the backend
-// servers and at the platform's stand-in, never by the product's own word.
+// Package checker counts violations of the product's guarantees, called harm: wrong,
+// truncated or cut-off responses, repeated execution, exceeded pool budgets, VMs that
+// serve two pools, and configuration that goes back. It relies only on what callers,
+// backend servers and the simulated platform report, not on the product's own metrics.
 package checker
 
 import (
@@ -15,33 +17,33 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Result is what came of one request by the caller's own judgement.
+// Result classifies the outcome of one request as its caller saw it.
 type Result string
 
-// The results.
+// Results of a request.
 const (
-	ResultComplete     Result = "whole"     // the whole answer to this request
-	ResultWrong        Result = "wrong"     // an answer to another request, or a damaged one
-	ResultTruncated    Result = "truncated" // ended as if whole, but a part is missing
-	ResultNotRun       Result = "not-run"   // the system says that it did not run
-	ResultCutOff       Result = "cut"       // broken off, or its outcome is unknown
-	ResultBackendError Result = "refused"   // an error with the outcome ran: the backend server's own
+	ResultComplete     Result = "whole"     // the full response to this request
+	ResultWrong        Result = "wrong"     // a response to another request, or a corrupted one
+	ResultTruncated    Result = "truncated" // ended normally, but incomplete
+	ResultNotRun       Result = "not-run"   // the entry reports that it did not run
+	ResultCutOff       Result = "cut"       // connection broken or outcome unknown
+	ResultBackendError Result = "refused"   // an error status of the backend server
 )
 
-// Request is one request as its caller saw it.
+// Request is a finished request as its caller saw it.
 type Request struct {
 	ID       string
 	Once     bool
 	Class    schema.Class
-	Entry    string // address that it was sent to
+	Entry    string // address of the entry it was sent to
 	Sent     time.Time
 	Done     time.Time
 	Result   Result
 	Detail   string
-	Revision int // table revision that the answer names, 0 for none
+	Revision int // table revision in the response, 0 for none
 }
 
-// Report is the summary.
+// Report holds the counters of a run; durations are maxima or quantiles over the run.
 type Report struct {
 	Requests              int     `json:"requests"`
 	Answered              int     `json:"answered"`
@@ -67,34 +69,34 @@
 	P999Ms                float64 `json:"p999_ms"`
 }
 
-// Harm tells whether a counter that must stay zero has risen.
+// Harm reports whether a counter that must stay zero is above zero.
 func (r Report) Harm() bool {
 	return r.WrongAnswers+r.Truncated+r.OnceRanTwice+r.NotRunButRan+r.CutOff+
 		r.BudgetViolations+r.VMsInTwoPools+r.ConfigReverts > 0
 }
 
-// acceptedEdit is an edit and when an operator was told of it.
+// acceptedEdit is an edit and the time at which the operator learned of its acceptance.
 type acceptedEdit struct {
 	revision int
 	at       time.Time
 }
 
-// maxTrackedRequests caps the run counts that are kept.
+// maxTrackedRequests bounds the memory for run counts.
 const maxTrackedRequests = 4 << 20
 
-// Checker counts; its methods may be called from many goroutines.
+// Checker collects events and counts harm; it is safe for concurrent use.
 type Checker struct {
 	mu        sync.Mutex
 	report    Report
-	started   int                 // requests at backend servers
-	runs      map[string]int      // runs by request
-	onceIDs   map[string]struct{} // requests that must not be repeated
-	notRunIDs []string            // requests that the system says did not run
+	started   int                 // requests started at backend servers
+	runs      map[string]int      // executions by request ID
+	onceIDs   map[string]struct{} // IDs of requests that must run at most once
+	notRunIDs []string            // IDs of requests reported as not run
 	latency   *hdrhistogram.Histogram
-	details   []string // of the first harms
+	details   []string // descriptions of the first violations
 
 	edits     []acceptedEdit
-	revisions map[string]int // highest seen by entry address
+	revisions map[string]int // highest revision seen by entry address
 
 	fleet fleetState
 }
@@ -113,14 +115,14 @@
 	}
 }
 
-// Revision returns the highest revision that an entry has shown; callers ask before they send.
+// Revision returns the highest revision seen from an entry; callers read it before they send.
 func (c *Checker) Revision(entry string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revisions[entry]
 }
 
-// Finished takes the result of a request; seen is the entry's revision when it was sent.
+// Finished records a request; seen is the entry's Revision when the request was sent.
 func (c *Checker) Finished(r Request, seen int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,21 +153,22 @@
 	c.checkRevision(r, seen)
 }
 
-// addDetail keeps the first harms for people; the caller holds the lock.
+// addDetail keeps a description while there are few; the caller holds the lock.
 func (c *Checker) addDetail(s string) {
 	if len(c.details) < maxDetails {
 		c.details = append(c.details, s)
 	}
 }
 
-// checkRevision judges the revision that an answer named; the caller holds the lock.
+// checkRevision checks the revision in a response against the one seen before and the
+// accepted edits; the caller holds the lock.
 func (c *Checker) checkRevision(r Request, seen int) {
 	if r.Revision == 0 {
 		return
 	}
 	if r.Revision < seen {
 		c.report.ConfigReverts++
-		c.addDetail("entry " + r.Entry + " went back to an earlier revision")
+		c.addDetail("entry " + r.Entry + " returned to an earlier revision")
 	}
 	c.revisions[r.Entry] = max(c.revisions[r.Entry], r.Revision)
 	i, _ := slices.BinarySearchFunc(c.edits, r.Revision+1, func(a acceptedEdit, revision int) int { return a.revision - revision })
@@ -174,7 +177,7 @@
 	}
 }
 
-// EditAccepted notes an edit that an operator was told is accepted.
+// EditAccepted records an edit that an entry has reported as accepted.
 func (c *Checker) EditAccepted(revision int, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +186,7 @@
 	slices.SortFunc(c.edits, func(a, b acceptedEdit) int { return a.revision - b.revision })
 }
 
-// RequestStarted notes that a backend server began a request.
+// RequestStarted implements backend.Observer.
 func (c *Checker) RequestStarted(vm, service, id string, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -200,21 +203,21 @@
 	}
 }
 
-// StartedRequests returns how many requests backend servers have begun.
+// StartedRequests returns the number of requests that backend servers have started.
 func (c *Checker) StartedRequests() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.started
 }
 
-// RequestEnded notes that a backend server ended a request.
+// RequestEnded implements backend.Observer.
 func (c *Checker) RequestEnded(vm, service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.fleet.requestEnded(vm, service)
 }
 
-// Power notes that a VM goes down or comes up.
+// Power implements backend.Observer.
 func (c *Checker) Power(vm string, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -222,7 +225,7 @@
 	c.checkBudgets()
 }
 
-// Leaving notes that the platform tells a VM that it is leaving, or takes that back.
+// Leaving implements backend.Observer.
 func (c *Checker) Leaving(vm string, leaving bool, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -238,7 +241,7 @@
 	}
 	var row table.StoredRow
 	if !w.Remove {
-		row, _ = replica.ParseRow(w.Key, w.Value) // a row that cannot be read stays as it was
+		row, _ = replica.ParseRow(w.Key, w.Value) // a row that cannot be parsed is ignored
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -248,19 +251,19 @@
 	c.checkBudgets()
 	if vm, ok := c.fleet.duplicateAddress(key); ok {
 		c.report.VMsInTwoPools++
-		c.addDetail("VM " + vm + " has the address of another one")
+		c.addDetail("VM " + vm + " has the address of another VM")
 	}
 }
 
-// checkBudgets counts pools that have come to be over their budget; the caller holds the lock.
+// checkBudgets counts pools that newly exceed their budget; the caller holds the lock.
 func (c *Checker) checkBudgets() {
 	for _, pool := range c.fleet.newlyOverBudget() {
 		c.report.BudgetViolations++
-		c.addDetail("pool " + pool + " is over its budget")
+		c.addDetail("pool " + pool + " exceeds its unavailability budget")
 	}
 }
 
-// Report returns the summary so far.
+// Report returns the counters so far.
 func (c *Checker) Report() Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -283,7 +286,7 @@
 	return r
 }
 
-// Details returns what is known of the first harms.
+// Details returns descriptions of the first violations and backend errors.
 func (c *Checker) Details() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/bench/checker/checker_test.go
+++ b/pkg/bench/checker/checker_test.go
@@ -14,7 +14,7 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// write shows the checker a row as the platform's stand-in does.
+// write passes a row to the checker in the encoding of the simulated platform.
 func write(c *checker.Checker, kind schema.Kind, name string, row any) {
 	value, err := json.Marshal(map[string]any{"version": 1, "value": row})
 	if err != nil {
@@ -27,7 +27,7 @@
 	return schema.VM{Rack: "r", Address: address, Pool: pool, Phase: phase}
 }
 
-// TestEveryCounterRises brings about each harm: a counter that cannot rise would prove nothing.
+// TestEveryCounterRises causes each violation, so that a counter which never rises is noticed.
 func TestEveryCounterRises(t *testing.T) {
 	now := time.Now()
 	request := func(id string, result checker.Result) checker.Request {
--- a/pkg/bench/checker/fleet.go
+++ b/pkg/bench/checker/fleet.go
@@ -7,18 +7,18 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// fleetState is what the stand-in's table and the VMs themselves say.
+// fleetState is the state of the fleet by the simulated platform's table and the VMs.
 type fleetState struct {
 	vms               map[string]schema.VM
 	pools             map[string]schema.Pool
 	waves             map[string]schema.Wave
-	vmByAddress       map[string]string // VM by address
+	vmByAddress       map[string]string // VM name
 	poweredOff        map[string]bool
-	leavingSince      map[string]time.Time      // since when a VM is leaving, by the table or its own word
-	leavingByPlatform map[string]bool           // leaving by the platform's word
+	leavingSince      map[string]time.Time      // start of draining by VM, as told by the table or the platform
+	leavingByPlatform map[string]bool           // VMs that the platform has told to leave
 	inFlight          map[string]map[string]int // requests in flight by VM and service
-	overBudget        map[string]bool           // pools over their budget
-	everAssigned      map[string]bool           // VMs that have had a pool
+	overBudget        map[string]bool           // pools that exceed their budget
+	everAssigned      map[string]bool           // VMs that were once assigned to a pool
 }
 
 func newFleetState() fleetState {
@@ -29,7 +29,7 @@
 	}
 }
 
-// requestStarted counts a request and returns for how long the VM had been leaving.
+// requestStarted counts a request and returns how long the VM had been leaving by then.
 func (f *fleetState) requestStarted(vm, service string, at time.Time) (afterLeaving time.Duration) {
 	if f.inFlight[vm] == nil {
 		f.inFlight[vm] = map[string]int{}
@@ -54,7 +54,7 @@
 	f.updateLeaving(vm, at)
 }
 
-// updateLeaving keeps since when a VM is leaving by any word.
+// updateLeaving sets or clears the time since which a VM has been leaving.
 func (f *fleetState) updateLeaving(vm string, at time.Time) {
 	leaving := f.leavingByPlatform[vm] || f.vms[vm].Phase == schema.PhaseDraining || f.vms[vm].Phase == schema.PhaseRebooting
 	if _, ok := f.leavingSince[vm]; leaving && !ok {
@@ -65,7 +65,7 @@
 	}
 }
 
-// applyRow takes over a row and tells whether a VM that served a pool changed its place.
+// applyRow applies a written row and reports whether it moved a VM out of its pool.
 func (f *fleetState) applyRow(key table.Key, row table.StoredRow, removed bool, at time.Time) (moved bool) {
 	switch key.Kind {
 	case schema.KindVM:
@@ -100,7 +100,7 @@
 	return moved
 }
 
-// duplicateAddress tells whether a VM row has the address of another VM.
+// duplicateAddress reports whether the row is a VM with the address of another VM.
 func (f *fleetState) duplicateAddress(key table.Key) (vm string, ok bool) {
 	if key.Kind != schema.KindVM {
 		return "", false
@@ -109,7 +109,7 @@
 	return key.Name, exists && f.vmByAddress[row.Address] != key.Name
 }
 
-// newlyOverBudget returns pools that are over their budget and were not before.
+// newlyOverBudget returns pools that exceed their budget since the last call.
 func (f *fleetState) newlyOverBudget() (pools []string) {
 	unavailable := map[string]int{}
 	for name, vm := range f.vms {
@@ -127,7 +127,7 @@
 	return pools
 }
 
-// bufferSize counts the VMs that no pool has.
+// bufferSize counts the VMs without a pool.
 func (f *fleetState) bufferSize() (n int) {
 	for _, vm := range f.vms {
 		if vm.Pool == "" {
@@ -137,7 +137,7 @@
 	return n
 }
 
-// waveStatus tells whether there is a waveStatus and all are done with every VM maintained, and how long they took.
+// waveStatus reports whether waves exist and all have maintained every VM, and their total duration.
 func (f *fleetState) waveStatus() (done bool, seconds float64) {
 	for name, w := range f.waves {
 		if w.State != schema.WaveStateDone {
--- a/pkg/bench/claims/claims.go
+++ b/pkg/bench/claims/claims.go
@@ -1,6 +1,6 @@
-// Package claims compares ways of claiming keys in the table service, at its
-// real rate limit: claims grouped into one transaction, and one transaction for
-// each claim.
+// Package claims compares two methods of claiming idempotency keys in the table service
+// under its write rate limit: several claims in one transaction, and one transaction for
+// each claim. gannetbench claims calls Run.
 package claims
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
-// Result is one way at one offered rate.
+// Result holds the measurements of one method at one offered rate.
 type Result struct {
 	Method      string  `json:"way"`
 	Offered     int     `json:"offered_per_s"`
@@ -33,10 +33,10 @@
 	storeLatency = 5 * time.Millisecond
 )
 
-// claimer claims one key.
+// claimer claims one key; an error means that the claim was refused.
 type claimer func(ctx context.Context, key string) error
 
-// Run offers each rate for a time to both ways.
+// Run offers each rate, in claims per second, to both methods for the duration d.
 func Run(rates []int, d time.Duration) (results []Result) {
 	for _, rate := range rates {
 		results = append(results, measure("grouped", rate, d, newGroupedClaimer), measure("one by one", rate, d, newSingleClaimer))
@@ -44,6 +44,7 @@
 	return results
 }
 
+// newGroupedClaimer returns a claimer that batches concurrent claims into transactions.
 func newGroupedClaimer(ctx context.Context, store platform.Table, wg *sync.WaitGroup, i int) claimer {
 	b := once.New(store, fmt.Sprintf("entry-%d", i))
 	wg.Go(func() { _ = b.Run(ctx) })
@@ -56,6 +57,7 @@
 	}
 }
 
+// newSingleClaimer returns a claimer with a transaction for each claim.
 func newSingleClaimer(_ context.Context, store platform.Table, _ *sync.WaitGroup, _ int) claimer {
 	return func(ctx context.Context, key string) error {
 		return store.Commit(ctx, platform.Txn{
--- a/pkg/bench/cluster/cluster.go
+++ b/pkg/bench/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs the entry daemons of one deployment in this process,
-// over loopback TCP, beside its stand-ins.
+// Package cluster runs the entry daemons of one simulated deployment in this process,
+// over loopback TCP. The demo and the scenarios start, stop and crash entries through it.
 package cluster
 
 import (
@@ -24,13 +24,13 @@
 	"github.com/gannetwell/gannetwell/service/server"
 )
 
-// The token and the secret of these entries, which only listen on loopback.
+// Credentials of the entries, which listen on loopback only.
 const (
 	token  = "bench-operator-token"
 	secret = "bench-peer-secret-0123456789"
 )
 
-// The pace of these entries: quicker than the defaults, so that a wave takes seconds.
+// Intervals of the entries, in milliseconds: below the defaults, so that a wave takes seconds.
 const (
 	stepIntervalMs  = 100
 	probeIntervalMs = 200
@@ -44,12 +44,12 @@
 	done   chan error
 }
 
-// Entries are the daemons of a deployment.
+// Entries holds the running entry daemons of a deployment; it is safe for concurrent use.
 type Entries struct {
 	standin         *standin.Standin
 	balancer        *load.Balancer
 	log             zerolog.Logger
-	gatewaySettings map[string]any // settings of the request path beside those of pace
+	gatewaySettings map[string]any // "gateway" section of the settings
 	entryOptions    func(zone string) []entry.Option
 	onStart         func(zone, peerAddress string)
 
@@ -57,28 +57,28 @@
 	running map[string]*runningEntry
 }
 
-// Option changes how Entries are made.
+// Option configures Entries.
 type Option func(*Entries)
 
-// WithLogger sets the daemons' log.
+// WithLogger sets the logger of the daemons.
 func WithLogger(l zerolog.Logger) Option { return func(es *Entries) { es.log = l } }
 
-// WithGatewaySettings sets fields of the daemons' gateway settings.
+// WithGatewaySettings overrides fields of the daemons' gateway settings.
 func WithGatewaySettings(fields map[string]any) Option {
 	return func(es *Entries) { maps.Copy(es.gatewaySettings, fields) }
 }
 
-// WithEntryOptions makes each daemon with the options for its zone.
+// WithEntryOptions creates each daemon with the options that f returns for its zone.
 func WithEntryOptions(f func(zone string) []entry.Option) Option {
 	return func(es *Entries) { es.entryOptions = f }
 }
 
-// WithOnStart tells f of each entry that starts.
+// WithOnStart calls f for each entry that starts.
 func WithOnStart(f func(zone, peerAddress string)) Option {
 	return func(es *Entries) { es.onStart = f }
 }
 
-// New returns a cluster without entries; the balancer is told of each that comes and goes.
+// New returns a cluster without entries. It registers entries with the balancer as they start and stop.
 func New(s *standin.Standin, b *load.Balancer, opts ...Option) *Entries {
 	es := &Entries{
 		standin: s, balancer: b, log: zerolog.Nop(), running: map[string]*runningEntry{},
@@ -92,7 +92,7 @@
 	return es
 }
 
-// settings returns the settings of an entry; zones are taken in turn.
+// settings returns the settings of the i-th entry; zones are assigned round robin.
 func (es *Entries) settings(name string, i int) (s schema.Settings, err error) {
 	zones := es.standin.Zones()
 	zone := zones[i%len(zones)]
@@ -115,7 +115,7 @@
 	return s, err
 }
 
-// peerAddresses are where the entries that run already are reached.
+// peerAddresses returns the peer addresses of the running entries.
 func (es *Entries) peerAddresses() []string {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -126,7 +126,7 @@
 	return addresses
 }
 
-// Start runs an entry and tells the platform and the balancer of it.
+// Start runs an entry and registers it with the platform and the balancer.
 func (es *Entries) Start(ctx context.Context, name string, i int) (err error) {
 	settings, err := es.settings(name, i)
 	if err != nil {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// updateBalancer hands over the entries; the caller holds the lock.
+// updateBalancer passes the running entries to the balancer; the caller holds the lock.
 func (es *Entries) updateBalancer() {
 	var addresses []string
 	for _, r := range es.running {
@@ -161,7 +161,7 @@
 
 const stopTimeout = 30 * time.Second
 
-// Stop makes a planned stop of an entry and waits for its end.
+// Stop makes a planned stop of an entry and waits until it has ended.
 func (es *Entries) Stop(name string) error {
 	es.mu.Lock()
 	r := es.running[name]
@@ -173,7 +173,7 @@
 			return err
 		}
 	case <-time.After(stopTimeout):
-		return errors.Errorf("%s does not end", name)
+		return errors.Errorf("entry %s did not stop within %s", name, stopTimeout)
 	}
 	r.cancel()
 	es.mu.Lock()
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Crash ends an entry at once, as a VM that is lost.
+// Crash ends an entry without notice, as the loss of its VM would. The balancer still has it.
 func (es *Entries) Crash(name string) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -194,7 +194,7 @@
 	es.standin.Platform.Fail(name)
 }
 
-// AnyClient returns an operators' client of some entry.
+// AnyClient returns an operators' client of a random entry, nil without entries.
 func (es *Entries) AnyClient() *client.Client {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -214,7 +214,7 @@
 	return client.New("http://"+entries[rand.IntN(len(entries))].entry.OperatorAddress(), token)
 }
 
-// CloseAll ends what still runs.
+// CloseAll ends all running entries.
 func (es *Entries) CloseAll() {
 	es.mu.Lock()
 	defer es.mu.Unlock()
--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo runs whole deployments in one process over loopback TCP: the
-// stand-ins, six entry daemons each, callers of every class and operators that
-// edit the table, while a maintenance wave takes every VM, one entry stops and
-// one is replaced. An independent checker counts what came of it.
+// Package demo runs whole deployments in one process over loopback TCP: for each a
+// simulated platform with backend servers, six entry daemons, callers of every class
+// and an operator who edits the table. Meanwhile a maintenance wave takes every VM, one
+// entry stops and one is replaced. Package checker counts violations.
 package demo
 
 import (
@@ -22,17 +22,17 @@
 	"github.com/gannetwell/gannetwell/pkg/bench/standin"
 )
 
-// Options are what a demo is told.
+// Options configures a demo.
 type Options struct {
 	Deployments []string      // table files
-	Duration    time.Duration // of the load; a wave under way is waited for
+	Duration    time.Duration // of the load; extended until the wave is done
 	Seed        uint64
-	Scale       float64 // of the load
+	Scale       float64 // factor of the load
 	Progress    io.Writer
 	Log         zerolog.Logger
 }
 
-// DefaultOptions run both users' deployments.
+// DefaultOptions returns options for the two example deployments below root.
 func DefaultOptions(root string) Options {
 	return Options{
 		Deployments: []string{
@@ -43,7 +43,7 @@
 	}
 }
 
-// Summary is the result of a demo: the sums and maxima over its deployments, and each one's own.
+// Summary holds the sums and maxima over all deployments, and the report of each.
 type Summary struct {
 	checker.Report
 	Deployments map[string]checker.Report `json:"deployments"`
@@ -57,7 +57,7 @@
 	progressInterval     = 2 * time.Second
 )
 
-// Run runs the deployments at once.
+// Run runs the deployments concurrently.
 func Run(ctx context.Context, o Options) (sum Summary, err error) {
 	defer func() { err = errors.Wrap(err, "demo") }()
 	sum.Deployments = map[string]checker.Report{}
@@ -86,7 +86,7 @@
 	return sum, err
 }
 
-// aggregate sums counters and takes the worst of the times.
+// aggregate sums the counters and takes the maximum of each duration.
 func aggregate(reports map[string]checker.Report) (t checker.Report) {
 	t.WaveDone = len(reports) > 0
 	for _, r := range reports {
@@ -116,7 +116,7 @@
 	return t
 }
 
-// deployment is one deployment under way.
+// deployment is a running deployment.
 type deployment struct {
 	*standin.Standin
 	o        Options
@@ -138,7 +138,7 @@
 	_, _ = fmt.Fprintf(d.o.Progress, "%-14s %s\n", d.Name, fmt.Sprintf(format, args...))
 }
 
-// run goes through the demo's acts.
+// run starts the entries and the load and runs the demo's steps.
 func (d *deployment) run(ctx context.Context) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var background sync.WaitGroup
@@ -183,18 +183,18 @@
 	for _, p := range d.Table.Pools {
 		want += p.Value.Size
 	}
-	d.logProgress("table applied, %d VMs, %d routes; pools fill up", len(d.Table.VMs), len(d.Table.Routes))
+	d.logProgress("table applied, %d VMs, %d routes; waiting for pools to fill", len(d.Table.VMs), len(d.Table.Routes))
 	return d.waitFor(ctx, startTimeout, "pools to be full", func() bool {
 		return d.Checker.Report().BufferVMs == len(d.Table.VMs)-want
 	})
 }
 
-// waitFor waits for a condition.
+// waitFor polls f until it returns true; on a timeout the error names what it waited for.
 func (d *deployment) waitFor(ctx context.Context, timeout time.Duration, what string, f func() bool) error {
 	deadline := time.Now().Add(timeout)
 	for !f() {
 		if time.Now().After(deadline) {
-			return errors.Errorf("waited %s for %s", timeout, what)
+			return errors.Errorf("timed out after %s waiting for %s", timeout, what)
 		}
 		select {
 		case <-ctx.Done():
@@ -205,21 +205,21 @@
 	return nil
 }
 
-// runSteps takes the deployment through a wave, the stop of an entry and the replacement of another.
+// runSteps runs a wave, stops one entry and replaces another.
 func (d *deployment) runSteps(ctx context.Context) error {
 	end := time.Now().Add(d.o.Duration)
-	const intervals = 5 // parts of the time
+	const intervals = 5 // the wave starts after the first, the entries change after the second
 	sleep(ctx, d.o.Duration/intervals)
 	if err := d.operator.startWave(ctx, "demo-wave"); err != nil {
 		return err
 	}
-	d.logProgress("maintenance wave over all VMs begins")
+	d.logProgress("starting a maintenance wave over all VMs")
 	sleep(ctx, d.o.Duration/intervals)
-	d.logProgress("planned stop of entry-6")
+	d.logProgress("stopping entry-6")
 	if err := d.entries.Stop("entry-6"); err != nil {
 		return err
 	}
-	d.logProgress("entry-5 is replaced")
+	d.logProgress("replacing entry-5")
 	if err := d.entries.Start(ctx, "entry-5b", entriesPerDeployment); err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 	}
 }
 
-// reportProgress prints a line of progress now and then.
+// reportProgress periodically prints the counters.
 func (d *deployment) reportProgress(ctx context.Context) {
 	for {
 		sleep(ctx, progressInterval)
--- a/pkg/bench/demo/demo_test.go
+++ b/pkg/bench/demo/demo_test.go
@@ -15,8 +15,8 @@
 
 var deadlines = regexp.MustCompile(`"deadline_ms": \d+`)
 
-// TestDemo takes a deployment through the whole path. Deadlines are long, so
-// that a slow machine changes nothing: only harm is judged, not time.
+// TestDemo runs the demo on one deployment and checks that nothing was violated.
+// Deadlines are long, so that the result does not depend on the machine's speed.
 func TestDemo(t *testing.T) {
 	src, err := os.ReadFile("../../../_fixtures/aula-pampa.jsonc")
 	qt.Assert(t, err, qt.IsNil)
--- a/pkg/bench/demo/operator.go
+++ b/pkg/bench/demo/operator.go
@@ -22,15 +22,15 @@
 	retryInterval   = 50 * time.Millisecond
 )
 
-// operator edits the table through some entry, as a person would.
+// operator edits the table through random entries.
 type operator struct {
 	checker   *checker.Checker
 	entries   *cluster.Entries
 	editCount int
 }
 
-// edit makes an edit and tells the checker when it is accepted; the same edit
-// is sent again when its outcome is unknown.
+// edit submits an edit and reports its acceptance to the checker. It retries under the
+// same ID when nothing was written or the outcome is unknown.
 func (o *operator) edit(ctx context.Context, reason string, changes []api.RowChange) (err error) {
 	o.editCount++
 	q := api.EditRequest{ID: fmt.Sprintf("demo-%d-%d", time.Now().UnixNano(), o.editCount), Reason: reason, Changes: changes}
@@ -50,7 +50,7 @@
 	return err
 }
 
-// apply writes rows as new ones.
+// apply creates rows.
 func (o *operator) apply(ctx context.Context, rows []table.StoredRow, reason string) error {
 	var changes []api.RowChange
 	for _, r := range rows {
@@ -67,14 +67,14 @@
 	}})
 }
 
-// editPeriodically changes the weights until ctx ends.
+// editPeriodically changes the weights until ctx is done.
 func (o *operator) editPeriodically(ctx context.Context) {
 	for n := 1; ; n++ {
 		sleep(ctx, editInterval)
 		if ctx.Err() != nil {
 			return
 		}
-		_ = o.changeWeights(ctx, n) // a refused edit is not counted as accepted
+		_ = o.changeWeights(ctx, n) // a failed edit is tried again in the next round
 	}
 }
 
--- a/pkg/bench/lateness/doc.go
+++ b/pkg/bench/lateness/doc.go
@@ -1,3 +1,4 @@
-// Package lateness tells from the log lines of a deployment's entries which jobs
-// were late, when they were handed in, and what took the time.
+// Package lateness reads the log lines of a deployment's entries and counts late jobs
+// by submission time and by the phase that took most of their time. gannetbench late
+// prints the counts.
 package lateness
--- a/pkg/bench/lateness/lateness.go
+++ b/pkg/bench/lateness/lateness.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// Cause is what took most of a late job's time beside its work.
+// Cause is the phase that took most of a late job's time besides its work.
 type Cause string
 
-// The causes.
+// Causes, with the state of jobs that were not late or did not complete.
 const (
 	InTime       Cause = "in time"
 	NotAccepted  Cause = "not accepted" // every submission was refused
 	NotEnded     Cause = "not ended"
-	Accepting    Cause = "accepting"     // from the first submission to the one that was taken
-	FirstStart   Cause = "first start"   // from then to the first start of a task
-	Spread       Cause = "spread"        // from the first start of a step's tasks to the last
-	BetweenSteps Cause = "between steps" // from the end of a step to the first start of the next
+	Accepting    Cause = "accepting"     // first submission to accepted submission
+	FirstStart   Cause = "first start"   // acceptance to the first start of a task
+	Spread       Cause = "spread"        // first to last start of a step's tasks
+	BetweenSteps Cause = "between steps" // end of a step to the first start of the next
 	Rerun        Cause = "rerun"         // a task had to start again
 	Other        Cause = "other"
 )
 
-// Causes are all causes, in the order in which tables show them.
+// Causes lists all causes in the order of the printed columns.
 var Causes = []Cause{InTime, Accepting, FirstStart, Spread, BetweenSteps, Rerun, Other, NotEnded, NotAccepted}
 
-// Objective is when a job is in time: within Target and Stretch times its work, one
-// step after the other, from its first submission on.
+// Objective is the latency objective: a job is in time if it ends within Target plus
+// Stretch times its work (the longest task of each step, summed) of its first submission.
 type Objective struct {
 	Target  time.Duration
 	Stretch float64
 }
 
-// Window counts the jobs that were first submitted in a span of time by cause.
+// Window counts, by cause, the jobs first submitted in a time window that starts at From.
 type Window struct {
 	From   time.Duration
 	Counts map[Cause]int
 }
 
-// CountByWindow reads a log and counts the jobs in windows of a length; cancelled jobs are left out.
+// CountByWindow reads a log and counts its jobs in windows of the given length, in order.
+// Cancelled jobs are ignored.
 func CountByWindow(log io.Reader, o Objective, length time.Duration) (windows []Window, err error) {
 	lines, err := readLines(log)
 	if err != nil {
@@ -77,7 +78,7 @@
 	succeeded bool
 }
 
-// job is what the log tells of a job.
+// job holds the events of one job in the log.
 type job struct {
 	submittedAt time.Duration
 	acceptedAt  time.Duration
@@ -93,10 +94,10 @@
 	number int64
 }
 
-// jobsByID puts the lines of each job together.
+// jobsByID groups the log lines by job.
 func jobsByID(lines []logLine) map[string]*job {
 	jobs := map[string]*job{}
-	for _, l := range lines { // a task's start may be written before its job's submission
+	for _, l := range lines { // a start may be logged before its job's submission
 		if l.Event == "submission" && jobs[l.Request] == nil {
 			jobs[l.Request] = &job{submittedAt: l.at, startCounts: map[string]int{}, attempts: map[attemptKey]*attempt{}}
 		}
@@ -110,7 +111,7 @@
 	return jobs
 }
 
-// apply applies one line.
+// apply updates the job with a log line.
 func (j *job) apply(l logLine) {
 	key := attemptKey{task: l.Task, number: l.Attempt}
 	switch l.Event {
@@ -132,7 +133,7 @@
 	}
 }
 
-// taskStep is the step of a task's name.
+// taskStep returns the step in a task's name, "" if it has none.
 func taskStep(task string) string {
 	parts := strings.Split(task, ".")
 	if len(parts) < 3 {
@@ -141,13 +142,13 @@
 	return parts[2]
 }
 
-// stepTimes are the times of one step of a job.
+// stepTimes holds the timing of one step of a job.
 type stepTimes struct {
-	firstStart, lastStart, end time.Duration // of the starts of its tasks, and of the last end
-	longestTask                time.Duration // of its longest task
+	firstStart, lastStart, end time.Duration // first and last start of its tasks, end of the last task
+	longestTask                time.Duration // duration
 }
 
-// steps returns the times of the steps in the order in which they began.
+// steps returns the timing of the steps, ordered by start.
 func (j *job) steps() (all []stepTimes) {
 	byStep := map[string]*stepTimes{}
 	for _, a := range j.attempts {
@@ -169,7 +170,7 @@
 	return all
 }
 
-// cause tells whether a job was in time, and if not what took most of the time.
+// cause returns InTime or the cause of the job's lateness.
 func (j *job) cause(o Objective) Cause {
 	switch {
 	case j.state != "completed" && !j.wasAccepted:
@@ -178,7 +179,7 @@
 		return NotEnded
 	}
 	if !j.wasAccepted {
-		j.acceptedAt = j.submittedAt // the answer was lost
+		j.acceptedAt = j.submittedAt // the response to the accepted submission was lost
 	}
 	steps := j.steps()
 	var work, spread, between time.Duration
@@ -210,7 +211,7 @@
 	return longest
 }
 
-// startDelay is how long the job waited for its first start, whatever became of that.
+// startDelay returns the time from acceptance to the first start of any task, even one that failed.
 func (j *job) startDelay() time.Duration {
 	first := j.endedAt
 	for _, a := range j.attempts {
--- a/pkg/bench/lateness/lateness_test.go
+++ b/pkg/bench/lateness/lateness_test.go
@@ -9,7 +9,7 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// TestTable counts the jobs of small logs by what made them late.
+// TestTable counts the jobs of small logs by cause.
 func TestTable(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
--- a/pkg/bench/lateness/read.go
+++ b/pkg/bench/lateness/read.go
@@ -12,10 +12,10 @@
 	"github.com/pkg/errors"
 )
 
-// maxLineBytes bounds one line of a log, in bytes.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// logLine is a log logLine as far as it is needed here.
+// logLine holds the fields of a log line that the package uses.
 type logLine struct {
 	Event   string `json:"event"`
 	TimeMs  int64  `json:"time"`
@@ -31,11 +31,11 @@
 	at time.Duration
 }
 
-// timePrefix is a line that whoever gathered the log has put a time in seconds before.
+// timePrefix matches a line that a log collector has prefixed with a time in seconds and a name.
 var timePrefix = regexp.MustCompile(`^\s*(-?\d+(?:\.\d+)?)(?: s)?\s+\S+?:?\s+(\{.*)$`)
 
-// readLines returns the log lines in order; others are passed over. A time in seconds
-// before a line goes before the line's own, which is by the clock of one entry.
+// readLines returns the log lines in order and skips all other text. A time prefix
+// overrides the line's own time, which depends on the clock of one entry.
 func readLines(r io.Reader) (lines []logLine, err error) {
 	defer func() { err = errors.Wrap(err, "read log") }()
 	s := bufio.NewScanner(r)
--- a/pkg/bench/load/balancer.go
+++ b/pkg/bench/load/balancer.go
@@ -16,7 +16,7 @@
 	pollTimeout  = 500 * time.Millisecond
 )
 
-// Balancer stands for the platform's balancer: it gives requests to entries that say that they are ready.
+// Balancer simulates the platform's load balancer: it picks among the entries whose readiness check succeeds.
 type Balancer struct {
 	client *http.Client
 
@@ -25,19 +25,19 @@
 	ready   []string
 }
 
-// NewBalancer returns a balancer that knows no entries.
+// NewBalancer returns a balancer without entries.
 func NewBalancer() *Balancer {
 	return &Balancer{client: &http.Client{Timeout: pollTimeout}}
 }
 
-// SetEntries tells the balancer which entries there are, by the address for callers.
+// SetEntries replaces the entries, given by their address for callers.
 func (b *Balancer) SetEntries(addresses ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.entries = slices.Clone(addresses)
 }
 
-// Run asks the entries whether they are ready until ctx ends.
+// Run polls the readiness of the entries until ctx is done.
 func (b *Balancer) Run(ctx context.Context) {
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
@@ -87,14 +87,14 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// ReadyCount returns how many entries are ready.
+// ReadyCount returns the number of ready entries.
 func (b *Balancer) ReadyCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.ready)
 }
 
-// Pick returns a ready entry; ok is false when there is none.
+// Pick returns the address of a random ready entry; ok is false when there is none.
 func (b *Balancer) Pick() (addr string, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/bench/load/doc.go
+++ b/pkg/bench/load/doc.go
@@ -1,4 +1,4 @@
-// Package load is the callers' side of the bench: a balancer that knows which
-// entries are ready, and callers that send requests of each route at a fixed
-// rate, whatever becomes of the earlier ones, and judge each answer themselves.
+// Package load generates the load of the demo and the scenarios. A Balancer selects
+// ready entries; a Generator sends the requests of each route at a mean rate, independent
+// of earlier responses (open loop), and verifies every response.
 package load
--- a/pkg/bench/load/exchange.go
+++ b/pkg/bench/load/exchange.go
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/gateway"
 )
 
-// methodOf returns the method of a route's requests.
+// methodOf returns the HTTP method of a route's requests.
 func methodOf(s Stream) string {
 	if s.Row.Method == "" {
 		return http.MethodPost
@@ -24,7 +24,7 @@
 	return s.Row.Method
 }
 
-// newRequest makes a request whose body net/http cannot send twice.
+// newRequest returns a request whose body net/http cannot rewind, which rules out retries by the transport.
 func newRequest(s Stream, r *checker.Request, body io.Reader) (req *http.Request, err error) {
 	req, err = http.NewRequest(methodOf(s), "http://"+r.Entry+s.Row.PathPrefix+"/"+r.ID, io.NopCloser(body))
 	if err != nil {
@@ -36,7 +36,7 @@
 	return req, nil
 }
 
-// exchange sends a request and judges its answer.
+// exchange sends a request and classifies its response.
 func (g *Generator) exchange(s Stream, r *checker.Request) {
 	size := 0
 	if methodOf(s) != http.MethodGet {
@@ -60,7 +60,7 @@
 	recordRevision(r, resp)
 	switch {
 	case err != nil:
-		setCutOff(r, "the answer broke off: "+err.Error())
+		setCutOff(r, "response interrupted: "+err.Error())
 	case recordFailure(r, resp):
 	default:
 		compareBody(r, body, backend.ResponseBody(r.ID, s.ResponseBytes))
@@ -69,12 +69,12 @@
 
 func setCutOff(r *checker.Request, detail string) { r.Result, r.Detail = checker.ResultCutOff, detail }
 
-// recordRevision takes the revision from an answer.
+// recordRevision reads the table revision from a response.
 func recordRevision(r *checker.Request, resp *http.Response) {
 	r.Revision, _ = strconv.Atoi(resp.Header.Get(gateway.HeaderRevision))
 }
 
-// recordFailure sorts answers of the entry itself.
+// recordFailure classifies a response that is not a success and reports whether it was one.
 func recordFailure(r *checker.Request, resp *http.Response) bool {
 	outcome := gateway.Outcome(resp.Header.Get(gateway.HeaderOutcome))
 	detail := resp.Header.Get(gateway.HeaderReason)
@@ -92,7 +92,7 @@
 	return true
 }
 
-// compareBody compares an answer with the whole answer to the request.
+// compareBody compares a response body with the expected one.
 func compareBody(r *checker.Request, got, want []byte) {
 	switch {
 	case bytes.Equal(got, want):
@@ -100,7 +100,7 @@
 	case len(got) < len(want) && bytes.HasPrefix(want, got):
 		r.Result, r.Detail = checker.ResultTruncated, fmt.Sprintf("%d of %d bytes", len(got), len(want))
 	default:
-		r.Result, r.Detail = checker.ResultWrong, fmt.Sprintf("%d bytes that are not this request's answer", len(got))
+		r.Result, r.Detail = checker.ResultWrong, fmt.Sprintf("%d bytes that do not match the expected response", len(got))
 	}
 }
 
@@ -111,7 +111,7 @@
 	headerTimeout  = 5 * time.Second
 )
 
-// exchangeLive runs a live exchange: by a streamed body, or by an upgrade for every other request.
+// exchangeLive runs a live exchange, alternating between a streamed body and an upgraded connection.
 func (g *Generator) exchangeLive(s Stream, r *checker.Request) {
 	if g.lastID.Add(1)%2 == 0 {
 		exchangeUpgraded(s, r)
@@ -120,7 +120,7 @@
 	g.exchangeStreamed(s, r)
 }
 
-// exchangeStreamed sends lines in a body and expects each back while it goes on.
+// exchangeStreamed sends lines in a request body and expects each echoed in the response body.
 func (g *Generator) exchangeStreamed(s Stream, r *checker.Request) {
 	pr, pw := io.Pipe()
 	defer func() { _ = pw.Close() }()
@@ -146,17 +146,17 @@
 	}
 	_ = pw.Close()
 	if rest, err := io.ReadAll(echoed); err != nil || len(rest) > 0 {
-		setCutOff(r, fmt.Sprintf("the lesson did not end cleanly: %d bytes more, error %v", len(rest), err))
+		setCutOff(r, fmt.Sprintf("live exchange did not end cleanly: %d extra bytes, error %v", len(rest), err))
 	}
 }
 
-// echoLines sends lines for the length of a lesson and expects each one back.
+// echoLines sends lines for the stream's LiveDuration and reports whether each was echoed.
 func echoLines(s Stream, r *checker.Request, w io.Writer, echoed *bufio.Reader) bool {
 	end := time.Now().Add(s.LiveDuration)
 	for n := 0; time.Now().Before(end); n++ {
 		line := fmt.Sprintf("%s line %d\n", r.ID, n)
 		if _, err := io.WriteString(w, line); err != nil {
-			setCutOff(r, "cannot send: "+err.Error())
+			setCutOff(r, "send line: "+err.Error())
 			return false
 		}
 		got, err := echoed.ReadString('\n')
@@ -165,7 +165,7 @@
 			return false
 		}
 		if got != line {
-			r.Result, r.Detail = checker.ResultWrong, "another line came back: "+strings.TrimSpace(got)
+			r.Result, r.Detail = checker.ResultWrong, "unexpected line echoed: "+strings.TrimSpace(got)
 			return false
 		}
 		time.Sleep(lineInterval)
@@ -174,7 +174,7 @@
 	return true
 }
 
-// exchangeUpgraded changes the protocol on a connection of its own and talks on it.
+// exchangeUpgraded upgrades a dedicated connection and exchanges lines on it.
 func exchangeUpgraded(s Stream, r *checker.Request) {
 	conn, err := net.DialTimeout("tcp", r.Entry, connectTimeout)
 	if err != nil {
@@ -206,7 +206,7 @@
 		return
 	}
 	if resp.StatusCode != http.StatusSwitchingProtocols {
-		setCutOff(r, "no upgrade: "+resp.Status)
+		setCutOff(r, "upgrade refused: "+resp.Status)
 		return
 	}
 	_ = conn.SetDeadline(time.Now().Add(s.LiveDuration + lineTimeout))
--- a/pkg/bench/load/load.go
+++ b/pkg/bench/load/load.go
@@ -13,18 +13,18 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// Stream is the load of one route.
+// Stream describes the load on one route.
 type Stream struct {
 	Route         string
 	Row           schema.Route
 	PerSecond     float64
-	WorkUs        int           // of a backend server for one request, in microseconds
-	ResponseBytes int           // of an answer
-	BodyBytes     int           // of a request
-	LiveDuration  time.Duration // length of a live exchange
+	WorkUs        int           // processing time of a request, in microseconds
+	ResponseBytes int           // padding of a response
+	BodyBytes     int           // length of a request body
+	LiveDuration  time.Duration // duration of a live exchange
 }
 
-// The load of one route by its class, before scaling.
+// defaultStreams holds the load of a route by its class, before scaling.
 var defaultStreams = map[schema.Class]Stream{
 	schema.ClassLive:        {PerSecond: 2, LiveDuration: 3 * time.Second},
 	schema.ClassInteractive: {PerSecond: 60, WorkUs: 1500, ResponseBytes: 600, BodyBytes: 300},
@@ -32,7 +32,7 @@
 	schema.ClassBatch:       {PerSecond: 4, WorkUs: 40000, ResponseBytes: 200000, BodyBytes: 100000},
 }
 
-// StreamsOf returns the load of a deployment's routes, scaled.
+// StreamsOf returns the load on a deployment's routes, with all rates multiplied by scale.
 func StreamsOf(routes map[string]schema.Route, scale float64) (streams []Stream) {
 	for name, row := range routes {
 		s := defaultStreams[row.Class]
@@ -43,7 +43,7 @@
 	return streams
 }
 
-// Generator sends load and reports each result.
+// Generator sends requests and reports each result to its sink.
 type Generator struct {
 	balancer *Balancer
 	sink     Sink
@@ -55,7 +55,7 @@
 	requests sync.WaitGroup
 }
 
-// Sink takes results; a checker is one.
+// Sink receives results; checker.Checker implements it.
 type Sink interface {
 	Revision(entry string) int
 	Finished(r checker.Request, seen int)
@@ -63,12 +63,12 @@
 
 const (
 	maxIdleConns = 256
-	// maxInFlight keeps a generator within the process's open files; requests above are given up at once.
+	// maxInFlight keeps a generator within the process's limit of open files; requests above it are not sent.
 	maxInFlight    = 3000
 	requestTimeout = time.Minute
 )
 
-// NewGenerator returns a generator whose requests are named after prefix.
+// NewGenerator returns a generator whose request IDs start with prefix.
 func NewGenerator(b *Balancer, sink Sink, prefix string, seed uint64) *Generator {
 	return &Generator{
 		balancer: b, sink: sink, prefix: prefix, rng: rand.New(rand.NewPCG(seed, 1)),
@@ -79,7 +79,7 @@
 	}
 }
 
-// Run sends the streams until ctx ends and waits for what is in flight.
+// Run sends the streams until ctx is done, then waits for the requests in flight.
 func (g *Generator) Run(ctx context.Context, streams []Stream) {
 	var senders sync.WaitGroup
 	for _, s := range streams {
@@ -91,7 +91,7 @@
 	g.client.CloseIdleConnections()
 }
 
-// runStream starts one stream's requests at random times with its mean rate.
+// runStream sends one stream's requests as a Poisson process with its mean rate.
 func (g *Generator) runStream(ctx context.Context, s Stream, rng *rand.Rand) {
 	for {
 		gap := time.Duration(rng.ExpFloat64() / s.PerSecond * float64(time.Second))
@@ -104,7 +104,7 @@
 	}
 }
 
-// sendOne sends sendOne request to a ready entry; with none ready it counts as not run by the balancer's word.
+// sendOne sends a request to a ready entry; without one, the request counts as not run.
 func (g *Generator) sendOne(s Stream) {
 	id := fmt.Sprintf("%s-%s-%d", g.prefix, s.Route, g.lastID.Add(1))
 	r := checker.Request{ID: id, Once: s.Row.Repeat == schema.RepeatOnce, Class: s.Row.Class}
@@ -112,7 +112,7 @@
 	defer g.inFlight.Add(-1)
 	if g.inFlight.Add(1) > maxInFlight || !ok {
 		now := time.Now()
-		r.Sent, r.Done, r.Result, r.Detail = now, now, checker.ResultNotRun, "no entry is ready, or the callers have too many in flight"
+		r.Sent, r.Done, r.Result, r.Detail = now, now, checker.ResultNotRun, "no entry is ready, or too many requests are in flight"
 		g.sink.Finished(r, 0)
 		return
 	}
--- a/pkg/bench/silence/doc.go
+++ b/pkg/bench/silence/doc.go
@@ -1,3 +1,3 @@
-// Package silence is a stand-in for a network on which open connections fall
-// silent for good, without a reset, while new ones work.
+// Package silence simulates a network fault for tests: open connections stop
+// delivering data, without a reset, while new connections work.
 package silence
--- a/pkg/bench/silence/silence.go
+++ b/pkg/bench/silence/silence.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Listener accepts connections that can be made silent: what comes on them is
-// taken and never read, what is written to them never arrives.
+// Listener accepts connections that can be made silent. On a silent connection,
+// incoming data is discarded and writes succeed without sending anything.
 type Listener struct {
 	net.Listener
 
@@ -36,8 +36,8 @@
 	return w, nil
 }
 
-// Silence makes a share, from 0 to 1, of the connections silent that are open
-// now; it returns how many fell silent.
+// Silence makes a random fraction, from 0 to 1, of the open connections silent and
+// returns their number.
 func (l *Listener) Silence(share float64) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,14 +50,14 @@
 	return n
 }
 
-// Accepted is how many connections were accepted so far.
+// Accepted returns the number of connections accepted so far.
 func (l *Listener) Accepted() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.accepted
 }
 
-// conn is a connection that may be silent.
+// conn is a connection that can be made silent.
 type conn struct {
 	net.Conn
 	ln *Listener
@@ -78,8 +78,8 @@
 	return c.silent
 }
 
-// Read implements io.Reader; on a silent connection it takes what comes until the
-// other side closes.
+// Read implements io.Reader. On a silent connection it discards incoming data until
+// the other side closes.
 func (c *conn) Read(p []byte) (n int, err error) {
 	n, err = c.Conn.Read(p)
 	if !c.isSilent() {
@@ -94,7 +94,7 @@
 	return 0, err
 }
 
-// Write implements io.Writer; on a silent connection nothing arrives.
+// Write implements io.Writer. On a silent connection it sends nothing.
 func (c *conn) Write(p []byte) (int, error) {
 	if c.isSilent() {
 		return len(p), nil
