--- a/_scripts/ablate.sh
+++ b/_scripts/ablate.sh
@@ -1,18 +1,18 @@
 #!/usr/bin/env bash
-# Makes scratch copies of the committed code, each with one mechanism of decision
-# switched off, to be measured against the code as it is:
+# Creates copies of the committed code for ablation measurements, each with one
+# scheduling mechanism disabled:
 #
 #   _scripts/ablate.sh DIR [NAME...]
 #
-# Copies come to DIR/NAME; without names, all of them. It fails for a mechanism
-# whose place in the code has changed, so that none is measured that is still on.
+# Writes copies to DIR/NAME; without NAME, all of them. Fails if the edit of a
+# mechanism no longer applies, so that no unchanged copy is measured.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 [ $# -ge 1 ] || { sed -n '2,9p' "$0" >&2; exit 2; }
 dir=$1
 shift
 
-# Name, file and edit of each mechanism.
+# Name, file and sed script of each mechanism.
 mechanisms() {
 	cat <<'LIST'
 stragglers|pkg/shard/upkeep.go|/o.checkStragglers(now)/d
@@ -39,7 +39,7 @@
 	wanted "$name" "$@" || continue
 	git clone -q --shared . "$dir/$name"
 	sed -i "$edit" "$dir/$name/$file"
-	! git -C "$dir/$name" diff --quiet || { echo "$name: nothing to switch off in $file" >&2; exit 1; }
+	! git -C "$dir/$name" diff --quiet || { echo "$name: the edit matches nothing in $file" >&2; exit 1; }
 	(cd "$dir/$name" && go build ./...)
 	echo "$dir/$name"
 done
--- a/_scripts/account-sites.sh
+++ b/_scripts/account-sites.sh
@@ -1,25 +1,25 @@
 #!/usr/bin/env bash
-# Makes copies of a site file of the users' bench on whose days the limits of client
-# accounts bind, for hunts and pairs:
+# Creates variants of a site file of the users' bench in which the limits of client
+# accounts restrict what runs:
 #
 #   _scripts/account-sites.sh SITE DIR
 #
-# half: limits of half of what accounts send on average. few: six accounts, limits of
-# three quarters. cut: limits of 0.8, cut far below what is sent again and again, each
-# change of the configuration included. last: as half, and accounts lose all their keys.
+# half: limits of half the average load of an account. few: six accounts, limits of
+# three quarters. cut: limits of 0.8, repeatedly lowered far below the load, also by
+# each change of the configuration. last: as half, and accounts lose all their keys.
 # unguarded: as few, and workers start whatever they are told.
 set -euo pipefail
 [ $# -eq 2 ] || { sed -n '2,11p' "$0" >&2; exit 2; }
 site=$1 dir=$2
 
-# variant NAME SED... writes one copy.
+# variant NAME SED_ARGS... writes one variant.
 variant() {
 	local name=$1 out
 	shift
 	mkdir -p "$dir/$name"
 	out="$dir/$name/$(basename "$site")"
 	sed "$@" "$site" > "$out"
-	! cmp -s "$site" "$out" || { echo "$name: nothing was changed" >&2; exit 1; }
+	! cmp -s "$site" "$out" || { echo "$name: the edit matches nothing in $site" >&2; exit 1; }
 	cp "$(dirname "$site")/wire.json" "$dir/$name/"
 	echo "$out"
 }
--- a/_scripts/generate.sh
+++ b/_scripts/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Generates Go types from schema/*.json.
-# With --check it fails, and changes nothing, when they are out of date.
+# Generates Go types from schema/*.json and the reference pages below docs/.
+# With --check it changes nothing and fails if they are out of date.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 check=${1:-}
--- a/_scripts/refdocs/main.go
+++ b/_scripts/refdocs/main.go
@@ -1,5 +1,5 @@
-// Command refdocs writes the references under docs/ that come from the code:
-// one page for each program's commands, and one for settings and table rows.
+// Command refdocs generates the reference pages below docs/ from the code: one page
+// for the commands of each program, and pages for settings and table rows.
 package main
 
 import (
@@ -44,7 +44,7 @@
 	}
 }
 
-// commands writes the page of a program.
+// commands returns the reference page of a program.
 func commands(p *cli.Program) []byte {
 	parser, err := p.Parser()
 	if err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// definition is what a page needs of a JSON Schema.
+// definition holds the parts of a JSON Schema that the pages show.
 type definition struct {
 	Description string                `json:"description"`
 	Type        string                `json:"type"`
@@ -116,7 +116,7 @@
 	Defs        map[string]definition `json:"$defs"`
 }
 
-// reference writes the page of a schema.
+// reference returns the reference page of a schema file, with its root object first.
 func reference(file, title, intro, root string) []byte {
 	raw, err := schemafiles.Files.ReadFile(file)
 	if err != nil {
--- a/cmd/gannetbench/cmds/demo.go
+++ b/cmd/gannetbench/cmds/demo.go
@@ -61,13 +61,13 @@
 func (c *demoCommand) print(s demo.Summary) {
 	p := func(format string, args ...any) { _, _ = fmt.Fprintf(c.stdout, format+"\n", args...) }
 	p("")
-	p("requests            %d, of them answered %d, refused before they ran %d", s.Requests, s.Answered, s.NotRun)
+	p("requests            %d, answered %d, not run %d", s.Requests, s.Answered, s.NotRun)
 	p("latency             p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms", s.P50Ms, s.P99Ms, s.P999Ms)
-	p("edits               %d, in force everywhere within %.0f ms, gone back %d times", s.Edits, s.ConfigInForceMs, s.ConfigReverts)
+	p("edits               %d, in force everywhere within %.0f ms, reverted %d times", s.Edits, s.ConfigInForceMs, s.ConfigReverts)
 	p("maintenance wave    done %v, in %.1f s, moves %d, buffer %d VMs", s.WaveDone, s.WaveSeconds, s.Moves, s.BufferVMs)
-	p("leaving servers     last new work after %.0f ms", s.NewWorkAfterLeavingMs)
+	p("draining servers    last new request after %.0f ms", s.NewWorkAfterLeavingMs)
 	p("harm                wrong answers %d, truncated %d, cut off %d", s.WrongAnswers, s.Truncated, s.CutOff)
-	p("                    once-requests %d, ran twice %d; said not run but ran %d", s.OnceRequests, s.OnceRanTwice, s.NotRunButRan)
+	p("                    once-requests %d, ran twice %d; reported not run but ran %d", s.OnceRequests, s.OnceRanTwice, s.NotRunButRan)
 	p("                    budget violations %d, VMs in two pools %d", s.BudgetViolations, s.VMsInTwoPools)
 	for _, d := range s.Details {
 		p("  %s", d)
--- a/pkg/bench/checker/checker.go
+++ b/pkg/bench/checker/checker.go
@@ -241,7 +241,7 @@
 	}
 	var row table.StoredRow
 	if !w.Remove {
-		row, _ = replica.ParseRow(w.Key, w.Value) // a row that cannot be parsed is ignored
+		row, _ = replica.ParseRow(w.Key, w.Value) // applyRow panics on a row that cannot be parsed
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/bench/overhead/overhead.go
+++ b/pkg/bench/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what the request path adds: the same requests to
-// the same backend server directly, through a bare net/http hop written here as
-// a baseline, and through an entry, in turn and in one run.
+// Package overhead measures the latency and CPU time that the request path adds. It
+// sends the same requests to one backend server directly, through a minimal net/http
+// proxy as a baseline, and through a gateway, alternating within one run.
 package overhead
 
 import (
@@ -24,20 +24,20 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Options are what a measurement is told.
+// Options configures a measurement.
 type Options struct {
-	Rounds        int // of each way, in turn
-	Requests      int // of a round, for latency
-	Concurrency   int // of the throughput rounds
-	ResponseBytes int // of an answer
+	Rounds        int // measured on each route
+	Requests      int // sent one after the other in a round, for latency
+	Concurrency   int // callers of the throughput measurement
+	ResponseBytes int // padding of a response
 }
 
-// DefaultOptions take a few seconds.
+// DefaultOptions returns options for a run of a few seconds.
 func DefaultOptions() Options {
 	return Options{Rounds: 5, Requests: 3000, Concurrency: 32, ResponseBytes: 600}
 }
 
-// Result is the medians over the rounds.
+// Result holds medians over the rounds.
 type Result struct {
 	DirectP50Us        float64 `json:"direct_p50_us"`
 	HopP50Us           float64 `json:"hop_p50_us"`
@@ -46,18 +46,18 @@
 	HopP99Us           float64 `json:"hop_p99_us"`
 	ThroughP99Us       float64 `json:"through_p99_us"`
 	AddedP50Us         float64 `json:"added_p50_us"`
-	RPSPerCore         float64 `json:"rps_per_core"` // requests for a second of processor time of the whole process, its share of caller and backend server taken off
+	RPSPerCore         float64 `json:"rps_per_core"` // requests per CPU second of the gateway: the process's CPU time less that of the direct route
 	DirectRPS          float64 `json:"direct_rps"`
 	HopRPS             float64 `json:"hop_rps"`
 	ThroughRPS         float64 `json:"through_rps"`
 	ThroughToHopRPS    float64 `json:"through_to_hop_rps"`
-	CPUUsDirect        float64 `json:"cpu_us_direct"`  // processor time of one request, caller and backend server
-	CPUUsThrough       float64 `json:"cpu_us_through"` // and with the entry between
+	CPUUsDirect        float64 `json:"cpu_us_direct"`  // CPU time of a request at caller and backend server
+	CPUUsThrough       float64 `json:"cpu_us_through"` // same, with the gateway
 	Cores              int     `json:"cores"`
 	RequestsOfOneRound int     `json:"requests_of_one_round"`
 }
 
-// noObserver watches the backend server.
+// noObserver is a backend.Observer that ignores all events.
 type noObserver struct{}
 
 func (noObserver) RequestStarted(string, string, string, time.Time) {}
@@ -65,14 +65,14 @@
 func (noObserver) Power(string, bool)                               {}
 func (noObserver) Leaving(string, bool, time.Time)                  {}
 
-// route is one route to the backend server.
+// route is a way to reach the backend server, with the results of its rounds.
 type route struct {
 	address  string
-	p50, p99 []float64 // microseconds, by round
-	rps, cpu []float64 // requests a second, processor microseconds for a request
+	p50, p99 []float64 // latency in microseconds, by round
+	rps, cpu []float64 // requests per second and CPU microseconds per request, by round
 }
 
-// Run measures.
+// Run measures all three routes.
 func Run(o Options) (r Result, err error) {
 	defer func() { err = errors.Wrap(err, "measure overhead") }()
 	farm := backend.NewServers(noObserver{})
@@ -126,7 +126,7 @@
 	return s[len(s)/2]
 }
 
-// listenAndServe serves a handler on loopback.
+// listenAndServe serves a handler on a loopback port.
 func listenAndServe(h http.Handler) (address string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,7 +137,7 @@
 	return ln.Addr().String(), func() { _ = s.Close() }, nil
 }
 
-// newGateway returns a gateway with one server and the default settings.
+// newGateway returns a gateway with one backend server and the default settings.
 func newGateway(address string) (*gateway.Gateway, error) {
 	g := gateway.New("bench", "z", schema.GatewaySettings{
 		Policy: schema.GatewaySettingsPolicyP2C, BufferBodyBytes: 64 << 10, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true,
@@ -158,7 +158,7 @@
 	return g, nil
 }
 
-// bareHop is the baseline: it hands each request on by net/http and copies the answer, nothing else.
+// bareHop is the baseline: a proxy that forwards requests by net/http and copies the response.
 func bareHop(address string) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -178,7 +178,7 @@
 	})
 }
 
-// runRound measures latency with one caller and throughput with many.
+// runRound measures latency with one caller, then throughput with many.
 func (w *route) runRound(o Options) error {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	defer c.CloseIdleConnections()
@@ -241,12 +241,12 @@
 		return err
 	}
 	if !bytes.Equal(got, want) {
-		return errors.Errorf("status %s with a wrong answer of %d bytes", resp.Status, len(got))
+		return errors.Errorf("status %s, unexpected response body of %d bytes", resp.Status, len(got))
 	}
 	return nil
 }
 
-// cpuTime returns the processor time that this process has used.
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/pkg/bench/report/report.go
+++ b/pkg/bench/report/report.go
@@ -1,4 +1,5 @@
-// Package report makes one HTML page with plots from saved runs of scenarios.
+// Package report renders saved scenario results as one HTML page with plots.
+// gannetbench report calls it.
 package report
 
 import (
@@ -32,7 +33,7 @@
 
 var variants = []scenario.Variant{scenario.VariantProduct, scenario.VariantBaseline}
 
-// Read loads saved runs.
+// Read loads results from the JSON files that gannetbench load wrote.
 func Read(files []string) (runs []scenario.Result, err error) {
 	for _, file := range files {
 		raw, err := os.ReadFile(file)
@@ -41,14 +42,14 @@
 		}
 		var r scenario.Result
 		if err := json.Unmarshal(raw, &r); err != nil {
-			return nil, errors.Wrapf(err, "%s is no saved run", file)
+			return nil, errors.Wrapf(err, "decode scenario result %s", file)
 		}
 		runs = append(runs, r)
 	}
 	return runs, nil
 }
 
-// section is one scenario on the page.
+// section holds the template data of one scenario.
 type section struct {
 	scenario.Result
 	About                  string
@@ -57,7 +58,7 @@
 	Classes                []schema.Class
 }
 
-// Write writes the page of some runs.
+// Write writes the page with a section for each run.
 func Write(w io.Writer, runs []scenario.Result) (err error) {
 	defer func() { err = errors.Wrap(err, "write report") }()
 	var sections []section
@@ -81,7 +82,7 @@
 	return page.Execute(w, sections)
 }
 
-// dataURL draws a plot as a data URL.
+// dataURL renders a plot as an SVG data URL.
 func dataURL(p *plot.Plot) (template.URL, error) {
 	p.Legend.Top, p.Legend.Left = true, true
 	wt, err := p.WriterTo(plotWidth, plotHeight, "svg")
@@ -111,7 +112,7 @@
 	return nil
 }
 
-// plotLatency plots the plotLatency by quantile on a logarithmic scale.
+// plotLatency plots latency by quantile on a logarithmic scale.
 func plotLatency(r scenario.Result) (template.URL, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "latency by quantile", "percent of requests", "ms"
@@ -128,15 +129,15 @@
 		}
 	}
 	if !slices.ContainsFunc(variants, func(v scenario.Variant) bool { return r.Variants[v].P99Ms > 0 }) {
-		p.Y.Scale, p.Y.Tick.Marker = plot.LinearScale{}, plot.DefaultTicks{} // nothing was answered
+		p.Y.Scale, p.Y.Tick.Marker = plot.LinearScale{}, plot.DefaultTicks{} // a logarithmic scale needs positive values
 	}
 	return dataURL(p)
 }
 
-// plotGoodput plots whole answers by second.
+// plotGoodput plots complete responses by second.
 func plotGoodput(r scenario.Result) (template.URL, error) {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "whole answers by second", "s", "answers"
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "complete responses by second", "s", "responses"
 	p.Y.Min = 0
 	for _, v := range variants {
 		var points plotter.XYs
@@ -150,10 +151,10 @@
 	return dataURL(p)
 }
 
-// plotShed plots the refused requests by class.
+// plotShed plots the requests shed, by class.
 func plotShed(r scenario.Result, classes []schema.Class) (template.URL, error) {
 	p := plot.New()
-	p.Title.Text, p.Y.Label.Text = "refused before they ran, by class", "requests"
+	p.Title.Text, p.Y.Label.Text = "requests shed, by class", "requests"
 	const width = 14
 	var names []string
 	for _, c := range classes {
@@ -181,15 +182,15 @@
 <html lang="en"><meta charset="utf-8"><title>gannetwell: request path under load and faults</title>
 <style>body{font:15px/1.5 sans-serif;max-width:70em;margin:2em auto;padding:0 1em}table{border-collapse:collapse}td,th{border:1px solid #ccc;padding:.2em .6em;text-align:right}th:first-child,td:first-child{text-align:left}img{max-width:32%}</style>
 <h1>Request path under load and faults</h1>
-<p>Each scenario is run against the product and against the plain baseline: round robin, no limits, no hedging, retries without a budget.</p>
+<p>Each scenario is run against the product and against a baseline: round robin, no limits, no hedging, retries without a budget.</p>
 {{range .}}{{$s := .}}<h2>{{.Scenario}}</h2>
-<p>{{.About}}. Offered {{printf "%.0f" .OfferedRPS}} requests a second; the backend servers can answer {{printf "%.0f" .CapacityRPS}}.</p>
-<table><tr><th></th><th>goodput/s</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th><th>at servers for each sent</th><th>wrong</th><th>once twice</th><th>not run but ran</th><th>cut off</th><th>struck</th><th>MB</th></tr>
+<p>{{.About}}. Offered {{printf "%.0f" .OfferedRPS}} requests a second; the backend servers can serve {{printf "%.0f" .CapacityRPS}}.</p>
+<table><tr><th></th><th>goodput/s</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th><th>backend requests per request</th><th>wrong</th><th>once requests run twice</th><th>reported not run but ran</th><th>cut off</th><th>cut off by the fault</th><th>RSS MB</th></tr>
 {{range $v, $f := .Variants}}<tr><td>{{$v}}</td><td>{{printf "%.0f" $f.GoodputRPS}}</td><td>{{printf "%.1f" $f.P50Ms}}</td><td>{{printf "%.1f" $f.P99Ms}}</td><td>{{printf "%.1f" $f.P999Ms}}</td><td>{{printf "%.2f" $f.RetriesRatio}}</td><td>{{$f.WrongAnswers}}</td><td>{{$f.OnceRanTwice}}</td><td>{{$f.NotRunButRan}}</td><td>{{$f.CutOff}}</td><td>{{$f.StruckByFault}}</td><td>{{printf "%.0f" $f.RSSMB}}</td></tr>
 {{end}}</table>
-<table><tr><th>class</th><th>steady p99 ms</th><th>p99 ms</th><th>refused</th><th>baseline p99 ms</th><th>baseline refused</th></tr>
+<table><tr><th>class</th><th>steady p99 ms</th><th>p99 ms</th><th>shed</th><th>baseline p99 ms</th><th>baseline shed</th></tr>
 {{range .Classes}}{{$p := index $s.Product.ByClass .}}{{$b := index $s.Baseline.ByClass .}}<tr><td>{{.}}</td><td>{{printf "%.1f" $p.SteadyP99Ms}}</td><td>{{printf "%.1f" $p.P99Ms}}</td><td>{{$p.Shed}}</td><td>{{printf "%.1f" $b.P99Ms}}</td><td>{{$b.Shed}}</td></tr>
 {{end}}</table>
-<p><img src="{{.Latency}}" alt="latency by quantile"><img src="{{.Goodput}}" alt="whole answers by second"><img src="{{.Shed}}" alt="refused by class"></p>
+<p><img src="{{.Latency}}" alt="latency by quantile"><img src="{{.Goodput}}" alt="complete responses by second"><img src="{{.Shed}}" alt="requests shed, by class"></p>
 {{end}}</html>
 `))
--- a/pkg/bench/scenario/acts.go
+++ b/pkg/bench/scenario/acts.go
@@ -11,16 +11,16 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// scenario is what happens in the fault phase.
+// scenario describes the load and the fault of the fault phase.
 type scenario struct {
 	about      string
-	loadFactor float64 // factor of the steady load, 0 for 1
+	loadFactor float64 // peak load as a factor of the steady one, for the report; 0 means 1
 	inject     func(st *environment, d time.Duration) error
 }
 
 func (s scenario) offeredFactor() float64 { return max(1, s.loadFactor) }
 
-// slowServerDelay is how much slower the slow server is: ten times its work.
+// slowServerDelay is added to each request at the slow server.
 const slowServerDelay = 10 * workUs * time.Microsecond
 
 var scenarios = map[string]scenario{
@@ -36,7 +36,7 @@
 	"flash-crowd":    {about: "three times the load for a quarter of the time", loadFactor: 3, inject: burst},
 }
 
-// About says what a scenario does.
+// About returns a one-line description of a scenario.
 func About(name string) string { return scenarios[name].about }
 
 func workVM(zone, i int) string { return fmt.Sprintf("%s-%d-%d", serviceWork, zone, i) }
--- a/pkg/bench/scenario/collect.go
+++ b/pkg/bench/scenario/collect.go
@@ -10,7 +10,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// ClassFigures are one class's results.
+// ClassFigures holds the results of one request class.
 type ClassFigures struct {
 	Requests    int     `json:"requests"`
 	Good        int     `json:"good"`
@@ -20,14 +20,14 @@
 	SteadyP99Ms float64 `json:"steady_p99_ms"`
 }
 
-// Point is one second of a run.
+// Point holds the counts of one second of a run.
 type Point struct {
 	Second float64 `json:"second"`
 	Good   int     `json:"good"`
 	Shed   int     `json:"shed"`
 }
 
-// Bucket is one step of a latency distribution.
+// Bucket is a quantile, in percent, of the latency distribution.
 type Bucket struct {
 	Ms       float64 `json:"ms"`
 	Quantile float64 `json:"quantile"`
@@ -35,13 +35,13 @@
 
 const maxLatencyUs = 60 * 1000 * 1000
 
-// class collects one class in one phase.
+// class collects the results of one request class in one phase.
 type class struct {
 	requests, good, shed int
 	latency              *hdrhistogram.Histogram
 }
 
-// phase collects between two times.
+// phase collects the results of one phase.
 type phase struct {
 	classes map[schema.Class]*class
 	all     *hdrhistogram.Histogram
@@ -67,7 +67,7 @@
 	case checker.ResultComplete:
 		c.good++
 		if r.Class == schema.ClassLive {
-			return // a lesson's length is its own
+			return // the stream sets the duration of a live exchange
 		}
 		us := max(1, r.Done.Sub(r.Sent).Microseconds())
 		_ = c.latency.RecordValue(us)
@@ -77,18 +77,18 @@
 	}
 }
 
-// collector sorts results by the time at which the request was sent; it also
-// passes them to the checker, but for those that a fault explains.
+// collector assigns results to phases by the time at which the request was sent. It
+// forwards them to the checker, except cut-off exchanges that a fault explains.
 type collector struct {
 	checker *checker.Checker
 
 	mu            sync.Mutex
-	faultStart    time.Time // of the fault phase, zero before
+	faultStart    time.Time // zero before the fault phase
 	faultTimes    []time.Time
 	steady        *phase
 	fault         *phase
 	cutOffByFault int
-	notRunReasons map[string]int // of requests that did not run, in the fault phase
+	notRunReasons map[string]int // counts of the fault phase, by reason
 	timeline      map[int]*Point
 	runStart      time.Time
 	closed        bool
@@ -98,17 +98,18 @@
 	return &collector{checker: c, steady: newPhase(), fault: newPhase(), timeline: map[int]*Point{}, notRunReasons: map[string]int{}, runStart: time.Now()}
 }
 
-// detectionWindow is how long a fault may go unseen.
+// detectionWindow is the time allowed for detecting a fault.
 const detectionWindow = 2 * time.Second
 
-// recordFault notes that a fault begins or ends now.
+// recordFault records the current time as that of a fault.
 func (c *collector) recordFault() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultTimes = append(c.faultTimes, time.Now())
 }
 
-// explainedByFault tells whether a fault falls into a request's time or shortly before; the caller holds the lock.
+// explainedByFault reports whether a fault happened during the request or less than
+// detectionWindow before it was sent; the caller holds the lock.
 func (c *collector) explainedByFault(r checker.Request) bool {
 	for _, f := range c.faultTimes {
 		if r.Done.After(f) && r.Sent.Before(f.Add(detectionWindow)) {
@@ -158,7 +159,7 @@
 	}
 }
 
-// beginFaultPhase ends the steady phase.
+// beginFaultPhase ends the steady phase and starts the fault phase.
 func (c *collector) beginFaultPhase() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/pkg/bench/scenario/doc.go
+++ b/pkg/bench/scenario/doc.go
@@ -1,10 +1,9 @@
-// Package scenario measures the request path under load and faults, each time
-// against the plain baseline that is kept in the code: round robin, no limits,
-// no hedging, retries without a budget.
+// Package scenario measures the request path under load and faults, once with the
+// product's settings and once with a baseline: round robin, no concurrency limits, no
+// hedging, retries without a budget. gannetbench load calls Run.
 //
-// A run has two phases in one process: steady load, and the same load with the
-// scenario's fault. Figures are of the second phase; the first one's p99 stands
-// beside them, so that ratios are of one run. Exchanges that break within
-// [detection] after a fault began are counted apart: no system can know of a
-// partition or of a lost VM before it shows.
+// A run has two phases in one process: steady load, and load with the scenario's fault.
+// Figures are of the second phase; the p99 latency of the first is reported beside them
+// for comparison. Exchanges that break within [detectionWindow] of a fault are counted
+// separately, since no system can avoid a fault before it is detectable.
 package scenario
--- a/pkg/bench/scenario/fixture.go
+++ b/pkg/bench/scenario/fixture.go
@@ -7,15 +7,15 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// The deployment of all scenarios: three zones, one service that takes requests
-// of every class, so that classes compete, and one for live rooms.
+// The deployment of all scenarios: three zones, a service whose classes compete for
+// the same servers, and a service for live exchanges.
 const (
 	zones          = 3
 	serversPerZone = 2
 	roomsPerZone   = 1
-	slotsPerServer = 4      // requests that a server works on at once
-	workUs         = 20_000 // of one request
-	// capacityRPS is what the servers of the service can answer in a second.
+	slotsPerServer = 4      // requests processed at once
+	workUs         = 20_000 // processing time of a request
+	// capacityRPS is the total throughput of the service's servers, in requests per second.
 	capacityRPS = zones * serversPerZone * slotsPerServer * 1_000_000 / workUs
 )
 
@@ -26,7 +26,7 @@
 
 func zoneName(i int) string { return fmt.Sprintf("zone-%d", i+1) }
 
-// routes are one for each class, and one that must not be repeated.
+// routes holds one route for each class, and one whose requests must not be repeated.
 var routes = map[string]schema.Route{
 	"live":        {PathPrefix: "/live", Service: serviceRooms, Class: schema.ClassLive, Repeat: schema.RepeatSafe, DeadlineMs: 2000, MaxInFlight: 4096},
 	"interactive": {Method: "GET", PathPrefix: "/interactive", Service: serviceWork, Class: schema.ClassInteractive, Repeat: schema.RepeatSafe, DeadlineMs: 2000, MaxBodyBytes: 1 << 20, MaxInFlight: 4096},
@@ -35,10 +35,10 @@
 	"batch":       {Method: "POST", PathPrefix: "/batch", Service: serviceWork, Class: schema.ClassBatch, Repeat: schema.RepeatSafe, DeadlineMs: 10000, MaxBodyBytes: 1 << 20, MaxInFlight: 4096},
 }
 
-// loadShares are the routes' parts of the load on the service.
+// loadShares holds the fraction of the service's load that each route has.
 var loadShares = map[string]float64{"interactive": 0.2, "file": 0.05, "clerk": 0.25, "batch": 0.5}
 
-// tableRows builds the deployment's table.
+// tableRows returns the rows of the deployment's table.
 func tableRows() (out []table.StoredRow) {
 	add := func(kind schema.Kind, name string, v any) {
 		out = append(out, table.StoredRow{Key: table.Key{Kind: kind, Name: name}, Value: table.MustValue(v)})
--- a/pkg/bench/scenario/scenario.go
+++ b/pkg/bench/scenario/scenario.go
@@ -22,16 +22,16 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// Variant is one set of settings that is measured.
+// Variant names a set of gateway settings to measure.
 type Variant string
 
-// The variants.
+// Variants.
 const (
 	VariantProduct  Variant = "product"
 	VariantBaseline Variant = "baseline"
 )
 
-// gatewaySettings returns a variant's settings of the request path.
+// gatewaySettings returns the gateway settings in which a variant differs from the defaults.
 func gatewaySettings(v Variant) map[string]any {
 	if v == VariantBaseline {
 		return map[string]any{"policy": "round-robin", "limits": false, "hedging": false, "retries": "always"}
@@ -39,7 +39,7 @@
 	return map[string]any{}
 }
 
-// Figures are the results of one variant.
+// Figures holds the results of one variant in the fault phase.
 type Figures struct {
 	GoodputRPS    float64                       `json:"goodput_rps"`
 	P50Ms         float64                       `json:"p50_ms"`
@@ -47,20 +47,20 @@
 	P999Ms        float64                       `json:"p999_ms"`
 	ByClass       map[schema.Class]ClassFigures `json:"by_class"`
 	ShedByClass   map[schema.Class]int          `json:"shed_by_class"`
-	RetriesRatio  float64                       `json:"retries_ratio"` // requests at backend servers for each one that callers sent
+	RetriesRatio  float64                       `json:"retries_ratio"` // backend requests per caller request
 	WrongAnswers  int                           `json:"wrong_answers"`
 	OnceRanTwice  int                           `json:"once_ran_twice"`
 	NotRunButRan  int                           `json:"not_run_but_ran"`
 	CutOff        int                           `json:"cut_off"`
-	StruckByFault int                           `json:"struck_by_fault"` // broken within the time in which a fault may go unseen
-	RSSMB         float64                       `json:"rss_mb"`          // of the whole process
+	StruckByFault int                           `json:"struck_by_fault"` // cut off within detectionWindow of a fault
+	RSSMB         float64                       `json:"rss_mb"`          // resident memory of the whole process
 	NotRunReasons map[string]int                `json:"not_run_reasons"`
 	Distribution  []Bucket                      `json:"distribution"`
 	Timeline      []Point                       `json:"timeline"`
 	Details       []string                      `json:"details"`
 }
 
-// Result is a scenario's run.
+// Result holds the results of a scenario.
 type Result struct {
 	Scenario    string              `json:"scenario"`
 	OfferedRPS  float64             `json:"offered_rps"`
@@ -69,24 +69,24 @@
 	Variants    map[Variant]Figures `json:"variants"`
 }
 
-// Options are what a run is told.
+// Options sets the phase durations and the seed of the load.
 type Options struct {
 	Steady time.Duration
 	Fault  time.Duration
 	Seed   uint64
 }
 
-// DefaultOptions take about 25 seconds for both variants.
+// DefaultOptions returns the default durations and seed.
 func DefaultOptions() Options {
 	return Options{Steady: 4 * time.Second, Fault: 8 * time.Second, Seed: 1}
 }
 
-// Run measures a scenario, the product first.
+// Run measures a scenario with each variant, the product first.
 func Run(ctx context.Context, name string, o Options) (r Result, err error) {
 	defer func() { err = errors.Wrapf(err, "scenario %s", name) }()
 	s, ok := scenarios[name]
 	if !ok {
-		return r, errors.Errorf("there is no such scenario, there are %s", strings.Join(Names(), ", "))
+		return r, errors.Errorf("unknown scenario, known are %s", strings.Join(Names(), ", "))
 	}
 	r = Result{
 		Scenario: name, CapacityRPS: capacityRPS, OfferedRPS: capacityRPS * steadyLoadFraction * s.offeredFactor(),
@@ -102,13 +102,13 @@
 	return r, nil
 }
 
-// steadyLoadFraction is the steady load as a share of the capacity.
+// steadyLoadFraction is the steady load as a fraction of the capacity.
 const steadyLoadFraction = 0.5
 
-// Names returns the scenarios.
+// Names returns the names of the scenarios in alphabetical order.
 func Names() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
-// environment is what a scenario acts on.
+// environment holds the running deployment into which a scenario injects its fault.
 type environment struct {
 	ctx       context.Context
 	standin   *standin.Standin
@@ -116,7 +116,7 @@
 	balancer  *load.Balancer
 	partition *partition
 	collector *collector
-	addLoad   func(factor float64, d time.Duration) // adds load
+	addLoad   func(factor float64, d time.Duration) // adds load for d
 }
 
 func runVariant(ctx context.Context, s scenario, v Variant, o Options) (f Figures, err error) {
@@ -150,11 +150,11 @@
 	if err := applyTable(ctx, entries, st); err != nil {
 		return f, err
 	}
-	time.Sleep(time.Second) // the first probes
+	time.Sleep(time.Second) // lets the first health probes finish
 	return measure(ctx, s, o, &environment{ctx: ctx, standin: st, entries: entries, balancer: b, partition: p, collector: newCollector(st.Checker)}, &background)
 }
 
-// applyTable writes the deployment's table.
+// applyTable writes the deployment's rows through the operators' API.
 func applyTable(ctx context.Context, entries *cluster.Entries, st *standin.Standin) error {
 	q := api.EditRequest{ID: "scenario", Reason: "the scenario's table"}
 	for _, r := range st.Table.Stored() {
@@ -164,7 +164,7 @@
 	return err
 }
 
-// newStreams are the load at a factor of the steady one.
+// newStreams returns the load at a factor of the steady load.
 func newStreams(factor float64) (out []load.Stream) {
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
 		s := load.Stream{
@@ -179,7 +179,7 @@
 	return out
 }
 
-// measure runs both phases.
+// measure runs both phases and returns the figures.
 func measure(ctx context.Context, s scenario, o Options, st *environment, background *sync.WaitGroup) (f Figures, err error) {
 	c := st.collector
 	loadCtx, stopLoad := context.WithCancel(ctx)
@@ -218,7 +218,7 @@
 	}
 }
 
-// figures works out the results of the fault phase.
+// figures computes the results of the fault phase and stops collecting.
 func (c *collector) figures(d time.Duration, backendRequests int) (f Figures) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,7 +254,7 @@
 
 func quantile(p *phase, q float64) float64 { return float64(p.all.ValueAtQuantile(q)) / 1000 }
 
-// residentMB returns the resident memory of this process.
+// residentMB returns the resident memory of this process in MB, 0 if it is unavailable.
 func residentMB() float64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -268,12 +268,13 @@
 	return float64(pages*os.Getpagesize()) / (1 << 20)
 }
 
-// partition cuts zones off from each other: connections between them break and cannot be opened.
+// partition simulates a network partition between one zone and the others: existing
+// connections are closed and new ones fail.
 type partition struct {
-	zoneOf map[string]string // by address
+	zoneOf map[string]string // zone by address
 
 	mu        sync.Mutex
-	isolated  string // zone that is cut off from the others
+	isolated  string // zone cut off from the others, "" for none
 	crossZone map[net.Conn]string
 }
 
@@ -285,14 +286,14 @@
 	return p
 }
 
-// addEntry tells where an entry is.
+// addEntry registers the zone of an entry's peer address.
 func (p *partition) addEntry(zone, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zoneOf[address] = zone
 }
 
-// dial returns the way of opening connections from a zone.
+// dial returns the dial function of entries in a zone.
 func (p *partition) dial(from string) entry.Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		p.mu.Lock()
@@ -300,7 +301,7 @@
 		blocked := from != to && p.isolated != "" && (from == p.isolated || to == p.isolated)
 		p.mu.Unlock()
 		if blocked {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("the zone is cut off")}
+			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("zone is partitioned")}
 		}
 		var d net.Dialer
 		conn, err := d.DialContext(ctx, network, addr)
@@ -313,7 +314,7 @@
 	}
 }
 
-// isolate cuts a zone off, or none.
+// isolate partitions a zone from the others; "" ends the partition.
 func (p *partition) isolate(zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/pkg/bench/standin/standin.go
+++ b/pkg/bench/standin/standin.go
@@ -1,5 +1,6 @@
-// Package standin runs everything around the entries of one deployment: the
-// platform's stand-in over HTTP and a backend server for each VM.
+// Package standin simulates everything around the entries of one deployment: the
+// platform, over HTTP, and a backend server for each VM. The demo, the scenarios and
+// gannetbench standin use it.
 package standin
 
 import (
@@ -22,28 +23,28 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Standin is the surroundings of one deployment.
+// Standin is the simulated environment of one deployment.
 type Standin struct {
 	Name     string
 	Checker  *checker.Checker
 	Platform *fake.Platform
 	Backends *backend.Servers
-	Table    *table.Snapshot // the deployment's rows, with the addresses of the backend servers that run here
+	Table    *table.Snapshot // the deployment's rows, with the addresses of the simulated backend servers
 	server   *http.Server
 	address  string
 }
 
-// Options are how a stand-in behaves.
+// Options configures the simulated platform and backend servers.
 type Options struct {
-	Listen     string        // of the platform, host:port
-	Seed       uint64        // of chances
-	Latency    time.Duration // of each call of the platform
-	ListLag    time.Duration // of the VM list
-	RebootTime time.Duration // of a VM
-	Slots      int           // requests that a backend server works on at once, 0 for no bound
+	Listen     string        // address of the platform, host:port
+	Seed       uint64        // of random faults
+	Latency    time.Duration // of each platform call
+	ListLag    time.Duration // age of the VM list
+	RebootTime time.Duration // duration of a VM's reboot
+	Slots      int           // requests that a backend server processes at once, 0 for no limit
 }
 
-// DefaultOptions are for the demo.
+// DefaultOptions returns the options of the demo.
 func DefaultOptions() Options {
 	return Options{
 		Listen: "127.0.0.1:0", Seed: 1, Latency: time.Millisecond,
@@ -51,9 +52,9 @@
 	}
 }
 
-// Start reads a deployment file and starts its surroundings.
+// Start reads a table file and starts the environment of its deployment.
 func Start(file string, o Options) (s *Standin, err error) {
-	defer func() { err = errors.Wrapf(err, "start the stand-ins of %s", file) }()
+	defer func() { err = errors.Wrapf(err, "start simulated environment of %s", file) }()
 	src, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -65,7 +66,7 @@
 	return New(strings.TrimSuffix(filepath.Base(file), filepath.Ext(file)), rows, o)
 }
 
-// New starts the surroundings of the rows of a deployment.
+// New starts the environment of a deployment with the given rows.
 func New(name string, rows []table.StoredRow, o Options) (s *Standin, err error) {
 	s = &Standin{Name: name, Checker: checker.New()}
 	var options []backend.Option
@@ -86,7 +87,7 @@
 	return s, nil
 }
 
-// startBackends starts a backend server for each VM row and puts its address into the row.
+// startBackends starts a backend server for each VM row and stores its address in the row.
 func (s *Standin) startBackends(rows []table.StoredRow) error {
 	snap, err := table.Load(0, rows)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return nil
 }
 
-// The paths of the stand-in beside the platform's.
+// Paths of the HTTP server: the platform's API by zone, and fault injection.
 const (
 	pathZones  = "/zones/"
 	pathFaults = "/faults"
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// serveZone serves the platform as the zone in the path sees it.
+// serveZone serves the platform's API as seen from the zone in the path.
 func (s *Standin) serveZone(w http.ResponseWriter, r *http.Request) {
 	zone, path, ok := strings.Cut(strings.TrimPrefix(r.URL.Path, pathZones), "/")
 	if !ok || zone == "" {
@@ -138,7 +139,7 @@
 	rest.Handler(s.Platform.View(zone)).ServeHTTP(w, r2)
 }
 
-// serveFaults puts the rules in the body in force in place of the earlier ones.
+// serveFaults replaces the fault rules with those in the body.
 func (s *Standin) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var rules []fake.Rule
 	d := json.NewDecoder(r.Body)
@@ -151,13 +152,13 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// URL returns the platform's base for entries in a zone.
+// URL returns the platform's base URL for entries in a zone.
 func (s *Standin) URL(zone string) string { return "http://" + s.address + pathZones + zone }
 
-// Zones returns the deployment's zones in order.
+// Zones returns the deployment's zones in alphabetical order.
 func (s *Standin) Zones() []string { return s.Table.Zones.Names() }
 
-// Routes returns the deployment's routes.
+// Routes returns the deployment's routes by name.
 func (s *Standin) Routes() map[string]schema.Route {
 	out := map[string]schema.Route{}
 	for name, row := range s.Table.Routes {
@@ -166,10 +167,10 @@
 	return out
 }
 
-// Document returns the table file with the addresses of the backend servers that run here.
+// Document returns a table file with the addresses of the simulated backend servers.
 func (s *Standin) Document() ([]byte, error) { return table.FormatDocument(s.Table.Stored()) }
 
-// Close stops everything.
+// Close stops the platform and all backend servers.
 func (s *Standin) Close() {
 	if s.server != nil {
 		_ = s.server.Close()
