--- a/_scripts/matrix.sh
+++ b/_scripts/matrix.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Runs each day of deploy/days on a site of the users' bench, one after the other:
 #   _scripts/matrix.sh BENCH SITE [WHY]
-# Prints the value of each day, the share served, shard takeovers and broken rules.
+# Prints for each day the worth, the part served, shard takeovers and broken rules.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bench=$1 site=$2 why=${3:-"matrix of own days"}
--- a/cmd/gannetctl/cmds/cmds_test.go
+++ b/cmd/gannetctl/cmds/cmds_test.go
@@ -31,9 +31,7 @@
 // noObserver is an explain.Observer that knows no VM.
 type noObserver struct{}
 
-func (noObserver) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation {
-	return nil
-}
+func (noObserver) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation { return nil }
 
 // Patterns of output that differs from run to run.
 var (
--- a/pkg/bench/cluster/cluster.go
+++ b/pkg/bench/cluster/cluster.go
@@ -173,7 +173,7 @@
 			return err
 		}
 	case <-time.After(stopTimeout):
-		return errors.Errorf("entry %s did not stop within %s", name, stopTimeout)
+		return errors.Errorf("entry %s did not stop in time", name)
 	}
 	r.cancel()
 	es.mu.Lock()
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// Crash ends an entry without notice, as the loss of its VM would. The balancer still has it.
+// Crash ends an entry without notice, as the loss of its VM would; the balancer keeps its address.
 func (es *Entries) Crash(name string) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
