--- a/cmd/gannetbench/cmds/load.go
+++ b/cmd/gannetbench/cmds/load.go
@@ -49,7 +49,7 @@
 	for _, v := range []scenario.Variant{scenario.VariantProduct, scenario.VariantBaseline} {
 		f := r.Variants[v]
 		_, _ = fmt.Fprintf(c.stdout, "%-9s goodput %.0f/s, p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms, backend requests per request %.2f, wrong %d, once requests run twice %d, reported not run but ran %d, cut off %d, cut off by the fault %d, RSS %.0f MB\n",
-			v, f.GoodputRPS, f.P50Ms, f.P99Ms, f.P999Ms, f.RetriesRatio, f.WrongAnswers, f.OnceRanTwice, f.NotRunButRan, f.CutOff, f.StruckByFault, f.RSSMB)
+			v, f.GoodputRPS, f.P50Ms, f.P99Ms, f.P999Ms, f.RetriesRatio, f.WrongAnswers, f.OnceRanTwice, f.NotRunButRan, f.CutOff, f.CutOffByFault, f.RSSMB)
 		for name, cl := range f.ByClass {
 			_, _ = fmt.Fprintf(c.stdout, "  %-12s %6d sent, %6d good, %6d shed, p50 %.1f ms, p99 %.1f ms, steady p99 %.1f ms\n", name, cl.Requests, cl.Good, cl.Shed, cl.P50Ms, cl.P99Ms, cl.SteadyP99Ms)
 		}
--- a/pkg/bench/backend/backend.go
+++ b/pkg/bench/backend/backend.go
@@ -49,7 +49,7 @@
 type Server struct {
 	vm      string
 	address string
-	group   *Servers
+	servers *Servers
 
 	leaving   atomic.Bool
 	inFlight  atomic.Int64
@@ -75,84 +75,84 @@
 type Option func(*Servers)
 
 // WithSlots bounds the requests that each server processes at once; more wait in a queue.
-func WithSlots(n int) Option { return func(f *Servers) { f.slots = n } }
+func WithSlots(n int) Option { return func(ss *Servers) { ss.slots = n } }
 
 // unlimitedSlots is the default bound of concurrent requests, never reached in practice.
 const unlimitedSlots = 1 << 16
 
 // NewServers returns an empty set of servers.
-func NewServers(w Observer, opts ...Option) *Servers {
-	f := &Servers{observer: w, slots: unlimitedSlots, servers: map[string]*Server{}}
+func NewServers(observer Observer, opts ...Option) *Servers {
+	ss := &Servers{observer: observer, slots: unlimitedSlots, servers: map[string]*Server{}}
 	for _, o := range opts {
-		o(f)
+		o(ss)
 	}
-	return f
+	return ss
 }
 
 // Add starts the server of a VM and returns its address.
-func (f *Servers) Add(vm string) (address string, err error) {
-	s := &Server{vm: vm, address: "127.0.0.1:0", group: f, slots: make(chan struct{}, f.slots)}
+func (ss *Servers) Add(vm string) (address string, err error) {
+	s := &Server{vm: vm, address: "127.0.0.1:0", servers: ss, slots: make(chan struct{}, ss.slots)}
 	if err := s.start(); err != nil {
 		return "", err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.servers[vm] = s
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	ss.servers[vm] = s
 	return s.address, nil
 }
 
-func (f *Servers) get(vm string) *Server {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.servers[vm]
+func (ss *Servers) get(vm string) *Server {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.servers[vm]
 }
 
 // Close stops all servers.
-func (f *Servers) Close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
+func (ss *Servers) Close() {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	for _, s := range ss.servers {
 		s.stop()
 	}
 }
 
 // Leaving implements fake.Machine.
-func (f *Servers) Leaving(vm string, leaving bool) {
-	if s := f.get(vm); s != nil {
+func (ss *Servers) Leaving(vm string, leaving bool) {
+	if s := ss.get(vm); s != nil {
 		s.leaving.Store(leaving)
-		f.observer.Leaving(vm, leaving, time.Now())
+		ss.observer.Leaving(vm, leaving, time.Now())
 	}
 }
 
 // Power implements fake.Machine.
-func (f *Servers) Power(vm string, on bool) {
-	s := f.get(vm)
+func (ss *Servers) Power(vm string, on bool) {
+	s := ss.get(vm)
 	if s == nil {
 		return
 	}
-	f.observer.Power(vm, on)
+	ss.observer.Power(vm, on)
 	if !on {
 		s.stop()
 		return
 	}
 	s.leaving.Store(false)
-	f.observer.Leaving(vm, false, time.Now())
+	ss.observer.Leaving(vm, false, time.Now())
 	if err := s.start(); err != nil {
 		panic(fmt.Sprintf("restart backend server of %s: %v", vm, err))
 	}
 }
 
 // InFlight implements fake.Machine.
-func (f *Servers) InFlight(vm string) int {
-	if s := f.get(vm); s != nil {
+func (ss *Servers) InFlight(vm string) int {
+	if s := ss.get(vm); s != nil {
 		return int(s.inFlight.Load())
 	}
 	return 0
 }
 
 // SetDelay adds a delay to each request of a VM's server.
-func (f *Servers) SetDelay(vm string, d time.Duration) {
-	if s := f.get(vm); s != nil {
+func (ss *Servers) SetDelay(vm string, d time.Duration) {
+	if s := ss.get(vm); s != nil {
 		s.delay.Store(int64(d))
 	}
 }
@@ -163,8 +163,8 @@
 )
 
 // SetUnhealthy makes a VM's server answer ordinary requests with 503, or ends that.
-func (f *Servers) SetUnhealthy(vm string, unhealthy bool) {
-	if s := f.get(vm); s != nil {
+func (ss *Servers) SetUnhealthy(vm string, unhealthy bool) {
+	if s := ss.get(vm); s != nil {
 		s.unhealthy.Store(unhealthy)
 	}
 }
@@ -226,9 +226,9 @@
 	}
 	id, service := r.Header.Get(HeaderID), r.Header.Get(HeaderService)
 	s.inFlight.Add(1)
-	s.group.observer.RequestStarted(s.vm, service, id, time.Now())
+	s.servers.observer.RequestStarted(s.vm, service, id, time.Now())
 	defer func() {
-		s.group.observer.RequestEnded(s.vm, service)
+		s.servers.observer.RequestEnded(s.vm, service)
 		s.inFlight.Add(-1)
 	}()
 	switch {
--- a/pkg/bench/capacity/capacity.go
+++ b/pkg/bench/capacity/capacity.go
@@ -24,24 +24,24 @@
 }
 
 // At returns the cost that the line predicts at size x.
-func (s LinearFit) At(x float64) float64 { return s.Intercept + s.Slope*x }
+func (f LinearFit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
 // fit computes the least-squares line and its residual.
-func (s *LinearFit) fit() {
-	n := float64(len(s.X))
+func (f *LinearFit) fit() {
+	n := float64(len(f.X))
 	var sx, sy, sxx, sxy float64
-	for i := range s.X {
-		sx += s.X[i]
-		sy += s.Y[i]
-		sxx += s.X[i] * s.X[i]
-		sxy += s.X[i] * s.Y[i]
+	for i := range f.X {
+		sx += f.X[i]
+		sy += f.Y[i]
+		sxx += f.X[i] * f.X[i]
+		sxy += f.X[i] * f.Y[i]
 	}
-	s.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	s.Intercept = (sy - s.Slope*sx) / n
-	largest := slices.Max(s.Y)
-	for i := range s.X {
+	f.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
+	f.Intercept = (sy - f.Slope*sx) / n
+	largest := slices.Max(f.Y)
+	for i := range f.X {
 		if largest > 0 {
-			s.Residual = max(s.Residual, math.Abs(s.Y[i]-s.At(s.X[i]))/largest)
+			f.Residual = max(f.Residual, math.Abs(f.Y[i]-f.At(f.X[i]))/largest)
 		}
 	}
 }
@@ -56,24 +56,24 @@
 // Run takes every measurement and fits a line to each.
 func Run() (fits []LinearFit, err error) {
 	for _, m := range measurements() {
-		s := LinearFit{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
+		f := LinearFit{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
 		for _, size := range m.sizes {
 			y, err := m.run(size)
 			if err != nil {
 				return nil, err
 			}
-			s.X = append(s.X, float64(size))
-			s.Y = append(s.Y, y)
+			f.X = append(f.X, float64(size))
+			f.Y = append(f.Y, y)
 		}
-		s.fit()
-		fits = append(fits, s)
+		f.fit()
+		fits = append(fits, f)
 	}
 	return fits, nil
 }
 
 const (
 	timingRounds = 7
-	minRoundTime = 20 * time.Millisecond // of a round
+	minRoundTime = 20 * time.Millisecond
 )
 
 // medianTimeUs returns the median time of one call of f in microseconds, after a warm-up call.
--- a/pkg/bench/capacity/measures.go
+++ b/pkg/bench/capacity/measures.go
@@ -143,11 +143,11 @@
 func healthyState(n int) fleet.State {
 	s := newFleet(n)
 	now := time.Now()
-	seen := map[string]fleet.Observation{}
+	observed := map[string]fleet.Observation{}
 	for name := range s.VMs {
-		seen[name] = fleet.Observation{Health: fleet.HealthGood, Since: now}
+		observed[name] = fleet.Observation{Health: fleet.HealthGood, Since: now}
 	}
-	return fleet.State{Table: s, Now: now, Observed: seen}
+	return fleet.State{Table: s, Now: now, Observed: observed}
 }
 
 func decideIdle(n int) (float64, error) {
--- a/pkg/bench/lateness/lateness.go
+++ b/pkg/bench/lateness/lateness.go
@@ -145,7 +145,7 @@
 // stepTimes holds the timing of one step of a job.
 type stepTimes struct {
 	firstStart, lastStart, end time.Duration // first and last start of its tasks, end of the last task
-	longestTask                time.Duration // duration
+	longestTask                time.Duration // duration of its longest task
 }
 
 // steps returns the timing of the steps, ordered by start.
@@ -194,13 +194,13 @@
 	if total <= o.Target+time.Duration(o.Stretch*float64(work)) {
 		return InTime
 	}
-	accepting, first := j.acceptedAt-j.submittedAt, j.startDelay()
-	spans := map[Cause]time.Duration{Accepting: accepting, FirstStart: first}
+	accepting, startDelay := j.acceptedAt-j.submittedAt, j.startDelay()
+	spans := map[Cause]time.Duration{Accepting: accepting, FirstStart: startDelay}
 	if j.hasRerun() {
-		spans[Rerun] = total - accepting - first - work
+		spans[Rerun] = total - accepting - startDelay - work
 	} else {
 		spans[Spread], spans[BetweenSteps] = spread, between
-		spans[Other] = total - accepting - first - work - spread - between
+		spans[Other] = total - accepting - startDelay - work - spread - between
 	}
 	longest := Other
 	for _, c := range Causes {
--- a/pkg/bench/overhead/overhead.go
+++ b/pkg/bench/overhead/overhead.go
@@ -75,9 +75,9 @@
 // Run measures all three routes.
 func Run(o Options) (r Result, err error) {
 	defer func() { err = errors.Wrap(err, "measure overhead") }()
-	farm := backend.NewServers(noObserver{})
-	defer farm.Close()
-	address, err := farm.Add("w1")
+	servers := backend.NewServers(noObserver{})
+	defer servers.Close()
+	address, err := servers.Add("w1")
 	if err != nil {
 		return r, err
 	}
@@ -98,8 +98,8 @@
 	defer stopThrough()
 	routes := []*route{{address: address}, {address: hop}, {address: through}}
 	for range o.Rounds {
-		for _, w := range routes {
-			if err := w.runRound(o); err != nil {
+		for _, rt := range routes {
+			if err := rt.runRound(o); err != nil {
 				return r, err
 			}
 		}
@@ -179,33 +179,33 @@
 }
 
 // runRound measures latency with one caller, then throughput with many.
-func (w *route) runRound(o Options) error {
+func (rt *route) runRound(o Options) error {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	defer c.CloseIdleConnections()
 	want := backend.ResponseBody("bench", o.ResponseBytes)
 	times := make([]float64, 0, o.Requests)
 	for range o.Requests {
-		began := time.Now()
-		if err := sendRequest(c, w.address, o.ResponseBytes, want); err != nil {
+		start := time.Now()
+		if err := sendRequest(c, rt.address, o.ResponseBytes, want); err != nil {
 			return err
 		}
-		times = append(times, float64(time.Since(began).Nanoseconds())/1000)
+		times = append(times, float64(time.Since(start).Nanoseconds())/1000)
 	}
 	slices.Sort(times)
-	w.p50 = append(w.p50, times[len(times)/2])
-	w.p99 = append(w.p99, times[len(times)*99/100])
-	return w.measureThroughput(c, o, want)
+	rt.p50 = append(rt.p50, times[len(times)/2])
+	rt.p99 = append(rt.p99, times[len(times)*99/100])
+	return rt.measureThroughput(c, o, want)
 }
 
-func (w *route) measureThroughput(c *http.Client, o Options, want []byte) error {
+func (rt *route) measureThroughput(c *http.Client, o Options, want []byte) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, o.Concurrency)
-	cpu, began := cpuTime(), time.Now()
+	cpu, start := cpuTime(), time.Now()
 	perCaller := max(1, 4*o.Requests/o.Concurrency)
 	for range o.Concurrency {
 		wg.Go(func() {
 			for range perCaller {
-				if err := sendRequest(c, w.address, o.ResponseBytes, want); err != nil {
+				if err := sendRequest(c, rt.address, o.ResponseBytes, want); err != nil {
 					errs <- err
 					return
 				}
@@ -219,8 +219,8 @@
 	default:
 	}
 	n := float64(perCaller * o.Concurrency)
-	w.rps = append(w.rps, n/time.Since(began).Seconds())
-	w.cpu = append(w.cpu, float64((cpuTime()-cpu).Microseconds())/n)
+	rt.rps = append(rt.rps, n/time.Since(start).Seconds())
+	rt.cpu = append(rt.cpu, float64((cpuTime()-cpu).Microseconds())/n)
 	return nil
 }
 
--- a/pkg/bench/report/report.go
+++ b/pkg/bench/report/report.go
@@ -186,7 +186,7 @@
 {{range .}}{{$s := .}}<h2>{{.Scenario}}</h2>
 <p>{{.About}}. Offered {{printf "%.0f" .OfferedRPS}} requests a second; the backend servers can serve {{printf "%.0f" .CapacityRPS}}.</p>
 <table><tr><th></th><th>goodput/s</th><th>p50 ms</th><th>p99 ms</th><th>p99.9 ms</th><th>backend requests per request</th><th>wrong</th><th>once requests run twice</th><th>reported not run but ran</th><th>cut off</th><th>cut off by the fault</th><th>RSS MB</th></tr>
-{{range $v, $f := .Variants}}<tr><td>{{$v}}</td><td>{{printf "%.0f" $f.GoodputRPS}}</td><td>{{printf "%.1f" $f.P50Ms}}</td><td>{{printf "%.1f" $f.P99Ms}}</td><td>{{printf "%.1f" $f.P999Ms}}</td><td>{{printf "%.2f" $f.RetriesRatio}}</td><td>{{$f.WrongAnswers}}</td><td>{{$f.OnceRanTwice}}</td><td>{{$f.NotRunButRan}}</td><td>{{$f.CutOff}}</td><td>{{$f.StruckByFault}}</td><td>{{printf "%.0f" $f.RSSMB}}</td></tr>
+{{range $v, $f := .Variants}}<tr><td>{{$v}}</td><td>{{printf "%.0f" $f.GoodputRPS}}</td><td>{{printf "%.1f" $f.P50Ms}}</td><td>{{printf "%.1f" $f.P99Ms}}</td><td>{{printf "%.1f" $f.P999Ms}}</td><td>{{printf "%.2f" $f.RetriesRatio}}</td><td>{{$f.WrongAnswers}}</td><td>{{$f.OnceRanTwice}}</td><td>{{$f.NotRunButRan}}</td><td>{{$f.CutOff}}</td><td>{{$f.CutOffByFault}}</td><td>{{printf "%.0f" $f.RSSMB}}</td></tr>
 {{end}}</table>
 <table><tr><th>class</th><th>steady p99 ms</th><th>p99 ms</th><th>shed</th><th>baseline p99 ms</th><th>baseline shed</th></tr>
 {{range .Classes}}{{$p := index $s.Product.ByClass .}}{{$b := index $s.Baseline.ByClass .}}<tr><td>{{.}}</td><td>{{printf "%.1f" $p.SteadyP99Ms}}</td><td>{{printf "%.1f" $p.P99Ms}}</td><td>{{$p.Shed}}</td><td>{{printf "%.1f" $b.P99Ms}}</td><td>{{$b.Shed}}</td></tr>
--- a/pkg/bench/scenario/scenario.go
+++ b/pkg/bench/scenario/scenario.go
@@ -52,7 +52,7 @@
 	OnceRanTwice  int                           `json:"once_ran_twice"`
 	NotRunButRan  int                           `json:"not_run_but_ran"`
 	CutOff        int                           `json:"cut_off"`
-	StruckByFault int                           `json:"struck_by_fault"` // cut off within detectionWindow of a fault
+	CutOffByFault int                           `json:"struck_by_fault"` // cut off within detectionWindow of a fault
 	RSSMB         float64                       `json:"rss_mb"`          // resident memory of the whole process
 	NotRunReasons map[string]int                `json:"not_run_reasons"`
 	Distribution  []Bucket                      `json:"distribution"`
@@ -190,9 +190,9 @@
 	}
 	generate(loadCtx, "base", 1, o.Seed)
 	st.addLoad = func(factor float64, d time.Duration) {
-		moreCtx, cancel := context.WithTimeout(loadCtx, d)
-		background.Go(func() { <-moreCtx.Done(); cancel() })
-		generate(moreCtx, fmt.Sprintf("more-%d", time.Now().UnixNano()), factor, o.Seed+1)
+		addedCtx, cancel := context.WithTimeout(loadCtx, d)
+		background.Go(func() { <-addedCtx.Done(); cancel() })
+		generate(addedCtx, fmt.Sprintf("more-%d", time.Now().UnixNano()), factor, o.Seed+1)
 	}
 	sleep(ctx, o.Steady)
 	before := st.standin.Checker.StartedRequests()
@@ -226,18 +226,18 @@
 	f = Figures{
 		ByClass: map[schema.Class]ClassFigures{}, ShedByClass: map[schema.Class]int{},
 		P50Ms: quantile(c.fault, 50), P99Ms: quantile(c.fault, 99), P999Ms: quantile(c.fault, 99.9),
-		StruckByFault: c.cutOffByFault, NotRunReasons: maps.Clone(c.notRunReasons),
+		CutOffByFault: c.cutOffByFault, NotRunReasons: maps.Clone(c.notRunReasons),
 	}
 	sent, good := 0, 0
-	for name, cl := range c.fault.classes {
+	for name, results := range c.fault.classes {
 		f.ByClass[name] = ClassFigures{
-			Requests: cl.requests, Good: cl.good, Shed: cl.shed,
-			P50Ms: float64(cl.latency.ValueAtQuantile(50)) / 1000, P99Ms: float64(cl.latency.ValueAtQuantile(99)) / 1000,
+			Requests: results.requests, Good: results.good, Shed: results.shed,
+			P50Ms: float64(results.latency.ValueAtQuantile(50)) / 1000, P99Ms: float64(results.latency.ValueAtQuantile(99)) / 1000,
 			SteadyP99Ms: float64(c.steady.class(name).latency.ValueAtQuantile(99)) / 1000,
 		}
-		f.ShedByClass[name] = cl.shed
-		sent += cl.requests
-		good += cl.good
+		f.ShedByClass[name] = results.shed
+		sent += results.requests
+		good += results.good
 	}
 	f.GoodputRPS = float64(good) / d.Seconds()
 	if sent > 0 {
@@ -274,8 +274,8 @@
 	zoneOf map[string]string // zone by address
 
 	mu        sync.Mutex
-	isolated  string // zone cut off from the others, "" for none
-	crossZone map[net.Conn]string
+	isolated  string              // zone cut off from the others, "" for none
+	crossZone map[net.Conn]string // open connections between zones, with the names of both
 }
 
 func newPartition(st *standin.Standin) *partition {
@@ -319,8 +319,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.isolated = zone
-	for conn, between := range p.crossZone {
-		if zone != "" && strings.Contains(between, zone) {
+	for conn, zonePair := range p.crossZone {
+		if zone != "" && strings.Contains(zonePair, zone) {
 			_ = conn.Close()
 			delete(p.crossZone, conn)
 		}
--- a/pkg/bench/standin/standin.go
+++ b/pkg/bench/standin/standin.go
@@ -134,9 +134,9 @@
 		http.NotFound(w, r)
 		return
 	}
-	r2 := r.Clone(r.Context())
-	r2.URL.Path = "/" + path
-	rest.Handler(s.Platform.View(zone)).ServeHTTP(w, r2)
+	zoneRequest := r.Clone(r.Context())
+	zoneRequest.URL.Path = "/" + path
+	rest.Handler(s.Platform.View(zone)).ServeHTTP(w, zoneRequest)
 }
 
 // serveFaults replaces the fault rules with those in the body.
@@ -160,11 +160,11 @@
 
 // Routes returns the deployment's routes by name.
 func (s *Standin) Routes() map[string]schema.Route {
-	out := map[string]schema.Route{}
+	routes := map[string]schema.Route{}
 	for name, row := range s.Table.Routes {
-		out[name] = row.Value
+		routes[name] = row.Value
 	}
-	return out
+	return routes
 }
 
 // Document returns a table file with the addresses of the simulated backend servers.
