--- a/cmd/gannetctl/cmds/audit.go
+++ b/cmd/gannetctl/cmds/audit.go
@@ -37,7 +37,7 @@
 	return c.printAudit(q)
 }
 
-// printAudit prints entries with the columns that changed.
+// printAudit prints the matching audit entries with the columns that each changed.
 func (c *console) printAudit(q auditQuery) error {
 	cl, err := c.client()
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	audit, err := cl.Audit(context.Background(), q)
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	for _, e := range audit.Entries {
 		c.printf("revision %d  %s  %s: %s\n", e.Revision, time.UnixMilli(int64(e.AtMs)).UTC().Format(time.RFC3339), e.Actor, e.Reason)
@@ -60,7 +60,7 @@
 		}
 	}
 	if !audit.Complete {
-		c.printf("the search ended before the beginning of the trail; narrow it by --limit or ask by --kind and --name\n")
+		c.printf("the search stopped before the start of the audit trail; narrow it with --limit, or with --kind and --name\n")
 	}
 	return nil
 }
@@ -80,7 +80,7 @@
 	}
 	e, err := cl.Explain(context.Background(), c.Args.Kind, c.Args.Name)
 	if err != nil {
-		return exitOf(err)
+		return withExitCode(err)
 	}
 	for _, s := range e.Sentences {
 		c.printf("%s\n", s)
--- a/cmd/gannetctl/cmds/cmds_test.go
+++ b/cmd/gannetctl/cmds/cmds_test.go
@@ -28,11 +28,12 @@
 	"github.com/gannetwell/gannetwell/service/server"
 )
 
-type blind struct{}
+// noObserver is an explain.Observer that knows no VM.
+type noObserver struct{}
 
-func (blind) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation { return nil }
+func (noObserver) Observe(context.Context, *table.Snapshot) map[string]fleet.Observation { return nil }
 
-// What differs from run to run.
+// Patterns of output that differs from run to run.
 var (
 	editIDs = regexp.MustCompile(`ctl-[0-9a-f]+`)
 	times   = regexp.MustCompile(`\d{4}-\d\d-\d\dT\S+Z`)
@@ -40,7 +41,8 @@
 	ages    = regexp.MustCompile(`\b\d+(\.\d+)?m?s ago`)
 )
 
-func scrub(s, dir string) string {
+// normalizeOutput replaces what differs from run to run by placeholders.
+func normalizeOutput(s, dir string) string {
 	s = strings.ReplaceAll(s, dir, "DIR")
 	s = editIDs.ReplaceAllString(s, "ID")
 	s = times.ReplaceAllString(s, "TIME")
@@ -48,23 +50,23 @@
 	return ages.ReplaceAllString(s, "AGO")
 }
 
-// withJobService answers for the job service too, which has two accounts and one pool.
+// withJobService adds fixed answers of the job service's API to h.
 func withJobService(h http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
-	answer := func(path string, v any) {
+	serveJSON := func(path string, v any) {
 		mux.HandleFunc(path, func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(v) })
 	}
-	answer("GET "+api.PathShards, api.Shards{Shards: []api.ShardStatus{
+	serveJSON("GET "+api.PathShards, api.Shards{Shards: []api.ShardStatus{
 		{Pool: "scoring", Owner: "e1", Term: 3, Loaded: true, Workers: 8, Cpu: 256000, CpuUsed: 80000, CpuWaiting: 1000, TasksWaiting: 1},
 		{Pool: "booking"},
 	}})
-	answer("GET "+api.PathJobs+"/score-now/1", api.JobStatus{Queue: "score-now", ID: "1", Outcome: "ok", State: "running", Pool: "scoring", Owner: "e1"})
-	answer("GET "+api.PathJobs+"/score-now/2", api.JobStatus{Queue: "score-now", ID: "2", Outcome: "not_found", Pool: "scoring"})
-	answer("GET "+api.PathZones, api.Zones{Zones: []api.ZoneStatus{
+	serveJSON("GET "+api.PathJobs+"/score-now/1", api.JobStatus{Queue: "score-now", ID: "1", Outcome: "ok", State: "running", Pool: "scoring", Owner: "e1"})
+	serveJSON("GET "+api.PathJobs+"/score-now/2", api.JobStatus{Queue: "score-now", ID: "2", Outcome: "not_found", Pool: "scoring"})
+	serveJSON("GET "+api.PathZones, api.Zones{Zones: []api.ZoneStatus{
 		{Zone: "hall-a", OutForS: 12.3, Workers: 20, Tasks: 7, Complete: true}, {Zone: "hall-b", OutForS: 3, Workers: 4},
 	}})
-	answer("GET "+api.PathAccounts, api.Accounts{CatalogVersion: 7, Accounts: []api.AccountStatus{
+	serveJSON("GET "+api.PathAccounts, api.Accounts{CatalogVersion: 7, Accounts: []api.AccountStatus{
 		{Name: "north", Keys: []string{"90706fbf"}, Weight: 5, Cpu: 4000, MemoryMb: 100, Pools: []api.AccountInPool{
 			{Pool: "booking", Bound: true, Running: 0.25, Wanted: 0.75, Share: 0.5}, {Pool: "scoring", Running: 0.125, Wanted: 0.125},
 		}},
@@ -73,15 +75,15 @@
 	return mux
 }
 
-// TestScripts runs each file of testdata against an entry of its own. The
-// commands are: run, a command line, its standard input after a line "---"; and
-// file, which writes its input to a file; and fault, which puts a fault in the way of every commit.
+// TestScripts runs each file of testdata against an entry of its own. Commands: run
+// takes a command line and, after a line "---", its standard input; file writes its
+// input to a file; fault injects a fault into every commit.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		dir := t.TempDir()
 		store := fake.New()
 		r := replica.New(store.View("z"))
-		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, blind{}), server.WithOperatorAccounts([]schema.Account{
+		s := httptest.NewServer(withJobService(server.New(r, explain.New(r, noObserver{}), server.WithOperatorAccounts([]schema.Account{
 			{Name: "maria", Role: schema.RoleEdit, TokenSha256: server.HashToken("tok")},
 		}))))
 		defer s.Close()
@@ -101,7 +103,7 @@
 			args := strings.Split(strings.ReplaceAll(strings.ReplaceAll(line, "\n", " "), "DIR", dir), " ")
 			var out bytes.Buffer
 			code := cmds.New(strings.NewReader(stdin+"\n"), &out, &out).Run(args)
-			return scrub(out.String(), dir) + fmt.Sprintf("exit %d\n", code)
+			return normalizeOutput(out.String(), dir) + fmt.Sprintf("exit %d\n", code)
 		})
 	})
 }
--- a/cmd/gannetwelld/cmds/cmds.go
+++ b/cmd/gannetwelld/cmds/cmds.go
@@ -1,4 +1,5 @@
-// Package cmds holds the sub-commands of gannetwelld.
+// Package cmds holds the subcommands of gannetwelld. They load the settings and run an
+// entry of the request path (pkg/entry) or of the job service (pkg/node).
 package cmds
 
 import (
@@ -19,12 +20,12 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// New returns the program.
+// New returns the gannetwelld program.
 func New(stdout, stderr io.Writer) *cli.Program {
 	return &cli.Program{
 		Name: "gannetwelld", Summary: "The entry daemon: takes callers' requests to backend servers and keeps the fleet.",
 		Stdout: stdout, Stderr: stderr,
-		Add: func(p *flags.Parser) error {
+		AddCommands: func(p *flags.Parser) error {
 			if _, err := p.AddCommand("run", "Run the daemon",
 				"Runs the daemon until SIGTERM or SIGINT, which begins a planned stop; a second one cuts it short.\n\nExample:\n  gannetwelld run --config /etc/gannetwell/entry.jsonc",
 				&runCommand{stdout: stdout, stderr: stderr}); err != nil {
@@ -50,7 +51,7 @@
 func (o configOption) load() (s schema.Settings, err error) {
 	err = config.LoadFile(o.Config, config.TargetSettings, &s)
 	if errors.As(err, new(config.ErrInvalid)) {
-		err = cli.Exit(cli.ExitInvalid, err)
+		err = cli.WithExitCode(cli.ExitInvalid, err)
 	}
 	return s, err
 }
--- a/pkg/allowance/model_test.go
+++ b/pkg/allowance/model_test.go
@@ -336,6 +336,6 @@
 		"out-of-date grants accepted":            {acceptsStaleSeq: true},
 		"stopping tasks not counted":             {ignoresStopping: true},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, property(f)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, property(f)), qt.IsTrue) })
 	}
 }
--- a/pkg/bench/backend/backend.go
+++ b/pkg/bench/backend/backend.go
@@ -1,10 +1,10 @@
-// Package backend is a stand-in for the users' backend servers: one HTTP server
-// for each VM, over loopback TCP, that can be told to leave, lose its power and
-// come back, and that shows what it ran to a checker.
+// Package backend simulates backend servers: one HTTP server for each VM, over
+// loopback TCP, that can be drained, powered off and on, slowed down and made to fail.
+// It reports each request to an Observer, usually the checker.
 //
-// A request names itself and the work that it asks for in headers. The answer
-// begins with the request's name and ends with a checksum, so that its caller
-// can tell a whole answer to its own request from anything else.
+// Headers of a request carry its ID and the work that it asks for. The response starts
+// with the ID and ends with a checksum, so that the caller can detect a truncated
+// response, a corrupted one, or one to another request.
 package backend
 
 import (
@@ -22,25 +22,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The headers of a request to a stand-in.
+// The headers of a request to a simulated backend server.
 const (
-	HeaderID      = "Bench-Id"
-	HeaderWorkUs  = "Bench-Work-Us" // microseconds
-	HeaderBytes   = "Bench-Bytes"   // of the answer's filling
-	HeaderService = "Bench-Service"
-	// Protocol is what an upgrade asks for; the server echoes lines on it.
-	Protocol = "lesson"
+	HeaderID           = "Bench-Id"
+	HeaderWorkUs       = "Bench-Work-Us" // microseconds
+	HeaderPaddingBytes = "Bench-Bytes"   // padding in the response
+	HeaderService      = "Bench-Service"
+	// UpgradeProtocol is the value of the Upgrade header; the server echoes lines on the upgraded connection.
+	UpgradeProtocol = "lesson"
 )
 
 const (
-	healthPath = "/healthz"
-	maxBytes   = 8 << 20
+	healthPath      = "/healthz"
+	maxPaddingBytes = 8 << 20
 )
 
-// Watcher is told what the servers do.
-type Watcher interface {
-	Began(vm, service, id string, at time.Time)
-	Ended(vm, service string)
+// Observer is notified of the requests at the servers and of their state. Calls are concurrent.
+type Observer interface {
+	RequestStarted(vm, service, id string, at time.Time)
+	RequestEnded(vm, service string)
 	Power(vm string, on bool)
 	Leaving(vm string, leaving bool, at time.Time)
 }
@@ -49,133 +49,134 @@
 type Server struct {
 	vm      string
 	address string
-	farm    *Farm
+	servers *Servers
 
-	leaving  atomic.Bool
-	inFlight atomic.Int64
-	slowdown atomic.Int64 // nanoseconds added to each request
-	unwell   atomic.Bool  // answers 503 to everything
-	slots    chan struct{}
+	leaving   atomic.Bool
+	inFlight  atomic.Int64
+	delay     atomic.Int64 // nanoseconds added to each request
+	unhealthy atomic.Bool  // answers requests with 503
+	slots     chan struct{}
 
 	mu       sync.Mutex
 	http     *http.Server
-	upgraded map[net.Conn]struct{} // connections that http no longer knows
+	upgraded map[net.Conn]struct{} // hijacked connections, which http.Server does not close
 }
 
-// Farm is the backend servers of all VMs; it implements fake.Machine.
-type Farm struct {
-	watcher Watcher
-	slots   int
+// Servers holds the backend servers of all VMs; it implements fake.Machine.
+type Servers struct {
+	observer Observer
+	slots    int
 
 	mu      sync.Mutex
 	servers map[string]*Server
 }
 
-// Option changes how a Farm is made.
-type Option func(*Farm)
+// Option configures Servers.
+type Option func(*Servers)
 
-// WithSlots bounds the requests that a server works on at once; more wait at it.
-func WithSlots(n int) Option { return func(f *Farm) { f.slots = n } }
+// WithSlots bounds the requests that each server processes at once; more wait in a queue.
+func WithSlots(n int) Option { return func(ss *Servers) { ss.slots = n } }
 
-const manySlots = 1 << 16
+// unlimitedSlots is the default bound of concurrent requests, never reached in practice.
+const unlimitedSlots = 1 << 16
 
-// NewFarm returns a farm without servers.
-func NewFarm(w Watcher, opts ...Option) *Farm {
-	f := &Farm{watcher: w, slots: manySlots, servers: map[string]*Server{}}
+// NewServers returns an empty set of servers.
+func NewServers(observer Observer, opts ...Option) *Servers {
+	ss := &Servers{observer: observer, slots: unlimitedSlots, servers: map[string]*Server{}}
 	for _, o := range opts {
-		o(f)
+		o(ss)
 	}
-	return f
+	return ss
 }
 
 // Add starts the server of a VM and returns its address.
-func (f *Farm) Add(vm string) (address string, err error) {
-	s := &Server{vm: vm, address: "127.0.0.1:0", farm: f, slots: make(chan struct{}, f.slots)}
+func (ss *Servers) Add(vm string) (address string, err error) {
+	s := &Server{vm: vm, address: "127.0.0.1:0", servers: ss, slots: make(chan struct{}, ss.slots)}
 	if err := s.start(); err != nil {
 		return "", err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.servers[vm] = s
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	ss.servers[vm] = s
 	return s.address, nil
 }
 
-func (f *Farm) get(vm string) *Server {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.servers[vm]
+func (ss *Servers) get(vm string) *Server {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	return ss.servers[vm]
 }
 
 // Close stops all servers.
-func (f *Farm) Close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, s := range f.servers {
+func (ss *Servers) Close() {
+	ss.mu.Lock()
+	defer ss.mu.Unlock()
+	for _, s := range ss.servers {
 		s.stop()
 	}
 }
 
 // Leaving implements fake.Machine.
-func (f *Farm) Leaving(vm string, leaving bool) {
-	if s := f.get(vm); s != nil {
+func (ss *Servers) Leaving(vm string, leaving bool) {
+	if s := ss.get(vm); s != nil {
 		s.leaving.Store(leaving)
-		f.watcher.Leaving(vm, leaving, time.Now())
+		ss.observer.Leaving(vm, leaving, time.Now())
 	}
 }
 
 // Power implements fake.Machine.
-func (f *Farm) Power(vm string, on bool) {
-	s := f.get(vm)
+func (ss *Servers) Power(vm string, on bool) {
+	s := ss.get(vm)
 	if s == nil {
 		return
 	}
-	f.watcher.Power(vm, on)
+	ss.observer.Power(vm, on)
 	if !on {
 		s.stop()
 		return
 	}
 	s.leaving.Store(false)
-	f.watcher.Leaving(vm, false, time.Now())
+	ss.observer.Leaving(vm, false, time.Now())
 	if err := s.start(); err != nil {
-		panic(fmt.Sprintf("backend server of %s does not come back: %v", vm, err))
+		panic(fmt.Sprintf("restart backend server of %s: %v", vm, err))
 	}
 }
 
 // InFlight implements fake.Machine.
-func (f *Farm) InFlight(vm string) int {
-	if s := f.get(vm); s != nil {
+func (ss *Servers) InFlight(vm string) int {
+	if s := ss.get(vm); s != nil {
 		return int(s.inFlight.Load())
 	}
 	return 0
 }
 
-// SlowDown adds a delay to each request of a VM's server.
-func (f *Farm) SlowDown(vm string, d time.Duration) {
-	if s := f.get(vm); s != nil {
-		s.slowdown.Store(int64(d))
+// SetDelay adds a delay to each request of a VM's server.
+func (ss *Servers) SetDelay(vm string, d time.Duration) {
+	if s := ss.get(vm); s != nil {
+		s.delay.Store(int64(d))
 	}
 }
 
 const (
-	startTries = 50
-	startWait  = 10 * time.Millisecond
+	maxListenAttempts   = 50
+	listenRetryInterval = 10 * time.Millisecond
 )
 
-// Unwell makes a VM's server answer 503 to every request, or no longer.
-func (f *Farm) Unwell(vm string, unwell bool) {
-	if s := f.get(vm); s != nil {
-		s.unwell.Store(unwell)
+// SetUnhealthy makes a VM's server answer ordinary requests with 503, or ends that.
+func (ss *Servers) SetUnhealthy(vm string, unhealthy bool) {
+	if s := ss.get(vm); s != nil {
+		s.unhealthy.Store(unhealthy)
 	}
 }
 
-// start listens at the server's address, the same one again after a stop.
+// start listens on the server's address, which stays the same after a restart.
 func (s *Server) start() (err error) {
 	var ln net.Listener
-	for range startTries {
+	for range maxListenAttempts {
 		if ln, err = net.Listen("tcp", s.address); err == nil {
 			break
 		}
-		time.Sleep(startWait)
+		time.Sleep(listenRetryInterval)
 	}
 	if err != nil {
 		return err
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// stop cuts everything off.
+// stop closes the listener and all connections at once.
 func (s *Server) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +199,7 @@
 	}
 }
 
-// track keeps an upgraded connection, so that a stop cuts it too.
+// track registers an upgraded connection, so that stop closes it.
 func (s *Server) track(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,53 +226,53 @@
 	}
 	id, service := r.Header.Get(HeaderID), r.Header.Get(HeaderService)
 	s.inFlight.Add(1)
-	s.farm.watcher.Began(s.vm, service, id, time.Now())
+	s.servers.observer.RequestStarted(s.vm, service, id, time.Now())
 	defer func() {
-		s.farm.watcher.Ended(s.vm, service)
+		s.servers.observer.RequestEnded(s.vm, service)
 		s.inFlight.Add(-1)
 	}()
 	switch {
-	case r.Header.Get("Upgrade") == Protocol:
-		s.upgrade(w)
-	case r.Header.Get(HeaderBytes) == "":
-		s.stream(w, r)
+	case r.Header.Get("Upgrade") == UpgradeProtocol:
+		s.echoUpgraded(w)
+	case r.Header.Get(HeaderPaddingBytes) == "":
+		s.echoBody(w, r)
 	default:
-		s.answer(w, r, id)
+		s.respond(w, r, id)
 	}
 }
 
-// answer works for the time asked for and gives a whole answer.
-func (s *Server) answer(w http.ResponseWriter, r *http.Request, id string) {
+// respond waits for the work time of the request and sends the full response.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, id string) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	if s.unwell.Load() {
+	if s.unhealthy.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	s.slots <- struct{}{}
 	defer func() { <-s.slots }()
 	us, _ := strconv.Atoi(r.Header.Get(HeaderWorkUs))
-	n, _ := strconv.Atoi(r.Header.Get(HeaderBytes))
-	if d := time.Duration(us)*time.Microsecond + time.Duration(s.slowdown.Load()); d > 0 {
+	n, _ := strconv.Atoi(r.Header.Get(HeaderPaddingBytes))
+	if d := time.Duration(us)*time.Microsecond + time.Duration(s.delay.Load()); d > 0 {
 		time.Sleep(d)
 	}
-	body := Answer(id, min(n, maxBytes))
+	body := ResponseBody(id, min(n, maxPaddingBytes))
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = w.Write(body)
 }
 
-// Answer returns the whole answer to a request: its name, filling, and a checksum of both.
-func Answer(id string, filling int) []byte {
-	body := make([]byte, 0, len(id)+filling+18)
+// ResponseBody returns the full response to a request: its ID, padding bytes, and a checksum of both.
+func ResponseBody(id string, padding int) []byte {
+	body := make([]byte, 0, len(id)+padding+18)
 	body = append(body, id...)
 	body = append(body, '\n')
-	for i := range filling {
+	for i := range padding {
 		body = append(body, 'a'+byte(i%26))
 	}
 	return fmt.Appendf(body, "%016x", xxhash.Sum64(body))
 }
 
-// stream echoes the body line by line as it comes.
-func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
+// echoBody echoes the request body line by line as it arrives.
+func (s *Server) echoBody(w http.ResponseWriter, r *http.Request) {
 	rc := http.NewResponseController(w)
 	_ = rc.EnableFullDuplex()
 	w.WriteHeader(http.StatusOK)
@@ -294,10 +295,10 @@
 	}
 }
 
-// upgrade changes the protocol and echoes lines until the caller closes.
-func (s *Server) upgrade(w http.ResponseWriter) {
+// echoUpgraded upgrades the connection and echoes lines until the caller closes it.
+func (s *Server) echoUpgraded(w http.ResponseWriter) {
 	w.Header().Set("Connection", "Upgrade")
-	w.Header().Set("Upgrade", Protocol)
+	w.Header().Set("Upgrade", UpgradeProtocol)
 	w.WriteHeader(http.StatusSwitchingProtocols)
 	conn, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
--- a/pkg/bench/capacity/capacity.go
+++ b/pkg/bench/capacity/capacity.go
@@ -1,8 +1,6 @@
-// Package capacity measures what each role of an entry costs by size, fits a
-// line and works out the cost at the size to design for.
-//
-// What is measured runs here, in one process and on the product's own code;
-// what a line gives beyond the largest measured size is marked as extrapolated.
+// Package capacity measures the cost of each role of an entry at several fleet sizes,
+// in time, memory or bytes, and fits a line to each cost. The measurements run the
+// product's code in this process; gannetbench capacity calls Run and prints the fits.
 package capacity
 
 import (
@@ -12,8 +10,8 @@
 	"time"
 )
 
-// Slope is one measured cost by size with its fitted line.
-type Slope struct {
+// LinearFit holds a cost Y measured at sizes X and the line fitted to it.
+type LinearFit struct {
 	Name      string    `json:"name"`
 	Role      string    `json:"role"`
 	XUnit     string    `json:"x_unit"`
@@ -22,86 +20,86 @@
 	Y         []float64 `json:"y"`
 	Slope     float64   `json:"slope"`
 	Intercept float64   `json:"intercept"`
-	Residual  float64   `json:"residual"` // largest distance of a point from the line, as a share of the largest y
+	Residual  float64   `json:"residual"` // largest distance of a point from the line, as a fraction of the largest Y
 }
 
-// At returns the line's value.
-func (s Slope) At(x float64) float64 { return s.Intercept + s.Slope*x }
+// At returns the cost that the line predicts at size x.
+func (f LinearFit) At(x float64) float64 { return f.Intercept + f.Slope*x }
 
-// fit finds the least-squares line.
-func (s *Slope) fit() {
-	n := float64(len(s.X))
+// fit computes the least-squares line and its residual.
+func (f *LinearFit) fit() {
+	n := float64(len(f.X))
 	var sx, sy, sxx, sxy float64
-	for i := range s.X {
-		sx += s.X[i]
-		sy += s.Y[i]
-		sxx += s.X[i] * s.X[i]
-		sxy += s.X[i] * s.Y[i]
+	for i := range f.X {
+		sx += f.X[i]
+		sy += f.Y[i]
+		sxx += f.X[i] * f.X[i]
+		sxy += f.X[i] * f.Y[i]
 	}
-	s.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	s.Intercept = (sy - s.Slope*sx) / n
-	largest := slices.Max(s.Y)
-	for i := range s.X {
+	f.Slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
+	f.Intercept = (sy - f.Slope*sx) / n
+	largest := slices.Max(f.Y)
+	for i := range f.X {
 		if largest > 0 {
-			s.Residual = max(s.Residual, math.Abs(s.Y[i]-s.At(s.X[i]))/largest)
+			f.Residual = max(f.Residual, math.Abs(f.Y[i]-f.At(f.X[i]))/largest)
 		}
 	}
 }
 
-// measure is a cost that can be measured at a size.
-type measure struct {
+// measurement is a cost and the function that measures it at a size.
+type measurement struct {
 	name, role, xUnit, yUnit string
 	sizes                    []int
-	at                       func(size int) (float64, error)
+	run                      func(size int) (float64, error)
 }
 
-// Run measures every slope.
-func Run() (slopes []Slope, err error) {
-	for _, m := range measures() {
-		s := Slope{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
+// Run takes every measurement and fits a line to each.
+func Run() (fits []LinearFit, err error) {
+	for _, m := range measurements() {
+		f := LinearFit{Name: m.name, Role: m.role, XUnit: m.xUnit, YUnit: m.yUnit}
 		for _, size := range m.sizes {
-			y, err := m.at(size)
+			y, err := m.run(size)
 			if err != nil {
 				return nil, err
 			}
-			s.X = append(s.X, float64(size))
-			s.Y = append(s.Y, y)
+			f.X = append(f.X, float64(size))
+			f.Y = append(f.Y, y)
 		}
-		s.fit()
-		slopes = append(slopes, s)
+		f.fit()
+		fits = append(fits, f)
 	}
-	return slopes, nil
+	return fits, nil
 }
 
 const (
 	timingRounds = 7
-	timingSpan   = 20 * time.Millisecond // of one round, at least
+	minRoundTime = 20 * time.Millisecond
 )
 
-// timeOf returns the median time of one call in microseconds.
-func timeOf(f func()) float64 {
+// medianTimeUs returns the median time of one call of f in microseconds, after a warm-up call.
+func medianTimeUs(f func()) float64 {
 	f()
 	var rounds []float64
 	for range timingRounds {
-		began, n := time.Now(), 0
-		for time.Since(began) < timingSpan {
+		start, n := time.Now(), 0
+		for time.Since(start) < minRoundTime {
 			f()
 			n++
 		}
-		rounds = append(rounds, float64(time.Since(began).Nanoseconds())/1000/float64(n))
+		rounds = append(rounds, float64(time.Since(start).Nanoseconds())/1000/float64(n))
 	}
 	slices.Sort(rounds)
 	return rounds[len(rounds)/2]
 }
 
-// heapOf returns the heap that f's result keeps, in KB.
-func heapOf[T any](f func() T) float64 {
+// retainedHeapKB returns the heap memory that the result of f retains, in KB.
+func retainedHeapKB[T any](f func() T) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	kept := f()
+	result := f()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(result)
 	return max(0, float64(after.HeapAlloc)-float64(before.HeapAlloc)) / 1024
 }
--- a/pkg/bench/cluster/cluster.go
+++ b/pkg/bench/cluster/cluster.go
@@ -1,5 +1,5 @@
-// Package cluster runs the entry daemons of one deployment in this process,
-// over loopback TCP, beside its stand-ins.
+// Package cluster runs the entry daemons of one simulated deployment in this process,
+// over loopback TCP. The demo and the scenarios start, stop and crash entries through it.
 package cluster
 
 import (
@@ -24,67 +24,67 @@
 	"github.com/gannetwell/gannetwell/service/server"
 )
 
-// The token and the secret of these entries, which only listen on loopback.
+// Credentials of the entries, which listen on loopback only.
 const (
 	token  = "bench-operator-token"
 	secret = "bench-peer-secret-0123456789"
 )
 
-// The pace of these entries: quicker than the defaults, so that a wave takes seconds.
+// Intervals of the entries, in milliseconds: below the defaults, so that a wave takes seconds.
 const (
-	stepMs   = 100
-	probeMs  = 200
-	noticeMs = 500
+	stepIntervalMs  = 100
+	probeIntervalMs = 200
+	stopNoticeMs    = 500
 )
 
-// running is one entry daemon.
-type running struct {
+// runningEntry is one entry daemon.
+type runningEntry struct {
 	entry  *entry.Entry
 	cancel context.CancelFunc
 	done   chan error
 }
 
-// Entries are the daemons of a deployment.
+// Entries holds the running entry daemons of a deployment; it is safe for concurrent use.
 type Entries struct {
-	standin  *standin.Standin
-	balancer *load.Balancer
-	log      zerolog.Logger
-	gateway  map[string]any // settings of the request path beside those of pace
-	options  func(zone string) []entry.Option
-	onStart  func(zone, peerAddress string)
+	standin         *standin.Standin
+	balancer        *load.Balancer
+	log             zerolog.Logger
+	gatewaySettings map[string]any // "gateway" section of the settings
+	entryOptions    func(zone string) []entry.Option
+	onStart         func(zone, peerAddress string)
 
 	mu      sync.Mutex
-	running map[string]*running
+	running map[string]*runningEntry
 }
 
-// Option changes how Entries are made.
+// Option configures Entries.
 type Option func(*Entries)
 
-// WithLogger sets the daemons' log.
+// WithLogger sets the logger of the daemons.
 func WithLogger(l zerolog.Logger) Option { return func(es *Entries) { es.log = l } }
 
-// WithGateway sets fields of the daemons' gateway settings.
-func WithGateway(fields map[string]any) Option {
-	return func(es *Entries) { maps.Copy(es.gateway, fields) }
+// WithGatewaySettings overrides fields of the daemons' gateway settings.
+func WithGatewaySettings(fields map[string]any) Option {
+	return func(es *Entries) { maps.Copy(es.gatewaySettings, fields) }
 }
 
-// WithEntryOptions makes each daemon with the options for its zone.
+// WithEntryOptions creates each daemon with the options that f returns for its zone.
 func WithEntryOptions(f func(zone string) []entry.Option) Option {
-	return func(es *Entries) { es.options = f }
+	return func(es *Entries) { es.entryOptions = f }
 }
 
-// WithOnStart tells f of each entry that starts.
+// WithOnStart calls f for each entry that starts.
 func WithOnStart(f func(zone, peerAddress string)) Option {
 	return func(es *Entries) { es.onStart = f }
 }
 
-// New returns a cluster without entries; the balancer is told of each that comes and goes.
+// New returns a cluster without entries. It registers entries with the balancer as they start and stop.
 func New(s *standin.Standin, b *load.Balancer, opts ...Option) *Entries {
 	es := &Entries{
-		standin: s, balancer: b, log: zerolog.Nop(), running: map[string]*running{},
-		gateway: map[string]any{"probe_interval_ms": probeMs, "stop_notice_ms": noticeMs},
-		options: func(string) []entry.Option { return nil },
-		onStart: func(string, string) {},
+		standin: s, balancer: b, log: zerolog.Nop(), running: map[string]*runningEntry{},
+		gatewaySettings: map[string]any{"probe_interval_ms": probeIntervalMs, "stop_notice_ms": stopNoticeMs},
+		entryOptions:    func(string) []entry.Option { return nil },
+		onStart:         func(string, string) {},
 	}
 	for _, o := range opts {
 		o(es)
@@ -92,7 +92,7 @@
 	return es
 }
 
-// settings returns the settings of an entry; zones are taken in turn.
+// settings returns the settings of the i-th entry; zones are assigned round robin.
 func (es *Entries) settings(name string, i int) (s schema.Settings, err error) {
 	zones := es.standin.Zones()
 	zone := zones[i%len(zones)]
@@ -105,8 +105,8 @@
 		},
 		"peers":    map[string]any{"address": "127.0.0.1:0", "secret": secret, "seeds": es.peerAddresses()},
 		"platform": map[string]any{"url": es.standin.URL(zone)},
-		"gateway":  es.gateway,
-		"control":  map[string]any{"step_interval_ms": stepMs},
+		"gateway":  es.gatewaySettings,
+		"control":  map[string]any{"step_interval_ms": stepIntervalMs},
 	})
 	if err != nil {
 		return s, err
@@ -115,7 +115,7 @@
 	return s, err
 }
 
-// peerAddresses are where the entries that run already are reached.
+// peerAddresses returns the peer addresses of the running entries.
 func (es *Entries) peerAddresses() []string {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -126,18 +126,18 @@
 	return addresses
 }
 
-// Start runs an entry and tells the platform and the balancer of it.
+// Start runs an entry and registers it with the platform and the balancer.
 func (es *Entries) Start(ctx context.Context, name string, i int) (err error) {
 	settings, err := es.settings(name, i)
 	if err != nil {
 		return err
 	}
-	e, err := entry.New(settings, append(es.options(settings.Zone), entry.WithLogger(es.log))...)
+	e, err := entry.New(settings, append(es.entryOptions(settings.Zone), entry.WithLogger(es.log))...)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	r := &running{entry: e, cancel: cancel, done: make(chan error, 1)}
+	r := &runningEntry{entry: e, cancel: cancel, done: make(chan error, 1)}
 	go func() { r.done <- e.Run(ctx) }()
 	es.standin.Platform.AddVM(platform.ListedVM{
 		Name: name, Zone: settings.Zone, Role: platform.RoleEntry, Address: e.PeerAddress(),
@@ -146,22 +146,22 @@
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	es.running[name] = r
-	es.tellBalancer()
+	es.updateBalancer()
 	return nil
 }
 
-// tellBalancer hands over the entries; the caller holds the lock.
-func (es *Entries) tellBalancer() {
+// updateBalancer passes the running entries to the balancer; the caller holds the lock.
+func (es *Entries) updateBalancer() {
 	var addresses []string
 	for _, r := range es.running {
 		addresses = append(addresses, r.entry.CallerAddress())
 	}
-	es.balancer.Set(addresses...)
+	es.balancer.SetEntries(addresses...)
 }
 
 const stopTimeout = 30 * time.Second
 
-// Stop makes a planned stop of an entry and waits for its end.
+// Stop makes a planned stop of an entry and waits until it has ended.
 func (es *Entries) Stop(name string) error {
 	es.mu.Lock()
 	r := es.running[name]
@@ -173,18 +173,18 @@
 			return err
 		}
 	case <-time.After(stopTimeout):
-		return errors.Errorf("%s does not end", name)
+		return errors.Errorf("entry %s did not stop in time", name)
 	}
 	r.cancel()
 	es.mu.Lock()
 	defer es.mu.Unlock()
 	delete(es.running, name)
-	es.tellBalancer()
+	es.updateBalancer()
 	es.standin.Platform.Fail(name)
 	return nil
 }
 
-// Crash ends an entry at once, as a VM that is lost.
+// Crash ends an entry without notice, as the loss of its VM would; the balancer keeps its address.
 func (es *Entries) Crash(name string) {
 	es.mu.Lock()
 	defer es.mu.Unlock()
@@ -194,27 +194,27 @@
 	es.standin.Platform.Fail(name)
 }
 
-// Any returns an operators' client of some entry.
-func (es *Entries) Any() *client.Client {
+// AnyClient returns an operators' client of a random entry, nil without entries.
+func (es *Entries) AnyClient() *client.Client {
 	es.mu.Lock()
 	defer es.mu.Unlock()
-	var ready []*running
+	var entries []*runningEntry
 	for _, r := range es.running {
-		ready = append(ready, r)
+		entries = append(entries, r)
 	}
-	if len(ready) == 0 {
+	if len(entries) == 0 {
 		return nil
 	}
-	slices.SortFunc(ready, func(a, b *running) int {
+	slices.SortFunc(entries, func(a, b *runningEntry) int {
 		if a.entry.OperatorAddress() < b.entry.OperatorAddress() {
 			return -1
 		}
 		return 1
 	})
-	return client.New("http://"+ready[rand.IntN(len(ready))].entry.OperatorAddress(), token)
+	return client.New("http://"+entries[rand.IntN(len(entries))].entry.OperatorAddress(), token)
 }
 
-// CloseAll ends what still runs.
+// CloseAll ends all running entries.
 func (es *Entries) CloseAll() {
 	es.mu.Lock()
 	defer es.mu.Unlock()
--- a/pkg/bench/demo/demo_test.go
+++ b/pkg/bench/demo/demo_test.go
@@ -15,8 +15,8 @@
 
 var deadlines = regexp.MustCompile(`"deadline_ms": \d+`)
 
-// TestDemo takes a deployment through the whole path. Deadlines are long, so
-// that a slow machine changes nothing: only harm is judged, not time.
+// TestDemo runs the demo on one deployment and checks that nothing was violated.
+// Deadlines are long, so that the result does not depend on the machine's speed.
 func TestDemo(t *testing.T) {
 	src, err := os.ReadFile("../../../_fixtures/aula-pampa.jsonc")
 	qt.Assert(t, err, qt.IsNil)
@@ -24,7 +24,7 @@
 	qt.Assert(t, os.WriteFile(file, deadlines.ReplaceAll(src, []byte(`"deadline_ms": 50000`)), 0o600), qt.IsNil)
 
 	o := demo.DefaultOptions("")
-	o.Deployments, o.For, o.Scale = []string{file}, 5*time.Second, 0.2
+	o.Deployments, o.Duration, o.Scale = []string{file}, 5*time.Second, 0.2
 	sum, err := demo.Run(context.Background(), o)
 	c := qt.New(t)
 	c.Assert(err, qt.IsNil)
--- a/pkg/bench/lateness/lateness.go
+++ b/pkg/bench/lateness/lateness.go
@@ -8,51 +8,52 @@
 	"time"
 )
 
-// Cause is what took most of a late job's time beside its work.
+// Cause is the phase that took most of a late job's time besides its work.
 type Cause string
 
-// The causes.
+// Causes, with the state of jobs that were not late or did not complete.
 const (
 	InTime       Cause = "in time"
 	NotAccepted  Cause = "not accepted" // every submission was refused
 	NotEnded     Cause = "not ended"
-	Accepting    Cause = "accepting"     // from the first submission to the one that was taken
-	FirstStart   Cause = "first start"   // from then to the first start of a task
-	Spread       Cause = "spread"        // from the first start of a step's tasks to the last
-	BetweenSteps Cause = "between steps" // from the end of a step to the first start of the next
+	Accepting    Cause = "accepting"     // first submission to accepted submission
+	FirstStart   Cause = "first start"   // acceptance to the first start of a task
+	Spread       Cause = "spread"        // first to last start of a step's tasks
+	BetweenSteps Cause = "between steps" // end of a step to the first start of the next
 	Rerun        Cause = "rerun"         // a task had to start again
 	Other        Cause = "other"
 )
 
-// Causes are all causes, in the order in which tables show them.
+// Causes lists all causes in the order of the printed columns.
 var Causes = []Cause{InTime, Accepting, FirstStart, Spread, BetweenSteps, Rerun, Other, NotEnded, NotAccepted}
 
-// Objective is when a job is in time: within Target and Stretch times its work, one
-// step after the other, from its first submission on.
+// Objective is the latency objective: a job is in time if it ends within Target plus
+// Stretch times its work (the longest task of each step, summed) of its first submission.
 type Objective struct {
 	Target  time.Duration
 	Stretch float64
 }
 
-// Window counts the jobs that were first submitted in a span of time by cause.
+// Window counts, by cause, the jobs first submitted in a time window that starts at From.
 type Window struct {
 	From   time.Duration
 	Counts map[Cause]int
 }
 
-// Table reads a log and counts the jobs in windows of a length; cancelled jobs are left out.
-func Table(log io.Reader, o Objective, length time.Duration) (windows []Window, err error) {
-	lines, err := read(log)
+// CountByWindow reads a log and counts its jobs in windows of the given length, in order.
+// Cancelled jobs are ignored.
+func CountByWindow(log io.Reader, o Objective, length time.Duration) (windows []Window, err error) {
+	lines, err := readLines(log)
 	if err != nil {
 		return nil, err
 	}
 	byStart := map[time.Duration]*Window{}
-	for _, j := range gather(lines) {
+	for _, j := range jobsByID(lines) {
 		if j.state == "cancelled" {
 			continue
 		}
-		from := j.first.Truncate(length)
-		if j.first < 0 {
+		from := j.submittedAt.Truncate(length)
+		if j.submittedAt < 0 {
 			from -= length
 		}
 		w := byStart[from]
@@ -71,21 +72,21 @@
 
 // attempt is one start of a task.
 type attempt struct {
-	step  string
-	start time.Duration
-	end   time.Duration
-	done  bool
+	step      string
+	start     time.Duration
+	end       time.Duration
+	succeeded bool
 }
 
-// job is what the log tells of a job.
+// job holds the events of one job in the log.
 type job struct {
-	first    time.Duration
-	accepted time.Duration
-	taken    bool
-	ended    time.Duration
-	state    string
-	starts   map[string]int // by task
-	attempts map[attemptKey]*attempt
+	submittedAt time.Duration
+	acceptedAt  time.Duration
+	wasAccepted bool
+	endedAt     time.Duration
+	state       string
+	startCounts map[string]int // by task
+	attempts    map[attemptKey]*attempt
 }
 
 type attemptKey struct {
@@ -93,47 +94,47 @@
 	number int64
 }
 
-// gather puts the lines of each job together.
-func gather(lines []line) map[string]*job {
+// jobsByID groups the log lines by job.
+func jobsByID(lines []logLine) map[string]*job {
 	jobs := map[string]*job{}
-	for _, l := range lines { // a task's start may be written before its job's submission
+	for _, l := range lines { // a start may be logged before its job's submission
 		if l.Event == "submission" && jobs[l.Request] == nil {
-			jobs[l.Request] = &job{first: l.at, starts: map[string]int{}, attempts: map[attemptKey]*attempt{}}
+			jobs[l.Request] = &job{submittedAt: l.at, startCounts: map[string]int{}, attempts: map[attemptKey]*attempt{}}
 		}
 	}
 	for _, l := range lines {
 		id := cmp.Or(l.Request, l.Job, strings.Split(l.Task, ".")[0])
 		if j := jobs[id]; j != nil {
-			j.take(l)
+			j.apply(l)
 		}
 	}
 	return jobs
 }
 
-// take applies one line.
-func (j *job) take(l line) {
+// apply updates the job with a log line.
+func (j *job) apply(l logLine) {
 	key := attemptKey{task: l.Task, number: l.Attempt}
 	switch l.Event {
 	case "submission":
-		if l.Outcome == "ok" && !j.taken {
-			j.accepted, j.taken = l.at, true
+		if l.Outcome == "ok" && !j.wasAccepted {
+			j.acceptedAt, j.wasAccepted = l.at, true
 		}
 	case "start_ordered":
-		j.starts[l.Task]++
-		j.attempts[key] = &attempt{step: stepOf(l.Task), start: l.at}
+		j.startCounts[l.Task]++
+		j.attempts[key] = &attempt{step: taskStep(l.Task), start: l.at}
 	case "attempt_ended":
 		if a := j.attempts[key]; a != nil {
-			a.end, a.done = l.at, l.Reason == "done"
+			a.end, a.succeeded = l.at, l.Reason == "done"
 		}
 	case "job_ended":
 		if j.state == "" {
-			j.ended, j.state = l.at, l.State
+			j.endedAt, j.state = l.at, l.State
 		}
 	}
 }
 
-// stepOf is the step of a task's name.
-func stepOf(task string) string {
+// taskStep returns the step in a task's name, "" if it has none.
+func taskStep(task string) string {
 	parts := strings.Split(task, ".")
 	if len(parts) < 3 {
 		return ""
@@ -141,65 +142,65 @@
 	return parts[2]
 }
 
-// stepTimes are the times of one step of a job.
+// stepTimes holds the timing of one step of a job.
 type stepTimes struct {
-	first, last, end time.Duration // of the starts of its tasks, and of the last end
-	work             time.Duration // of its longest task
+	firstStart, lastStart, end time.Duration // first and last start of its tasks, end of the last task
+	longestTask                time.Duration // duration of its longest task
 }
 
-// steps returns the times of the steps in the order in which they began.
+// steps returns the timing of the steps, ordered by start.
 func (j *job) steps() (all []stepTimes) {
 	byStep := map[string]*stepTimes{}
 	for _, a := range j.attempts {
-		if !a.done {
+		if !a.succeeded {
 			continue
 		}
 		s := byStep[a.step]
 		if s == nil {
-			s = &stepTimes{first: a.start, last: a.start}
+			s = &stepTimes{firstStart: a.start, lastStart: a.start}
 			byStep[a.step] = s
 		}
-		s.first, s.last = min(s.first, a.start), max(s.last, a.start)
-		s.end, s.work = max(s.end, a.end), max(s.work, a.end-a.start)
+		s.firstStart, s.lastStart = min(s.firstStart, a.start), max(s.lastStart, a.start)
+		s.end, s.longestTask = max(s.end, a.end), max(s.longestTask, a.end-a.start)
 	}
 	for _, s := range byStep {
 		all = append(all, *s)
 	}
-	slices.SortFunc(all, func(a, b stepTimes) int { return cmp.Compare(a.first, b.first) })
+	slices.SortFunc(all, func(a, b stepTimes) int { return cmp.Compare(a.firstStart, b.firstStart) })
 	return all
 }
 
-// cause tells whether a job was in time, and if not what took most of the time.
+// cause returns InTime or the cause of the job's lateness.
 func (j *job) cause(o Objective) Cause {
 	switch {
-	case j.state != "completed" && !j.taken:
+	case j.state != "completed" && !j.wasAccepted:
 		return NotAccepted
 	case j.state != "completed":
 		return NotEnded
 	}
-	if !j.taken {
-		j.accepted = j.first // the answer was lost
+	if !j.wasAccepted {
+		j.acceptedAt = j.submittedAt // the response to the accepted submission was lost
 	}
 	steps := j.steps()
 	var work, spread, between time.Duration
 	for i, s := range steps {
-		work += s.work
-		spread += s.last - s.first
+		work += s.longestTask
+		spread += s.lastStart - s.firstStart
 		if i > 0 {
-			between += max(0, s.first-steps[i-1].end)
+			between += max(0, s.firstStart-steps[i-1].end)
 		}
 	}
-	total := j.ended - j.first
+	total := j.endedAt - j.submittedAt
 	if total <= o.Target+time.Duration(o.Stretch*float64(work)) {
 		return InTime
 	}
-	accepting, first := j.accepted-j.first, j.waitedFor()
-	spans := map[Cause]time.Duration{Accepting: accepting, FirstStart: first}
-	if j.startedAgain() {
-		spans[Rerun] = total - accepting - first - work
+	accepting, startDelay := j.acceptedAt-j.submittedAt, j.startDelay()
+	spans := map[Cause]time.Duration{Accepting: accepting, FirstStart: startDelay}
+	if j.hasRerun() {
+		spans[Rerun] = total - accepting - startDelay - work
 	} else {
 		spans[Spread], spans[BetweenSteps] = spread, between
-		spans[Other] = total - accepting - first - work - spread - between
+		spans[Other] = total - accepting - startDelay - work - spread - between
 	}
 	longest := Other
 	for _, c := range Causes {
@@ -210,17 +211,17 @@
 	return longest
 }
 
-// waitedFor is how long the job waited for its first start, whatever became of that.
-func (j *job) waitedFor() time.Duration {
-	first := j.ended
+// startDelay returns the time from acceptance to the first start of any task, even one that failed.
+func (j *job) startDelay() time.Duration {
+	first := j.endedAt
 	for _, a := range j.attempts {
 		first = min(first, a.start)
 	}
-	return max(0, first-j.accepted)
+	return max(0, first-j.acceptedAt)
 }
 
-func (j *job) startedAgain() bool {
-	for _, n := range j.starts {
+func (j *job) hasRerun() bool {
+	for _, n := range j.startCounts {
 		if n > 1 {
 			return true
 		}
--- a/pkg/bench/lateness/read.go
+++ b/pkg/bench/lateness/read.go
@@ -12,11 +12,11 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds one line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// line is a log line as far as it is needed here.
-type line struct {
+// logLine holds the fields of a log line that the package uses.
+type logLine struct {
 	Event   string `json:"event"`
 	TimeMs  int64  `json:"time"`
 	Request string `json:"request"`
@@ -31,26 +31,26 @@
 	at time.Duration
 }
 
-// prefixed is a line that whoever gathered the log has put a time in seconds before.
-var prefixed = regexp.MustCompile(`^\s*(-?\d+(?:\.\d+)?)(?: s)?\s+\S+?:?\s+(\{.*)$`)
+// timePrefix matches a line that a log collector has prefixed with a time in seconds and a name.
+var timePrefix = regexp.MustCompile(`^\s*(-?\d+(?:\.\d+)?)(?: s)?\s+\S+?:?\s+(\{.*)$`)
 
-// read returns the log lines in order; others are passed over. A time in seconds
-// before a line goes before the line's own, which is by the clock of one entry.
-func read(r io.Reader) (lines []line, err error) {
+// readLines returns the log lines in order and skips all other text. A time prefix
+// overrides the line's own time, which depends on the clock of one entry.
+func readLines(r io.Reader) (lines []logLine, err error) {
 	defer func() { err = errors.Wrap(err, "read log") }()
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
-		if l, ok := parse(s.Text()); ok {
+		if l, ok := parseLine(s.Text()); ok {
 			lines = append(lines, l)
 		}
 	}
 	return lines, s.Err()
 }
 
-func parse(text string) (l line, ok bool) {
+func parseLine(text string) (l logLine, ok bool) {
 	body, seconds := strings.TrimSpace(text), ""
-	if m := prefixed.FindStringSubmatch(text); m != nil {
+	if m := timePrefix.FindStringSubmatch(text); m != nil {
 		seconds, body = m[1], m[2]
 	}
 	if err := json.Unmarshal([]byte(body), &l); err != nil || l.Event == "" {
--- a/pkg/bench/overhead/overhead.go
+++ b/pkg/bench/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what the request path adds: the same requests to
-// the same backend server directly, through a bare net/http hop written here as
-// a baseline, and through an entry, in turn and in one run.
+// Package overhead measures the latency and CPU time that the request path adds. It
+// sends the same requests to one backend server directly, through a minimal net/http
+// proxy as a baseline, and through a gateway, alternating within one run.
 package overhead
 
 import (
@@ -24,20 +24,20 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Options are what a measurement is told.
+// Options configures a measurement.
 type Options struct {
-	Rounds      int // of each way, in turn
-	Requests    int // of a round, for latency
-	Concurrency int // of the throughput rounds
-	Bytes       int // of an answer
+	Rounds        int // measured on each route
+	Requests      int // sent one after the other in a round, for latency
+	Concurrency   int // callers of the throughput measurement
+	ResponseBytes int // padding of a response
 }
 
-// DefaultOptions take a few seconds.
+// DefaultOptions returns options for a run of a few seconds.
 func DefaultOptions() Options {
-	return Options{Rounds: 5, Requests: 3000, Concurrency: 32, Bytes: 600}
+	return Options{Rounds: 5, Requests: 3000, Concurrency: 32, ResponseBytes: 600}
 }
 
-// Result is the medians over the rounds.
+// Result holds medians over the rounds.
 type Result struct {
 	DirectP50Us        float64 `json:"direct_p50_us"`
 	HopP50Us           float64 `json:"hop_p50_us"`
@@ -46,42 +46,42 @@
 	HopP99Us           float64 `json:"hop_p99_us"`
 	ThroughP99Us       float64 `json:"through_p99_us"`
 	AddedP50Us         float64 `json:"added_p50_us"`
-	RPSPerCore         float64 `json:"rps_per_core"` // requests for a second of processor time of the whole process, its share of caller and backend server taken off
+	RPSPerCore         float64 `json:"rps_per_core"` // requests per CPU second of the gateway: the process's CPU time less that of the direct route
 	DirectRPS          float64 `json:"direct_rps"`
 	HopRPS             float64 `json:"hop_rps"`
 	ThroughRPS         float64 `json:"through_rps"`
 	ThroughToHopRPS    float64 `json:"through_to_hop_rps"`
-	CPUUsDirect        float64 `json:"cpu_us_direct"`  // processor time of one request, caller and backend server
-	CPUUsThrough       float64 `json:"cpu_us_through"` // and with the entry between
+	CPUUsDirect        float64 `json:"cpu_us_direct"`  // CPU time of a request at caller and backend server
+	CPUUsThrough       float64 `json:"cpu_us_through"` // same, with the gateway
 	Cores              int     `json:"cores"`
 	RequestsOfOneRound int     `json:"requests_of_one_round"`
 }
 
-// nobody watches the backend server.
-type nobody struct{}
+// noObserver is a backend.Observer that ignores all events.
+type noObserver struct{}
 
-func (nobody) Began(string, string, string, time.Time) {}
-func (nobody) Ended(string, string)                    {}
-func (nobody) Power(string, bool)                      {}
-func (nobody) Leaving(string, bool, time.Time)         {}
+func (noObserver) RequestStarted(string, string, string, time.Time) {}
+func (noObserver) RequestEnded(string, string)                      {}
+func (noObserver) Power(string, bool)                               {}
+func (noObserver) Leaving(string, bool, time.Time)                  {}
 
-// way is one way to the backend server.
-type way struct {
+// route is a way to reach the backend server, with the results of its rounds.
+type route struct {
 	address  string
-	p50, p99 []float64 // microseconds, by round
-	rps, cpu []float64 // requests a second, processor microseconds for a request
+	p50, p99 []float64 // latency in microseconds, by round
+	rps, cpu []float64 // requests per second and CPU microseconds per request, by round
 }
 
-// Run measures.
+// Run measures all three routes.
 func Run(o Options) (r Result, err error) {
 	defer func() { err = errors.Wrap(err, "measure overhead") }()
-	farm := backend.NewFarm(nobody{})
-	defer farm.Close()
-	address, err := farm.Add("w1")
+	servers := backend.NewServers(noObserver{})
+	defer servers.Close()
+	address, err := servers.Add("w1")
 	if err != nil {
 		return r, err
 	}
-	hop, stopHop, err := serve(bareHop(address))
+	hop, stopHop, err := listenAndServe(bareHop(address))
 	if err != nil {
 		return r, err
 	}
@@ -91,23 +91,23 @@
 		return r, err
 	}
 	defer g.Close()
-	through, stopThrough, err := serve(g)
+	through, stopThrough, err := listenAndServe(g)
 	if err != nil {
 		return r, err
 	}
 	defer stopThrough()
-	ways := []*way{{address: address}, {address: hop}, {address: through}}
+	routes := []*route{{address: address}, {address: hop}, {address: through}}
 	for range o.Rounds {
-		for _, w := range ways {
-			if err := w.round(o); err != nil {
+		for _, rt := range routes {
+			if err := rt.runRound(o); err != nil {
 				return r, err
 			}
 		}
 	}
-	return result(ways[0], ways[1], ways[2], o), nil
+	return newResult(routes[0], routes[1], routes[2], o), nil
 }
 
-func result(direct, hop, through *way, o Options) Result {
+func newResult(direct, hop, through *route, o Options) Result {
 	r := Result{
 		DirectP50Us: median(direct.p50), HopP50Us: median(hop.p50), ThroughP50Us: median(through.p50),
 		DirectP99Us: median(direct.p99), HopP99Us: median(hop.p99), ThroughP99Us: median(through.p99),
@@ -126,8 +126,8 @@
 	return s[len(s)/2]
 }
 
-// serve serves a handler on loopback.
-func serve(h http.Handler) (address string, stop func(), err error) {
+// listenAndServe serves a handler on a loopback port.
+func listenAndServe(h http.Handler) (address string, stop func(), err error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -137,7 +137,7 @@
 	return ln.Addr().String(), func() { _ = s.Close() }, nil
 }
 
-// newGateway returns a gateway with one server and the default settings.
+// newGateway returns a gateway with one backend server and the default settings.
 func newGateway(address string) (*gateway.Gateway, error) {
 	g := gateway.New("bench", "z", schema.GatewaySettings{
 		Policy: schema.GatewaySettingsPolicyP2C, BufferBodyBytes: 64 << 10, Limits: true, Retries: schema.GatewaySettingsRetriesBudget, Hedging: true,
@@ -158,7 +158,7 @@
 	return g, nil
 }
 
-// bareHop is the baseline: it hands each request on by net/http and copies the answer, nothing else.
+// bareHop is the baseline: a proxy that forwards requests by net/http and copies the response.
 func bareHop(address string) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -178,35 +178,35 @@
 	})
 }
 
-// round measures latency with one caller and throughput with many.
-func (w *way) round(o Options) error {
+// runRound measures latency with one caller, then throughput with many.
+func (rt *route) runRound(o Options) error {
 	c := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	defer c.CloseIdleConnections()
-	want := backend.Answer("bench", o.Bytes)
+	want := backend.ResponseBody("bench", o.ResponseBytes)
 	times := make([]float64, 0, o.Requests)
 	for range o.Requests {
-		began := time.Now()
-		if err := call(c, w.address, o.Bytes, want); err != nil {
+		start := time.Now()
+		if err := sendRequest(c, rt.address, o.ResponseBytes, want); err != nil {
 			return err
 		}
-		times = append(times, float64(time.Since(began).Nanoseconds())/1000)
+		times = append(times, float64(time.Since(start).Nanoseconds())/1000)
 	}
 	slices.Sort(times)
-	w.p50 = append(w.p50, times[len(times)/2])
-	w.p99 = append(w.p99, times[len(times)*99/100])
-	return w.throughput(c, o, want)
+	rt.p50 = append(rt.p50, times[len(times)/2])
+	rt.p99 = append(rt.p99, times[len(times)*99/100])
+	return rt.measureThroughput(c, o, want)
 }
 
-func (w *way) throughput(c *http.Client, o Options, want []byte) error {
+func (rt *route) measureThroughput(c *http.Client, o Options, want []byte) error {
 	var wg sync.WaitGroup
-	failed := make(chan error, o.Concurrency)
-	cpu, began := processorTime(), time.Now()
-	each := max(1, 4*o.Requests/o.Concurrency)
+	errs := make(chan error, o.Concurrency)
+	cpu, start := cpuTime(), time.Now()
+	perCaller := max(1, 4*o.Requests/o.Concurrency)
 	for range o.Concurrency {
 		wg.Go(func() {
-			for range each {
-				if err := call(c, w.address, o.Bytes, want); err != nil {
-					failed <- err
+			for range perCaller {
+				if err := sendRequest(c, rt.address, o.ResponseBytes, want); err != nil {
+					errs <- err
 					return
 				}
 			}
@@ -214,23 +214,23 @@
 	}
 	wg.Wait()
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return err
 	default:
 	}
-	n := float64(each * o.Concurrency)
-	w.rps = append(w.rps, n/time.Since(began).Seconds())
-	w.cpu = append(w.cpu, float64((processorTime()-cpu).Microseconds())/n)
+	n := float64(perCaller * o.Concurrency)
+	rt.rps = append(rt.rps, n/time.Since(start).Seconds())
+	rt.cpu = append(rt.cpu, float64((cpuTime()-cpu).Microseconds())/n)
 	return nil
 }
 
-func call(c *http.Client, address string, size int, want []byte) error {
+func sendRequest(c *http.Client, address string, size int, want []byte) error {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, "http://"+address+"/x", nil)
 	if err != nil {
 		return err
 	}
 	req.Header.Set(backend.HeaderID, "bench")
-	req.Header.Set(backend.HeaderBytes, strconv.Itoa(size))
+	req.Header.Set(backend.HeaderPaddingBytes, strconv.Itoa(size))
 	resp, err := c.Do(req)
 	if err != nil {
 		return err
@@ -241,13 +241,13 @@
 		return err
 	}
 	if !bytes.Equal(got, want) {
-		return errors.Errorf("status %s with a wrong answer of %d bytes", resp.Status, len(got))
+		return errors.Errorf("status %s, unexpected response body of %d bytes", resp.Status, len(got))
 	}
 	return nil
 }
 
-// processorTime returns the processor time that this process has used.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time of this process.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
--- a/pkg/bench/scenario/collect.go
+++ b/pkg/bench/scenario/collect.go
@@ -10,7 +10,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// ClassFigures are one class's results.
+// ClassFigures holds the results of one request class.
 type ClassFigures struct {
 	Requests    int     `json:"requests"`
 	Good        int     `json:"good"`
@@ -20,14 +20,14 @@
 	SteadyP99Ms float64 `json:"steady_p99_ms"`
 }
 
-// Point is one second of a run.
+// Point holds the counts of one second of a run.
 type Point struct {
 	Second float64 `json:"second"`
 	Good   int     `json:"good"`
 	Shed   int     `json:"shed"`
 }
 
-// Bucket is one step of a latency distribution.
+// Bucket is a quantile, in percent, of the latency distribution.
 type Bucket struct {
 	Ms       float64 `json:"ms"`
 	Quantile float64 `json:"quantile"`
@@ -35,13 +35,13 @@
 
 const maxLatencyUs = 60 * 1000 * 1000
 
-// class collects one class in one phase.
+// class collects the results of one request class in one phase.
 type class struct {
 	requests, good, shed int
 	latency              *hdrhistogram.Histogram
 }
 
-// phase collects between two times.
+// phase collects the results of one phase.
 type phase struct {
 	classes map[schema.Class]*class
 	all     *hdrhistogram.Histogram
@@ -64,10 +64,10 @@
 	c := p.class(r.Class)
 	c.requests++
 	switch r.Result {
-	case checker.ResultWhole:
+	case checker.ResultComplete:
 		c.good++
 		if r.Class == schema.ClassLive {
-			return // a lesson's length is its own
+			return // the stream sets the duration of a live exchange
 		}
 		us := max(1, r.Done.Sub(r.Sent).Microseconds())
 		_ = c.latency.RecordValue(us)
@@ -77,41 +77,42 @@
 	}
 }
 
-// collector sorts results by the time at which the request was sent; it also
-// passes them to the checker, but for those that a fault explains.
+// collector assigns results to phases by the time at which the request was sent. It
+// forwards them to the checker, except cut-off exchanges that a fault explains.
 type collector struct {
 	checker *checker.Checker
 
-	mu       sync.Mutex
-	began    time.Time // of the fault phase, zero before
-	faults   []time.Time
-	steady   *phase
-	fault    *phase
-	struck   int
-	reasons  map[string]int // of requests that did not run, in the fault phase
-	timeline map[int]*Point
-	start    time.Time
-	closed   bool
+	mu            sync.Mutex
+	faultStart    time.Time // zero before the fault phase
+	faultTimes    []time.Time
+	steady        *phase
+	fault         *phase
+	cutOffByFault int
+	notRunReasons map[string]int // counts of the fault phase, by reason
+	timeline      map[int]*Point
+	runStart      time.Time
+	closed        bool
 }
 
 func newCollector(c *checker.Checker) *collector {
-	return &collector{checker: c, steady: newPhase(), fault: newPhase(), timeline: map[int]*Point{}, reasons: map[string]int{}, start: time.Now()}
+	return &collector{checker: c, steady: newPhase(), fault: newPhase(), timeline: map[int]*Point{}, notRunReasons: map[string]int{}, runStart: time.Now()}
 }
 
-// detection is how long a fault may go unseen.
-const detection = 2 * time.Second
+// detectionWindow is the time allowed for detecting a fault.
+const detectionWindow = 2 * time.Second
 
-// strike notes that a fault begins or ends now.
-func (c *collector) strike() {
+// recordFault records the current time as that of a fault.
+func (c *collector) recordFault() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.faults = append(c.faults, time.Now())
+	c.faultTimes = append(c.faultTimes, time.Now())
 }
 
-// explained tells whether a fault falls into a request's time or shortly before; the caller holds the lock.
-func (c *collector) explained(r checker.Request) bool {
-	for _, f := range c.faults {
-		if r.Done.After(f) && r.Sent.Before(f.Add(detection)) {
+// explainedByFault reports whether a fault happened during the request or less than
+// detectionWindow before it was sent; the caller holds the lock.
+func (c *collector) explainedByFault(r checker.Request) bool {
+	for _, f := range c.faultTimes {
+		if r.Done.After(f) && r.Sent.Before(f.Add(detectionWindow)) {
 			return true
 		}
 	}
@@ -128,39 +129,39 @@
 		c.mu.Unlock()
 		return
 	}
-	second := int(r.Done.Sub(c.start).Seconds())
+	second := int(r.Done.Sub(c.runStart).Seconds())
 	point, ok := c.timeline[second]
 	if !ok {
 		point = &Point{Second: float64(second)}
 		c.timeline[second] = point
 	}
 	switch r.Result {
-	case checker.ResultWhole:
+	case checker.ResultComplete:
 		point.Good++
 	case checker.ResultNotRun:
 		point.Shed++
 	}
 	p := c.steady
-	if !c.began.IsZero() && r.Sent.After(c.began) {
+	if !c.faultStart.IsZero() && r.Sent.After(c.faultStart) {
 		p = c.fault
 		if r.Result == checker.ResultNotRun {
-			c.reasons[r.Detail]++
+			c.notRunReasons[r.Detail]++
 		}
 	}
 	p.add(r)
-	struck := r.Result == checker.ResultCut && c.explained(r)
-	if struck {
-		c.struck++
+	byFault := r.Result == checker.ResultCutOff && c.explainedByFault(r)
+	if byFault {
+		c.cutOffByFault++
 	}
 	c.mu.Unlock()
-	if !struck {
+	if !byFault {
 		c.checker.Finished(r, seen)
 	}
 }
 
-// beginFault ends the steady phase.
-func (c *collector) beginFault() {
+// beginFaultPhase ends the steady phase and starts the fault phase.
+func (c *collector) beginFaultPhase() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.began = time.Now()
+	c.faultStart = time.Now()
 }
--- a/pkg/bench/scenario/scenario.go
+++ b/pkg/bench/scenario/scenario.go
@@ -22,24 +22,24 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// Variant is one set of settings that is measured.
+// Variant names a set of gateway settings to measure.
 type Variant string
 
-// The variants.
+// Variants.
 const (
 	VariantProduct  Variant = "product"
 	VariantBaseline Variant = "baseline"
 )
 
-// gatewayOf returns a variant's settings of the request path.
-func gatewayOf(v Variant) map[string]any {
+// gatewaySettings returns the gateway settings in which a variant differs from the defaults.
+func gatewaySettings(v Variant) map[string]any {
 	if v == VariantBaseline {
 		return map[string]any{"policy": "round-robin", "limits": false, "hedging": false, "retries": "always"}
 	}
 	return map[string]any{}
 }
 
-// Figures are the results of one variant.
+// Figures holds the results of one variant in the fault phase.
 type Figures struct {
 	GoodputRPS    float64                       `json:"goodput_rps"`
 	P50Ms         float64                       `json:"p50_ms"`
@@ -47,20 +47,20 @@
 	P999Ms        float64                       `json:"p999_ms"`
 	ByClass       map[schema.Class]ClassFigures `json:"by_class"`
 	ShedByClass   map[schema.Class]int          `json:"shed_by_class"`
-	RetriesRatio  float64                       `json:"retries_ratio"` // requests at backend servers for each one that callers sent
+	RetriesRatio  float64                       `json:"retries_ratio"` // backend requests per caller request
 	WrongAnswers  int                           `json:"wrong_answers"`
 	OnceRanTwice  int                           `json:"once_ran_twice"`
 	NotRunButRan  int                           `json:"not_run_but_ran"`
 	CutOff        int                           `json:"cut_off"`
-	StruckByFault int                           `json:"struck_by_fault"` // broken within the time in which a fault may go unseen
-	RSSMB         float64                       `json:"rss_mb"`          // of the whole process
+	CutOffByFault int                           `json:"struck_by_fault"` // cut off within detectionWindow of a fault
+	RSSMB         float64                       `json:"rss_mb"`          // resident memory of the whole process
 	NotRunReasons map[string]int                `json:"not_run_reasons"`
 	Distribution  []Bucket                      `json:"distribution"`
 	Timeline      []Point                       `json:"timeline"`
 	Details       []string                      `json:"details"`
 }
 
-// Result is a scenario's run.
+// Result holds the results of a scenario.
 type Result struct {
 	Scenario    string              `json:"scenario"`
 	OfferedRPS  float64             `json:"offered_rps"`
@@ -69,27 +69,27 @@
 	Variants    map[Variant]Figures `json:"variants"`
 }
 
-// Options are what a run is told.
+// Options sets the phase durations and the seed of the load.
 type Options struct {
 	Steady time.Duration
 	Fault  time.Duration
 	Seed   uint64
 }
 
-// DefaultOptions take about 25 seconds for both variants.
+// DefaultOptions returns the default durations and seed.
 func DefaultOptions() Options {
 	return Options{Steady: 4 * time.Second, Fault: 8 * time.Second, Seed: 1}
 }
 
-// Run measures a scenario, the product first.
+// Run measures a scenario with each variant, the product first.
 func Run(ctx context.Context, name string, o Options) (r Result, err error) {
 	defer func() { err = errors.Wrapf(err, "scenario %s", name) }()
 	s, ok := scenarios[name]
 	if !ok {
-		return r, errors.Errorf("there is no such scenario, there are %s", strings.Join(Names(), ", "))
+		return r, errors.Errorf("unknown scenario, known are %s", strings.Join(Names(), ", "))
 	}
 	r = Result{
-		Scenario: name, CapacityRPS: capacity, OfferedRPS: capacity * steadyShare * s.factor(),
+		Scenario: name, CapacityRPS: capacityRPS, OfferedRPS: capacityRPS * steadyLoadFraction * s.offeredFactor(),
 		FaultS: o.Fault.Seconds(), Variants: map[Variant]Figures{},
 	}
 	for _, v := range []Variant{VariantProduct, VariantBaseline} {
@@ -102,38 +102,38 @@
 	return r, nil
 }
 
-// steadyShare is the steady load as a share of the capacity.
-const steadyShare = 0.5
+// steadyLoadFraction is the steady load as a fraction of the capacity.
+const steadyLoadFraction = 0.5
 
-// Names returns the scenarios.
+// Names returns the names of the scenarios in alphabetical order.
 func Names() []string { return slices.Sorted(maps.Keys(scenarios)) }
 
-// stage is what a scenario acts on.
-type stage struct {
+// environment holds the running deployment into which a scenario injects its fault.
+type environment struct {
 	ctx       context.Context
 	standin   *standin.Standin
 	entries   *cluster.Entries
 	balancer  *load.Balancer
 	partition *partition
 	collector *collector
-	more      func(factor float64, d time.Duration) // adds load
+	addLoad   func(factor float64, d time.Duration) // adds load for d
 }
 
 func runVariant(ctx context.Context, s scenario, v Variant, o Options) (f Figures, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	so := standin.DefaultOptions()
-	so.Seed, so.Slots = o.Seed, slots
-	st, err := standin.New("scenario", rows(), so)
+	so.Seed, so.Slots = o.Seed, slotsPerServer
+	st, err := standin.New("scenario", tableRows(), so)
 	if err != nil {
 		return f, err
 	}
 	defer st.Close()
 	p := newPartition(st)
 	b := load.NewBalancer()
-	entries := cluster.New(st, b, cluster.WithGateway(gatewayOf(v)), cluster.WithEntryOptions(func(zone string) []entry.Option {
+	entries := cluster.New(st, b, cluster.WithGatewaySettings(gatewaySettings(v)), cluster.WithEntryOptions(func(zone string) []entry.Option {
 		return []entry.Option{entry.WithDial(p.dial(zone))}
-	}), cluster.WithOnStart(p.add))
+	}), cluster.WithOnStart(p.addEntry))
 	defer entries.CloseAll()
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -144,32 +144,32 @@
 			return f, err
 		}
 	}
-	for b.Ready() < zones && ctx.Err() == nil {
+	for b.ReadyCount() < zones && ctx.Err() == nil {
 		time.Sleep(20 * time.Millisecond)
 	}
-	if err := apply(ctx, entries, st); err != nil {
+	if err := applyTable(ctx, entries, st); err != nil {
 		return f, err
 	}
-	time.Sleep(time.Second) // the first probes
-	return measure(ctx, s, o, &stage{ctx: ctx, standin: st, entries: entries, balancer: b, partition: p, collector: newCollector(st.Checker)}, &background)
+	time.Sleep(time.Second) // lets the first health probes finish
+	return measure(ctx, s, o, &environment{ctx: ctx, standin: st, entries: entries, balancer: b, partition: p, collector: newCollector(st.Checker)}, &background)
 }
 
-// apply writes the deployment's table.
-func apply(ctx context.Context, entries *cluster.Entries, st *standin.Standin) error {
+// applyTable writes the deployment's rows through the operators' API.
+func applyTable(ctx context.Context, entries *cluster.Entries, st *standin.Standin) error {
 	q := api.EditRequest{ID: "scenario", Reason: "the scenario's table"}
 	for _, r := range st.Table.Stored() {
 		q.Changes = append(q.Changes, api.RowChange{Kind: string(r.Key.Kind), Name: r.Key.Name, Value: r.Value})
 	}
-	_, err := entries.Any().Edit(ctx, q)
+	_, err := entries.AnyClient().Edit(ctx, q)
 	return err
 }
 
-// streams are the load at a factor of the steady one.
-func streams(factor float64) (out []load.Stream) {
+// newStreams returns the load at a factor of the steady load.
+func newStreams(factor float64) (out []load.Stream) {
 	for _, name := range slices.Sorted(maps.Keys(routes)) {
 		s := load.Stream{
-			Route: name, Row: routes[name], WorkUs: workUs, Bytes: 600, BodyBytes: 300,
-			PerSecond: capacity * steadyShare * shares[name] * factor, Lesson: 2 * time.Second,
+			Route: name, Row: routes[name], WorkUs: workUs, ResponseBytes: 600, BodyBytes: 300,
+			PerSecond: capacityRPS * steadyLoadFraction * loadShares[name] * factor, LiveDuration: 2 * time.Second,
 		}
 		if s.Row.Class == schema.ClassLive {
 			s.PerSecond = 4
@@ -179,31 +179,31 @@
 	return out
 }
 
-// measure runs both phases.
-func measure(ctx context.Context, s scenario, o Options, st *stage, background *sync.WaitGroup) (f Figures, err error) {
+// measure runs both phases and returns the figures.
+func measure(ctx context.Context, s scenario, o Options, st *environment, background *sync.WaitGroup) (f Figures, err error) {
 	c := st.collector
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var loads sync.WaitGroup
 	generate := func(ctx context.Context, name string, factor float64, seed uint64) {
-		loads.Go(func() { load.NewGenerator(st.balancer, c, name, seed).Run(ctx, streams(factor)) })
+		loads.Go(func() { load.NewGenerator(st.balancer, c, name, seed).Run(ctx, newStreams(factor)) })
 	}
 	generate(loadCtx, "base", 1, o.Seed)
-	st.more = func(factor float64, d time.Duration) {
-		moreCtx, cancel := context.WithTimeout(loadCtx, d)
-		background.Go(func() { <-moreCtx.Done(); cancel() })
-		generate(moreCtx, fmt.Sprintf("more-%d", time.Now().UnixNano()), factor, o.Seed+1)
+	st.addLoad = func(factor float64, d time.Duration) {
+		addedCtx, cancel := context.WithTimeout(loadCtx, d)
+		background.Go(func() { <-addedCtx.Done(); cancel() })
+		generate(addedCtx, fmt.Sprintf("more-%d", time.Now().UnixNano()), factor, o.Seed+1)
 	}
-	wait(ctx, o.Steady)
-	before := st.standin.Checker.Requests()
-	c.beginFault()
-	if err := s.act(st, o.Fault); err != nil {
+	sleep(ctx, o.Steady)
+	before := st.standin.Checker.StartedRequests()
+	c.beginFaultPhase()
+	if err := s.inject(st, o.Fault); err != nil {
 		return f, err
 	}
-	wait(ctx, time.Until(c.began.Add(o.Fault)))
+	sleep(ctx, time.Until(c.faultStart.Add(o.Fault)))
 	stopLoad()
 	loads.Wait()
-	f = c.figures(o.Fault, st.standin.Checker.Requests()-before)
+	f = c.figures(o.Fault, st.standin.Checker.StartedRequests()-before)
 	f.RSSMB = residentMB()
 	r := st.standin.Checker.Report()
 	f.WrongAnswers, f.OnceRanTwice, f.NotRunButRan, f.CutOff = r.WrongAnswers+r.Truncated, r.OnceRanTwice, r.NotRunButRan, r.CutOff
@@ -211,37 +211,37 @@
 	return f, ctx.Err()
 }
 
-func wait(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
 	}
 }
 
-// figures works out the results of the fault phase.
-func (c *collector) figures(d time.Duration, atServers int) (f Figures) {
+// figures computes the results of the fault phase and stops collecting.
+func (c *collector) figures(d time.Duration, backendRequests int) (f Figures) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	f = Figures{
 		ByClass: map[schema.Class]ClassFigures{}, ShedByClass: map[schema.Class]int{},
 		P50Ms: quantile(c.fault, 50), P99Ms: quantile(c.fault, 99), P999Ms: quantile(c.fault, 99.9),
-		StruckByFault: c.struck, NotRunReasons: maps.Clone(c.reasons),
+		CutOffByFault: c.cutOffByFault, NotRunReasons: maps.Clone(c.notRunReasons),
 	}
 	sent, good := 0, 0
-	for name, cl := range c.fault.classes {
+	for name, results := range c.fault.classes {
 		f.ByClass[name] = ClassFigures{
-			Requests: cl.requests, Good: cl.good, Shed: cl.shed,
-			P50Ms: float64(cl.latency.ValueAtQuantile(50)) / 1000, P99Ms: float64(cl.latency.ValueAtQuantile(99)) / 1000,
+			Requests: results.requests, Good: results.good, Shed: results.shed,
+			P50Ms: float64(results.latency.ValueAtQuantile(50)) / 1000, P99Ms: float64(results.latency.ValueAtQuantile(99)) / 1000,
 			SteadyP99Ms: float64(c.steady.class(name).latency.ValueAtQuantile(99)) / 1000,
 		}
-		f.ShedByClass[name] = cl.shed
-		sent += cl.requests
-		good += cl.good
+		f.ShedByClass[name] = results.shed
+		sent += results.requests
+		good += results.good
 	}
 	f.GoodputRPS = float64(good) / d.Seconds()
 	if sent > 0 {
-		f.RetriesRatio = float64(atServers) / float64(sent)
+		f.RetriesRatio = float64(backendRequests) / float64(sent)
 	}
 	for _, q := range []float64{1, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 100} {
 		f.Distribution = append(f.Distribution, Bucket{Ms: quantile(c.fault, q), Quantile: q})
@@ -254,7 +254,7 @@
 
 func quantile(p *phase, q float64) float64 { return float64(p.all.ValueAtQuantile(q)) / 1000 }
 
-// residentMB returns the resident memory of this process.
+// residentMB returns the resident memory of this process in MB, 0 if it is unavailable.
 func residentMB() float64 {
 	raw, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -268,60 +268,61 @@
 	return float64(pages*os.Getpagesize()) / (1 << 20)
 }
 
-// partition cuts zones off from each other: connections between them break and cannot be opened.
+// partition simulates a network partition between one zone and the others: existing
+// connections are closed and new ones fail.
 type partition struct {
-	zoneOf map[string]string // by address
+	zoneOf map[string]string // zone by address
 
-	mu    sync.Mutex
-	cut   string // zone that is cut off from the others
-	conns map[net.Conn]string
+	mu        sync.Mutex
+	isolated  string              // zone cut off from the others, "" for none
+	crossZone map[net.Conn]string // open connections between zones, with the names of both
 }
 
 func newPartition(st *standin.Standin) *partition {
-	p := &partition{zoneOf: map[string]string{}, conns: map[net.Conn]string{}}
+	p := &partition{zoneOf: map[string]string{}, crossZone: map[net.Conn]string{}}
 	for name, vm := range st.Table.VMs {
 		p.zoneOf[vm.Value.Address] = st.Table.ZoneOf(name)
 	}
 	return p
 }
 
-// add tells where an entry is.
-func (p *partition) add(zone, address string) {
+// addEntry registers the zone of an entry's peer address.
+func (p *partition) addEntry(zone, address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.zoneOf[address] = zone
 }
 
-// dial returns the way of opening connections from a zone.
+// dial returns the dial function of entries in a zone.
 func (p *partition) dial(from string) entry.Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		p.mu.Lock()
 		to := p.zoneOf[addr]
-		apart := from != to && p.cut != "" && (from == p.cut || to == p.cut)
+		blocked := from != to && p.isolated != "" && (from == p.isolated || to == p.isolated)
 		p.mu.Unlock()
-		if apart {
-			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("the zone is cut off")}
+		if blocked {
+			return nil, &net.OpError{Op: "dial", Net: network, Err: errors.New("zone is partitioned")}
 		}
 		var d net.Dialer
 		conn, err := d.DialContext(ctx, network, addr)
 		if err == nil && from != to {
 			p.mu.Lock()
-			p.conns[conn] = from + " " + to
+			p.crossZone[conn] = from + " " + to
 			p.mu.Unlock()
 		}
 		return conn, err
 	}
 }
 
-// set cuts a zone off, or none.
-func (p *partition) set(zone string) {
+// isolate partitions a zone from the others; "" ends the partition.
+func (p *partition) isolate(zone string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.cut = zone
-	for conn, between := range p.conns {
-		if zone != "" && strings.Contains(between, zone) {
+	p.isolated = zone
+	for conn, zonePair := range p.crossZone {
+		if zone != "" && strings.Contains(zonePair, zone) {
 			_ = conn.Close()
-			delete(p.conns, conn)
+			delete(p.crossZone, conn)
 		}
 	}
 }
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -518,7 +518,7 @@
 		"drains are not awaited":     {skipDrainWait: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -257,7 +257,7 @@
 		"announcements of former holders hidden": func(rows platform.Rows) platform.Rows { return hiddenAnnouncements{rows} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := prop.Finds(t, orderGapProperty(func(m *orderGapMachine) {
+			found := prop.FindsFailure(t, orderGapProperty(func(m *orderGapMachine) {
 				whole := m.s.rowsOf
 				m.s.rowsOf = func(entry string, rows platform.Rows) platform.Rows { return breaks(whole(entry, rows)) }
 			}))
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -172,7 +172,7 @@
 
 // TestMutations removes the condition that a key is new and expects the property to fail.
 func TestMutations(t *testing.T) {
-	qt.Assert(t, prop.Finds(t, func(rt *rapid.T) {
+	qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) {
 		machine(rt, func(t platform.Table) platform.Table { return unconditional{t} })
 	}), qt.IsTrue)
 }
--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -259,7 +259,7 @@
 // TestPath checks that outcomes are true, responses complete and not mixed up, and requests
 // with one run at most never run twice. It does not depend on timing.
 func TestPath(t *testing.T) {
-	prop.CheckReal(t, 25, func(rt *rapid.T) { pathMachine(rt, unmodified) })
+	prop.CheckRealTime(t, 25, func(rt *rapid.T) { pathMachine(rt, unmodified) })
 }
 
 // TestPathMutations breaks one guarantee at a time and expects the property to fail.
@@ -313,7 +313,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.FindsReal(t, func(rt *rapid.T) { pathMachine(rt, s) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailureRealTime(t, func(rt *rapid.T) { pathMachine(rt, s) }), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -85,7 +85,7 @@
 		"unknown outcome reported as not done": func(t platform.Table) platform.Table { return misreporting{t} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.Finds(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/shard/concurrent_owners_test.go
+++ b/pkg/shard/concurrent_owners_test.go
@@ -56,5 +56,5 @@
 	plant := func(e *testCluster) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool { return true }
 	}
-	qt.Assert(t, prop.Finds(t, concurrentOwners(plant)), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, concurrentOwners(plant)), qt.IsTrue)
 }
--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -49,7 +49,7 @@
 	plant := func(e *testCluster) {
 		e.wrapRows = func(r platform.Rows) platform.Rows { return withoutLosses{r} }
 	}
-	qt.Assert(t, prop.Finds(t, crashes(plant)), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, crashes(plant)), qt.IsTrue)
 }
 
 // withoutLosses hides the recorded losses of tasks.
--- a/pkg/shard/innocent_test.go
+++ b/pkg/shard/innocent_test.go
@@ -8,12 +8,12 @@
 
 // TestInnocentBesideSilence guards against failing a job because of workers that were only silent:
 // their losses are no proof against its task.
-func TestInnocentBesideSilence(t *testing.T) { prop.Once(t, 2142713, crashes(nil)) }
+func TestInnocentBesideSilence(t *testing.T) { prop.CheckSeed(t, 2142713, crashes(nil)) }
 
 // TestTrialSurvivesTakeover guards against an owner that adopts an attempt on trial and starts a
 // crashing task beside it, whose loss was then counted against the task on trial.
-func TestTrialSurvivesTakeover(t *testing.T) { prop.Once(t, 14215917, restarts(nil)) }
+func TestTrialSurvivesTakeover(t *testing.T) { prop.CheckSeed(t, 14215917, restarts(nil)) }
 
 // TestMostWorkersDown guards against losses that are forgotten because their owner releases the shard,
 // or is lost, before they are stored: a task crashed more workers than allowed.
-func TestMostWorkersDown(t *testing.T) { prop.Once(t, 190819, crashes(nil)) }
+func TestMostWorkersDown(t *testing.T) { prop.CheckSeed(t, 190819, crashes(nil)) }
--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -42,7 +42,7 @@
 // scenarioLog returns what the owners of a scenario log in its first run.
 func scenarioLog(t *testing.T, seed uint64, course func(func(*testCluster)) func(*rapid.T)) string {
 	var first *testCluster
-	prop.Play(t, seed, course(func(e *testCluster) {
+	prop.Replay(t, seed, course(func(e *testCluster) {
 		if first == nil {
 			first = e
 		}
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -100,7 +100,7 @@
 			}
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, restarts(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, restarts(plant)), qt.IsTrue) })
 	}
 }
 
@@ -180,5 +180,5 @@
 func TestStartInFirstMillisecondDrawn(t *testing.T) {
 	defer func(before uint64) { *salt = before }(*salt)
 	*salt = 18
-	prop.Once(t, 39651348, restarts(nil))
+	prop.CheckSeed(t, 39651348, restarts(nil))
 }
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -330,7 +330,7 @@
 
 // TestLimitOfCancelledJob replays a run in which an account exceeded its limit; see
 // testdata/limit_counts_cancelled.
-func TestLimitOfCancelledJob(t *testing.T) { prop.Once(t, 4888604, ownerScenario(nil)) }
+func TestLimitOfCancelledJob(t *testing.T) { prop.CheckSeed(t, 4888604, ownerScenario(nil)) }
 
 // TestOwnerFindsPlanted checks that the scenarios detect injected bugs: orders without fencing, ends
 // acknowledged before they are stored, transactions without preconditions and forgotten shares.
@@ -349,6 +349,6 @@
 			e.wrapRows = func(r platform.Rows) platform.Rows { return withoutShares{r} }
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.Finds(t, ownerScenario(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, ownerScenario(plant)), qt.IsTrue) })
 	}
 }
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -148,5 +148,5 @@
 
 // TestSuspendedFindsPlanted checks that it detects owners whose clock does not count suspended time.
 func TestSuspendedFindsPlanted(t *testing.T) {
-	qt.Assert(t, prop.Finds(t, suspensions(func(e *testCluster) { e.steadyClockOnly = true })), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, suspensions(func(e *testCluster) { e.steadyClockOnly = true })), qt.IsTrue)
 }
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -39,4 +39,4 @@
 }
 
 // TestReplacedOwnerAtNextBootDrawn runs a random sequence that showed the same failure.
-func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.Once(t, 94954, restarts(nil)) }
+func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.CheckSeed(t, 94954, restarts(nil)) }
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -145,7 +145,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			plant := func(e *testCluster) { e.zones.wrapReport = wrap }
-			qt.Assert(t, prop.Finds(t, evacuations(plant)), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, evacuations(plant)), qt.IsTrue)
 		})
 	}
 }
