--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -167,7 +167,7 @@
 
 // Handlers are the HTTP handlers of the node's listeners.
 type Handlers struct {
-	Callers   http.Handler // serves clients
+	JobAPI   http.Handler // serves clients
 	Readiness http.Handler // serves the load balancer's checks
 }
 
@@ -182,7 +182,7 @@
 	if err != nil {
 		return err
 	}
-	callers, err := listenHTTP(n.settings.Callers, n.closeConnUnlessReady(h.Callers))
+	callers, err := listenHTTP(n.settings.Callers, n.closeConnUnlessReady(h.JobAPI))
 	if err != nil {
 		return err
 	}
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -159,7 +159,7 @@
 		done := make(chan error, 1)
 		ended[name] = done
 		go func() {
-			done <- n.Run(Handlers{Callers: http.NotFoundHandler(), Readiness: http.NotFoundHandler()})
+			done <- n.Run(Handlers{JobAPI: http.NotFoundHandler(), Readiness: http.NotFoundHandler()})
 		}()
 	}
 	for name, n := range nodes {
--- a/pkg/node/recover_test.go
+++ b/pkg/node/recover_test.go
@@ -30,7 +30,7 @@
 		_, _ = io.WriteString(w, "whole answer")
 	})
 	ended := make(chan error, 1)
-	go func() { ended <- n.Run(Handlers{Callers: slow, Readiness: http.NotFoundHandler()}) }()
+	go func() { ended <- n.Run(Handlers{JobAPI: slow, Readiness: http.NotFoundHandler()}) }()
 	eventually(c, "the node listens", func() bool { return listens(n.settings.Callers) })
 
 	answer := make(chan string, 1)
@@ -61,7 +61,7 @@
 	n := newTestNode(c, "e0", "127.0.0.22", services{Rows: rows.As("e0")})
 	hello := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "hello") })
 	ended := make(chan error, 1)
-	go func() { ended <- n.Run(Handlers{Callers: hello, Readiness: http.NotFoundHandler()}) }()
+	go func() { ended <- n.Run(Handlers{JobAPI: hello, Readiness: http.NotFoundHandler()}) }()
 	eventually(c, "the node is ready", func() bool { ready, _ := n.Ready(); return ready && listens(n.settings.Callers) })
 	conn, err := net.Dial("tcp", n.settings.Callers)
 	c.Assert(err, qt.IsNil)
