--- a/cmd/gannetwelld/cmds/serve.go
+++ b/cmd/gannetwelld/cmds/serve.go
@@ -77,7 +77,7 @@
 		DecodeEvacuation: platform.DecodeEvacuation, DecodeWave: platform.DecodeWave, EncodeWave: platform.EncodeWaveReport,
 	}, log)
 	handleSignals(n.Stop, func() { c.reload(s, log) })
-	return n.Run(node.Handlers{JobAPI: platform.CallerHandler(n), Readiness: platform.ReadinessHandler(n)})
+	return n.Run(node.Handlers{JobAPI: platform.JobAPIHandler(n), Readiness: platform.ReadinessHandler(n)})
 }
 
 // maxProcs returns the GOMAXPROCS value for a CPU share, in cores. With more
