--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -11,8 +11,8 @@
 	AdmissionGranted Admission = "granted"
 	// AdmissionUnknownKey rejects a missing key, or one that no account has.
 	AdmissionUnknownKey Admission = "unknown_key"
-	// AdmissionUnsure rejects a key that may be newer than the configuration known here.
-	AdmissionUnsure Admission = "unsure"
+	// AdmissionUndetermined rejects a key that may be newer than the configuration known here.
+	AdmissionUndetermined Admission = "unsure"
 )
 
 // Admit looks up the account of a client's key, which is empty for none. While the table service
@@ -24,7 +24,7 @@
 	case ok:
 		return account, AdmissionGranted
 	case key != "" && !n.rows.answering():
-		a = AdmissionUnsure
+		a = AdmissionUndetermined
 	default:
 		a = AdmissionUnknownKey
 	}
