--- a/pkg/entry/adapters.go
+++ b/pkg/entry/adapters.go
@@ -52,7 +52,7 @@
 	before := 0
 	for _, k := range e.peers.Statuses() {
 		s := k.State
-		if s.Zone == e.settings.Zone && !s.Stopping && s.Name < e.settings.Name && time.Since(k.Heard) < recent {
+		if s.Zone == e.settings.Zone && !s.Stopping && s.Name < e.settings.Name && time.Since(k.LastContact) < recent {
 			before++
 		}
 	}
@@ -133,8 +133,8 @@
 	}
 	for _, k := range e.peers.Statuses() {
 		lastHeardMs := -1
-		if !k.Heard.IsZero() {
-			lastHeardMs = int(time.Since(k.Heard).Milliseconds())
+		if !k.LastContact.IsZero() {
+			lastHeardMs = int(time.Since(k.LastContact).Milliseconds())
 		}
 		state := k.State
 		state.Address = k.Address
--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -13,7 +13,7 @@
 // exchange sends a peer the table entries that it lacks and applies those in its reply.
 func (p *Peers) exchange(ctx context.Context, l *link, drains []string) (reply *schema.PeerReply, err error) {
 	p.mu.Lock()
-	theirs, heard := l.status.State.Revision, !l.status.Heard.IsZero()
+	theirs, heard := l.status.State.Revision, !l.status.LastContact.IsZero()
 	p.mu.Unlock()
 	q := &schema.PeerRequest{From: p.Self(), Drains: drains}
 	if heard {
@@ -33,13 +33,13 @@
 func (p *Peers) recordExchange(l *link, reply *schema.PeerReply, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if (err == nil) != (l.status.Err == nil) || l.status.Heard.IsZero() && err == nil {
+	if (err == nil) != (l.status.Err == nil) || l.status.LastContact.IsZero() && err == nil {
 		p.log.Info().Str("event", "peer_reached").Bool("reached", err == nil).Str("peer", l.status.Address).Err(err).Send()
 	}
 	l.status.Err = err
 	if err == nil {
 		l.status.State = reply.From
-		l.status.Heard = time.Now()
+		l.status.LastContact = time.Now()
 	}
 }
 
@@ -110,7 +110,7 @@
 		return
 	}
 	l.status.State = s
-	l.status.Heard = time.Now()
+	l.status.LastContact = time.Now()
 }
 
 func snapshotOf(s *table.Snapshot) *schema.PeerSnapshot {
--- a/pkg/membership/inflight.go
+++ b/pkg/membership/inflight.go
@@ -42,7 +42,7 @@
 	p.mu.Lock()
 	status := l.status
 	p.mu.Unlock()
-	answer := EntryInFlight{Entry: status.State.Name, Address: status.Address, Heard: status.Heard, Counts: map[string]int{}}
+	answer := EntryInFlight{Entry: status.State.Name, Address: status.Address, Heard: status.LastContact, Counts: map[string]int{}}
 	if answer.Entry == "" {
 		answer.Entry = status.Address
 	}
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -36,7 +36,7 @@
 type PeerStatus struct {
 	Address string
 	State   schema.PeerState // zero until the peer is first heard
-	Heard   time.Time        // last answer or request, zero for never
+	LastContact   time.Time        // last answer or request, zero for never
 	Err     error            // of the last exchange, nil if it succeeded
 }
 
@@ -138,7 +138,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, l := range p.links {
-		if !slices.Contains(addresses, addr) && time.Since(l.status.Heard) > linkRetention {
+		if !slices.Contains(addresses, addr) && time.Since(l.status.LastContact) > linkRetention {
 			p.remove(addr, l)
 		}
 	}
