--- a/pkg/entry/adapters.go
+++ b/pkg/entry/adapters.go
@@ -112,7 +112,7 @@
 		return replies
 	}
 	return slices.DeleteFunc(replies, func(a membership.EntryInFlight) bool {
-		return !a.Reached && a.Heard.UnixMilli() < list.AsOfMs && !slices.ContainsFunc(list.VMs, func(vm platform.ListedVM) bool {
+		return !a.Reached && a.LastContact.UnixMilli() < list.AsOfMs && !slices.ContainsFunc(list.VMs, func(vm platform.ListedVM) bool {
 			return vm.State != platform.VMGone && (vm.Address == a.Address || vm.Name == a.Entry)
 		})
 	})
--- a/pkg/membership/inflight.go
+++ b/pkg/membership/inflight.go
@@ -12,7 +12,7 @@
 	Entry    string         // name, or address while the name is unknown
 	Address  string         // of its peer listener
 	Reached  bool           // it answered
-	Heard    time.Time      // last answer or request before this one, zero for never
+	LastContact    time.Time      // last answer or request before this one, zero for never
 	Revision int            // of the entry's table when it counted
 	Counts   map[string]int // by VM
 }
@@ -42,7 +42,7 @@
 	p.mu.Lock()
 	status := l.status
 	p.mu.Unlock()
-	answer := EntryInFlight{Entry: status.State.Name, Address: status.Address, Heard: status.LastContact, Counts: map[string]int{}}
+	answer := EntryInFlight{Entry: status.State.Name, Address: status.Address, LastContact: status.LastContact, Counts: map[string]int{}}
 	if answer.Entry == "" {
 		answer.Entry = status.Address
 	}
