--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -41,7 +41,7 @@
 	return n.answerLocal(ctx, o, q)
 }
 
-func askerOf(q *schema.Call) shard.Requester {
+func requesterOf(q *schema.Call) shard.Requester {
 	return shard.Requester{Account: q.Account, Operator: q.Operator}
 }
 
@@ -56,10 +56,10 @@
 		}
 		return &schema.CallReply{Outcome: o.Submit(ctx, q.Job, record)}
 	case schema.CallKindState:
-		state, out := o.State(q.Job, askerOf(q))
+		state, out := o.State(q.Job, requesterOf(q))
 		return &schema.CallReply{Outcome: out, State: string(state)}
 	case schema.CallKindCancel:
-		return &schema.CallReply{Outcome: o.Cancel(ctx, q.Job, askerOf(q))}
+		return &schema.CallReply{Outcome: o.Cancel(ctx, q.Job, requesterOf(q))}
 	case schema.CallKindWaiting:
 		waiting, out := o.Waiting(q.Queue)
 		return &schema.CallReply{Outcome: out, Waiting: waiting}
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -20,9 +20,9 @@
 	// ownerWait is how long an internal call waits for a shard to get an owner, long enough
 	// for a handover.
 	ownerWait = 120 * time.Millisecond
-	// callerWait is how long a client's request waits for an owner that accepts it, long
+	// clientWait is how long a client's request waits for an owner that accepts it, long
 	// enough for the takeover from an owner that has failed.
-	callerWait = 2 * time.Second
+	clientWait = 2 * time.Second
 	// ownerRetryInterval is the time before an owner that could not accept a request is asked
 	// again, unless the shard gets a new owner earlier.
 	ownerRetryInterval = 150 * time.Millisecond
@@ -127,7 +127,7 @@
 	if !n.newOwnerExpected() {
 		return n.callOwnerWithin(ctx, q, ownerWait)
 	}
-	return n.callOwnerWithin(ctx, q, callerWait)
+	return n.callOwnerWithin(ctx, q, clientWait)
 }
 
 // cancelAtStop returns a context that also ends when a planned stop cancels open requests. The
--- a/pkg/node/directory_test.go
+++ b/pkg/node/directory_test.go
@@ -12,14 +12,14 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// pages is a busy table service with up to 500 changed rows per answer.
-type pages struct {
+// pagedRows is a busy table service with up to 500 changed rows per answer.
+type pagedRows struct {
 	platform.Rows
 	left  int
 	calls int
 }
 
-func (p *pages) FollowRows(ctx context.Context, _ string, after int64, wait time.Duration) (page platform.RowPage, err error) {
+func (p *pagedRows) FollowRows(ctx context.Context, _ string, after int64, wait time.Duration) (page platform.RowPage, err error) {
 	p.calls++
 	n := min(500, p.left)
 	if n == 0 {
@@ -39,7 +39,7 @@
 func TestFullPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		rows := &pages{left: 2200}
+		rows := &pagedRows{left: 2200}
 		n := New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{Rows: rows}, source(), testLog())
 		ctx, cancel := context.WithCancel(context.Background())
 		applied, passed := 0, 0
--- a/pkg/node/local.go
+++ b/pkg/node/local.go
@@ -31,5 +31,5 @@
 // CatalogNewer implements ownership.Local.
 func (l local) CatalogNewer(c *peer.Caller, version int64) { l.fetchCatalog(c, version) }
 
-// OwnerNews implements ownership.Local.
-func (l local) OwnerNews(pool string, r platform.Row) { l.ownership.ApplyOwner(pool, r) }
+// OwnerRowReported implements ownership.Local.
+func (l local) OwnerRowReported(pool string, r platform.Row) { l.ownership.ApplyOwner(pool, r) }
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -24,7 +24,7 @@
 	leaseRenewals   *prometheus.CounterVec
 	orders          *prometheus.CounterVec
 	attemptEnds     *prometheus.CounterVec
-	repeatedEnds    prometheus.Counter
+	staleEnds    prometheus.Counter
 	losses          *prometheus.CounterVec
 	jobs            *prometheus.CounterVec
 	keysRefused     *prometheus.CounterVec
@@ -54,7 +54,7 @@
 		leaseRenewals: counter("gannetwell_looks_total", "Renewals of leases at workers by outcome."),
 		orders:        counter("gannetwell_orders_total", "Starts and stops ordered at workers by outcome."),
 		attemptEnds:   counter("gannetwell_ends_total", "Ends of attempts by reason."),
-		repeatedEnds: prometheus.NewCounter(prometheus.CounterOpts{
+		staleEnds: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "gannetwell_ends_passed_over_total", Help: "Ends that workers listed though they were told to forget them.",
 		}),
 		losses:      counter("gannetwell_attempts_lost_total", "Attempts that were lost, by how."),
@@ -75,7 +75,7 @@
 		}),
 		labelledAccounts: map[string]bool{},
 	}
-	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.repeatedEnds, m.losses, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
+	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.staleEnds, m.losses, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
 	return m
 }
 
@@ -102,7 +102,7 @@
 func (m *metrics) End(reason platform.EndReason) { m.attemptEnds.WithLabelValues(string(reason)).Inc() }
 
 // EndPassedOver implements shard.Metrics.
-func (m *metrics) StaleEnd() { m.repeatedEnds.Inc() }
+func (m *metrics) StaleEnd() { m.staleEnds.Inc() }
 
 // AttemptLost implements shard.Metrics.
 func (m *metrics) AttemptLost(kind shard.LossKind) { m.losses.WithLabelValues(string(kind)).Inc() }
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -62,14 +62,14 @@
 	return nil, 0, errors.New("there is no advice service")
 }
 
-// idleWitness ignores all events of the workers.
-type idleWitness struct{}
+// noopObserver ignores all events of the workers.
+type noopObserver struct{}
 
-func (idleWitness) Started(string, string, int64)                   {}
-func (idleWitness) Ended(string, string, int64, platform.EndReason) {}
-func (idleWitness) Overcommitted(string, string)                    {}
-func (idleWitness) Crashed(string, string)                          {}
-func (idleWitness) Acked(string, string, platform.EndReason)        {}
+func (noopObserver) Started(string, string, int64)                   {}
+func (noopObserver) Ended(string, string, int64, platform.EndReason) {}
+func (noopObserver) Overcommitted(string, string)                    {}
+func (noopObserver) Crashed(string, string)                          {}
+func (noopObserver) Acked(string, string, platform.EndReason)        {}
 
 // source decodes rows that the test writes as JSON.
 func source() Source {
@@ -134,7 +134,7 @@
 	work := func(string, string) fake.Work {
 		return fake.Work{Needs: platform.Resources{CPU: 500}, Duration: 50 * time.Millisecond}
 	}
-	workers := fake.NewWorkers(time.Millisecond, time.Second, 10*time.Millisecond, work, idleWitness{})
+	workers := fake.NewWorkers(time.Millisecond, time.Second, 10*time.Millisecond, work, noopObserver{})
 	var boots []platform.Worker
 	for i := range 3 {
 		name := fmt.Sprintf("w%d", i)
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -72,7 +72,7 @@
 func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Drain: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
+		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
 		Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat)
@@ -100,8 +100,8 @@
 	return waves
 }
 
-// emptyVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
-func (n *Node) emptyVM(ctx context.Context, pool, vm string) (empty bool) {
+// drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
+func (n *Node) drainVM(ctx context.Context, pool, vm string) (empty bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	reply := n.callOwner(ctx, &schema.Call{Kind: schema.CallKindEmpty, Pool: pool, VM: vm})
--- a/pkg/ownership/liveness_test.go
+++ b/pkg/ownership/liveness_test.go
@@ -28,7 +28,7 @@
 func (h fixedEntry) StoreAnsweredFor() time.Duration     { return h.storeFor }
 func (fixedEntry) EntryChanged()                         {}
 func (fixedEntry) CatalogNewer(*peer.Caller, int64)      {}
-func (fixedEntry) OwnerNews(pool string, r platform.Row) {}
+func (fixedEntry) OwnerRowReported(pool string, r platform.Row) {}
 
 // TestOwnerStatus runs testdata/judge: given what was heard of the other entries, the status of an
 // owner and whether its shard is claimed.
--- a/pkg/ownership/members.go
+++ b/pkg/ownership/members.go
@@ -80,8 +80,8 @@
 	EntryChanged()
 	// CatalogNewer is called when a peer reports a newer configuration.
 	CatalogNewer(c *peer.Caller, version int64)
-	// OwnerNews is called with an owner row that a peer reports.
-	OwnerNews(pool string, r platform.Row)
+	// OwnerRowReported is called with an owner row that a peer reports.
+	OwnerRowReported(pool string, r platform.Row)
 }
 
 // NewMembers returns the tracker of the entry self; it knows no other entries yet.
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -115,11 +115,11 @@
 	if !late.owns {
 		return
 	}
-	asked := 0
+	pinged := 0
 	for _, p := range m.peers { // map order is random
-		if p != late && asked < peerSampleSize {
+		if p != late && pinged < peerSampleSize {
 			p.pingNow()
-			asked++
+			pinged++
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		return !timedOut && errors.As(err, new(peer.ErrLinkLost))
 	}
 	for _, o := range reply.Owners {
-		m.local.OwnerNews(o.Pool, shard.OwnerRowFromNews(o))
+		m.local.OwnerRowReported(o.Pool, shard.OwnerRowFromNews(o))
 	}
 	if int64(reply.CatalogVersion) > version {
 		m.local.CatalogNewer(p.caller, int64(reply.CatalogVersion))
--- a/service/server/server.go
+++ b/service/server/server.go
@@ -198,7 +198,7 @@
 	var answer apiError
 	var conflict table.ErrConflict
 	var rejected table.ErrRejected
-	var unsettled replica.ErrOutcomeUnknown
+	var outcomeUnknown replica.ErrOutcomeUnknown
 	var httpErr *echo.HTTPError
 	switch {
 	case errors.As(err, &answer):
@@ -210,8 +210,8 @@
 		answer.body.Problems = api.FromProblems(rejected.Problems)
 	case errors.As(err, new(table.ErrNoChange)):
 		answer = newAPIError(http.StatusUnprocessableEntity, api.ErrorCodeNoChange, err.Error()).(apiError)
-	case errors.As(err, &unsettled):
-		answer = newAPIError(http.StatusGatewayTimeout, api.ErrorCodeUnknown, unsettled.Error()).(apiError)
+	case errors.As(err, &outcomeUnknown):
+		answer = newAPIError(http.StatusGatewayTimeout, api.ErrorCodeUnknown, outcomeUnknown.Error()).(apiError)
 	case platform.IsNotDone(err):
 		answer = newAPIError(http.StatusServiceUnavailable, api.ErrorCodeNotDone, err.Error()).(apiError)
 	case errors.As(err, &httpErr):
