--- a/pkg/elapsed/detector.go
+++ b/pkg/elapsed/detector.go
@@ -76,7 +76,7 @@
 	}
 }
 
-// readClocks reads the boot-time clock and the monotonic clock at practically the same moment; ok
+// readClocks reads the boot-time clock and the monotonic clock at nearly the same time; ok
 // is false if the system has no boot-time clock or each attempt took too long.
 func readClocks() (boot, monotonic time.Duration, ok bool) {
 	for range readAttempts {
--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -10,7 +10,8 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// exchange sends a peer the table entries that it lacks and applies those in its reply.
+// exchange sends a peer the table entries that it lacks and applies those in its reply. It also
+// asks for the peer's requests in flight to the VMs in drains.
 func (p *Peers) exchange(ctx context.Context, l *link, drains []string) (reply *schema.PeerReply, err error) {
 	p.mu.Lock()
 	theirs, heard := l.status.State.Revision, !l.status.LastContact.IsZero()
--- a/pkg/membership/inflight.go
+++ b/pkg/membership/inflight.go
@@ -9,12 +9,12 @@
 
 // EntryInFlight holds the requests that one entry has in flight to some VMs.
 type EntryInFlight struct {
-	Entry    string         // name, or address while the name is unknown
-	Address  string         // of its peer listener
-	Reached  bool           // it answered
-	LastContact    time.Time      // last answer or request before this one, zero for never
-	Revision int            // of the entry's table when it counted
-	Counts   map[string]int // by VM
+	Entry       string         // name, or address while the name is unknown
+	Address     string         // of its peer listener
+	Reached     bool           // it answered
+	LastContact time.Time      // last answer or request before this one, zero for never
+	Revision    int            // of the entry's table when it counted
+	Counts      map[string]int // by VM
 }
 
 // InFlight asks every entry, this one included, for its requests in flight to some VMs.
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -179,8 +179,8 @@
 	c.Assert(store.View("z").Drain(context.Background(), "w2", status.Boot), qt.IsNil)
 	s.ReadZone(context.Background())
 	c.Check(m.list["w1"], qt.IsTrue)
-	_, told := m.list["w2"]
-	c.Check(told, qt.IsFalse, qt.Commentf("the row of w2 is newer than the list"))
+	_, marked := m.list["w2"]
+	c.Check(marked, qt.IsFalse, qt.Commentf("the row of w2 is newer than the list"))
 	store.SetRules(fake.Rule{Op: rest.OpListVMs, Fault: fake.FaultDown})
 	s.ReadList(context.Background())
 	c.Check(m.list["w1"], qt.IsTrue, qt.Commentf("a failed read changes nothing"))
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -34,10 +34,10 @@
 
 // PeerStatus is what an entry knows of a peer.
 type PeerStatus struct {
-	Address string
-	State   schema.PeerState // zero until the peer is first heard
-	LastContact   time.Time        // last answer or request, zero for never
-	Err     error            // of the last exchange, nil if it succeeded
+	Address     string
+	State       schema.PeerState // zero until the peer is first heard
+	LastContact time.Time        // last answer or request, zero for never
+	Err         error            // of the last exchange, nil if it succeeded
 }
 
 // Peers tracks the other entries and exchanges state with them.
@@ -53,7 +53,7 @@
 	onBytes  func(sent, received int)
 
 	clientOpts []peer.ClientOption
-	left       atomic.Bool
+	left       atomic.Bool // Leave was called
 
 	mu        sync.Mutex
 	links     map[string]*link     // by address
@@ -126,8 +126,8 @@
 	return s
 }
 
-// Leave tells every peer that this entry has nothing in flight and accepts no more work, so that no
-// peer waits for it. Its links stay open until Run ends.
+// Leave tells every peer that this entry has nothing in flight and accepts no more requests, so that
+// no peer waits for it. Its links stay open until Run ends.
 func (p *Peers) Leave(ctx context.Context) {
 	p.left.Store(true)
 	p.SyncAll(ctx)
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -16,8 +16,8 @@
 )
 
 // Admit looks up the account of a client's key, which is empty for none. While the table service
-// does not answer, an unknown key may be new, so the client is sent to another entry instead of
-// being told that the key is wrong.
+// does not answer, an unknown key may be new, so the client is asked to retry instead of being
+// told that the key is wrong.
 func (n *Node) Admit(cat *catalog.Catalog, q *catalog.Queue, key string) (account string, a Admission) {
 	account, ok := cat.Admit(q, key)
 	switch {
--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -41,6 +41,7 @@
 	return n.answerLocal(ctx, o, q)
 }
 
+// requesterOf returns the client or operator on whose behalf a call is made.
 func requesterOf(q *schema.Call) shard.Requester {
 	return shard.Requester{Account: q.Account, Operator: q.Operator}
 }
--- a/pkg/node/directory.go
+++ b/pkg/node/directory.go
@@ -10,7 +10,7 @@
 )
 
 // workerPollInterval is the minimum time between two reads of the worker directory, whose rows
-// change with every heartbeat. Workers that leave announce it seconds ahead.
+// change with every heartbeat. Workers announce a shutdown seconds ahead.
 const workerPollInterval = 400 * time.Millisecond
 
 // followWorkers follows the worker directory while this entry owns a shard; only owners need it,
--- a/pkg/node/directory_test.go
+++ b/pkg/node/directory_test.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// pagedRows is a busy table service with up to 500 changed rows per answer.
+// pagedRows is a table service that returns left changed rows, up to 500 per answer.
 type pagedRows struct {
 	platform.Rows
 	left  int
@@ -35,14 +35,14 @@
 	return page, nil
 }
 
-// TestFullPages checks that full pages are read without a pause and passed on once per page.
+// TestFullPages checks that full pages are read without a pause and that onBatch runs once per page.
 func TestFullPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		rows := &pagedRows{left: 2200}
 		n := New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{Rows: rows}, source(), testLog())
 		ctx, cancel := context.WithCancel(context.Background())
-		applied, passed := 0, 0
+		applied, batches := 0, 0
 		began := time.Now()
 		var took time.Duration
 		err := n.follow(ctx, feed{
@@ -50,7 +50,7 @@
 			list:  func(context.Context) (int64, error) { return 1, nil },
 			apply: func(platform.Row) { applied++ },
 			onBatch: func() {
-				passed++
+				batches++
 				if applied == 2200 {
 					took = time.Since(began)
 					cancel()
@@ -58,7 +58,7 @@
 			},
 		})
 		c.Assert(err, qt.IsNil)
-		c.Check(passed, qt.Equals, 5)
+		c.Check(batches, qt.Equals, 5)
 		c.Check(took <= workerPollInterval, qt.IsTrue, qt.Commentf("took %v", took))
 	})
 }
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -24,7 +24,7 @@
 	leaseRenewals   *prometheus.CounterVec
 	orders          *prometheus.CounterVec
 	attemptEnds     *prometheus.CounterVec
-	staleEnds    prometheus.Counter
+	staleEnds       prometheus.Counter
 	losses          *prometheus.CounterVec
 	jobs            *prometheus.CounterVec
 	keysRefused     *prometheus.CounterVec
@@ -79,10 +79,12 @@
 	return m
 }
 
+// counter returns a counter with the label outcome.
 func counter(name, help string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{"outcome"})
 }
 
+// handler serves the metrics in the Prometheus text format.
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
@@ -92,7 +94,7 @@
 	m.commits.WithLabelValues(outcome(err)).Observe(d.Seconds())
 }
 
-// Look implements shard.Metrics.
+// Poll implements shard.Metrics.
 func (m *metrics) Poll(err error) { m.leaseRenewals.WithLabelValues(outcome(err)).Inc() }
 
 // Order implements shard.Metrics.
@@ -101,7 +103,7 @@
 // End implements shard.Metrics.
 func (m *metrics) End(reason platform.EndReason) { m.attemptEnds.WithLabelValues(string(reason)).Inc() }
 
-// EndPassedOver implements shard.Metrics.
+// StaleEnd implements shard.Metrics.
 func (m *metrics) StaleEnd() { m.staleEnds.Inc() }
 
 // AttemptLost implements shard.Metrics.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -167,7 +167,7 @@
 
 // Handlers are the HTTP handlers of the node's listeners.
 type Handlers struct {
-	JobAPI   http.Handler // serves clients
+	JobAPI    http.Handler // serves clients, which submit, query and cancel jobs
 	Readiness http.Handler // serves the load balancer's checks
 }
 
@@ -178,11 +178,11 @@
 	defer func() { n.log.Info().Str("event", "stop").Str("entry", n.self.Name).Err(err).Send() }()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	links, err := net.Listen("tcp", n.self.Address)
+	peers, err := net.Listen("tcp", n.self.Address)
 	if err != nil {
 		return err
 	}
-	callers, err := listenHTTP(n.settings.Callers, n.closeConnUnlessReady(h.JobAPI))
+	jobAPI, err := listenHTTP(n.settings.Callers, n.closeConnUnlessReady(h.JobAPI))
 	if err != nil {
 		return err
 	}
@@ -199,8 +199,8 @@
 		ctx, cancel := context.WithCancel(ctx)
 		g.Add(func() error { return f(ctx) }, func(error) { cancel() })
 	}
-	actor(peer.NewCallServer(links, n.answerPeer, n.log).Serve)
-	for _, s := range []*httpActor{callers, readiness, operators} {
+	actor(peer.NewCallServer(peers, n.answerPeer, n.log).Serve)
+	for _, s := range []*httpActor{jobAPI, readiness, operators} {
 		g.Add(s.serve, s.interrupt)
 	}
 	actor(n.ownership.Run)
@@ -209,13 +209,13 @@
 	actor(n.followMembers)
 	actor(n.watchSuspensions)
 	actor(n.followOwners)
-	actor(func(ctx context.Context) error { return n.plannedStop(ctx, callers) })
+	actor(func(ctx context.Context) error { return n.plannedStop(ctx, jobAPI) })
 	return g.Run()
 }
 
 // plannedStop waits for Stop, hands over the node's shards, keeps accepting requests until the load
 // balancer has noticed, and finishes open requests.
-func (n *Node) plannedStop(ctx context.Context, callers *httpActor) error {
+func (n *Node) plannedStop(ctx context.Context, jobAPI *httpActor) error {
 	select {
 	case <-ctx.Done():
 		return nil
@@ -233,7 +233,7 @@
 	finish, cancel := context.WithTimeout(ctx, shutdownTimeout)
 	defer cancel()
 	defer time.AfterFunc(shutdownTimeout-finalAnswerTime, n.cancelWaits).Stop()
-	return errors.Wrap(callers.server.Shutdown(finish), "finish open requests")
+	return errors.Wrap(jobAPI.server.Shutdown(finish), "finish open requests")
 }
 
 // acceptDuration returns how long requests are still accepted after a planned stop has begun,
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -62,7 +62,7 @@
 	return nil, 0, errors.New("there is no advice service")
 }
 
-// noopObserver ignores all events of the workers.
+// noopObserver is a [fake.WorkersObserver] that ignores all events.
 type noopObserver struct{}
 
 func (noopObserver) Started(string, string, int64)                   {}
--- a/pkg/node/ownerwait_test.go
+++ b/pkg/node/ownerwait_test.go
@@ -41,7 +41,7 @@
 	n.members.Apply(ctx, platform.Row{RowKey: platform.RowKey{Table: ownership.TableMember, Key: m.Name}, Value: raw, Version: 1})
 }
 
-// setOwner tells n that an entry owns the pool.
+// setOwner applies an owner row at n that names an entry as the owner of testPool.
 func setOwner(c *qt.C, n *Node, m ownership.Member, term int64) {
 	raw, err := shard.EncodeOwner(shard.OwnerRow{Entry: m.Name, Start: m.Start, Address: m.Address, Term: term})
 	c.Assert(err, qt.IsNil)
@@ -58,9 +58,8 @@
 	return &schema.CallReply{Outcome: schema.CallOutcomeUnknown}
 }
 
-// TestSubmissionOutlastsTakeover guards against refusing a submission during a takeover: the
-// shard's owner does not answer, refuses or no longer owns the shard, and the next owner accepts
-// it.
+// TestSubmissionOutlastsTakeover guards against refusing a submission during a takeover, when the
+// former owner does not answer, refuses or no longer owns the shard, and the next owner accepts.
 func TestSubmissionOutlastsTakeover(t *testing.T) {
 	for name, first := range map[string]func(ctx context.Context, q *schema.Call) *schema.CallReply{
 		"silent": neverAnswer,
@@ -113,9 +112,9 @@
 		}
 		return &schema.CallReply{Outcome: schema.CallOutcomeNotOwner}
 	}), 1)
-	callerCtx, leave := context.WithTimeout(ctx, 400*time.Millisecond)
+	clientCtx, leave := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer leave()
-	c.Check(n.Submit(callerCtx, submitQueue, "", "0000000000000001", jobs.Spec{}), qt.Equals, schema.CallOutcomeRefused)
+	c.Check(n.Submit(clientCtx, submitQueue, "", "0000000000000001", jobs.Spec{}), qt.Equals, schema.CallOutcomeRefused)
 	c.Check(asked.Load() <= 4, qt.IsTrue, qt.Commentf("asked %d times in 400 ms", asked.Load()))
 }
 
@@ -149,7 +148,7 @@
 			return accept(ctx, q)
 		}
 		rows.SetFault(func(fake.RowOp, string) fake.Fault { return fake.FaultDown })
-		_, _ = n.rows.ListRows(ctx, "any", "", "") // fails, which is what the node is to see
+		_, _ = n.rows.ListRows(ctx, "any", "", "") // fails, so the node records the loss of the service
 		return &schema.CallReply{Outcome: schema.CallOutcomeRefused}
 	})
 	time.AfterFunc(200*time.Millisecond, func() { setOwner(c, n, second, 2) })
--- a/pkg/node/recover_test.go
+++ b/pkg/node/recover_test.go
@@ -194,16 +194,16 @@
 	})
 }
 
-// newIdleNode returns the node e0, of which a test runs single parts.
+// newIdleNode returns the node e0 with none of its background loops running.
 func newIdleNode(rows *fake.Rows) *Node {
 	return New(testSettings("e0", "127.0.0.1", 1, 2, 3), services{Rows: rows.As("e0")}, source(), testLog())
 }
 
-// start runs a part of a node; stop ends its context and returns its result.
-func start(part func(ctx context.Context) error) (stop func() error) {
+// start runs a background loop of a node; stop cancels its context and returns its result.
+func start(loop func(ctx context.Context) error) (stop func() error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- part(ctx) }()
+	go func() { done <- loop(ctx) }()
 	return func() error {
 		cancel()
 		return <-done
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// ownerCallTimeout bounds a call that asks an owner for its load or to empty a VM.
+// ownerCallTimeout bounds a call that asks an owner for its load or to drain a VM.
 const ownerCallTimeout = 600 * time.Millisecond
 
 // errOperatorRowsUnread reports that the evacuated zones are not known yet, so no owner may start.
@@ -38,7 +38,7 @@
 	// than what its feed has read.
 	if owns, _ := n.ownership.Owns(); !owns {
 		if _, err := n.loadWorkers(ctx); err != nil {
-			return nil, errors.Wrap(err, "read directory of workers")
+			return nil, errors.Wrap(err, "read worker directory")
 		}
 	}
 	o, err := shard.Open(ctx, shard.Config{
@@ -68,7 +68,7 @@
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// openFleet takes over the fleet's operations, which move and maintain VMs.
+// openFleet takes over the fleet operations, which move and maintain VMs.
 func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
@@ -108,7 +108,7 @@
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// applyGrant passes the limit shares that came with a load request to the owner; full reports
+// applyGrant passes the shares of account limits in a load request to the owner; full reports
 // whether the reply is to list all accounts.
 func (n *Node) applyGrant(o *shard.Owner, raw []byte) (full bool) {
 	if len(raw) == 0 {
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -21,13 +21,13 @@
 	storeSince time.Time // since when the table service answers, zero if it does not
 }
 
-func (l *unstableEntry) ReachesStore() bool { return !l.storeSince.IsZero() }
+func (e *unstableEntry) ReachesStore() bool { return !e.storeSince.IsZero() }
 
-func (l *unstableEntry) StoreAnsweredFor() time.Duration {
-	if l.storeSince.IsZero() {
+func (e *unstableEntry) StoreAnsweredFor() time.Duration {
+	if e.storeSince.IsZero() {
 		return 0
 	}
-	return time.Since(l.storeSince)
+	return time.Since(e.storeSince)
 }
 
 // outage is a cluster of five entries without the table service; a sixth entry, which owned the
@@ -39,13 +39,13 @@
 }
 
 func newOutage() *outage {
-	u := &outage{claims: make(chan string, 100)}
+	o := &outage{claims: make(chan string, 100)}
 	names := []string{"e1", "e2", "e3", "e4", "e5"}
 	since := time.Now()
 	time.Sleep(time.Minute)
 	for _, self := range names {
-		l := &unstableEntry{}
-		m := NewMembers(Member{Name: self, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), l)
+		e := &unstableEntry{}
+		m := NewMembers(Member{Name: self, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
 		m.majoritySince = 1
 		for _, other := range names {
 			if other != self {
@@ -54,10 +54,10 @@
 			}
 		}
 		m.peers["lost"] = memberHeard("lost", time.Second)
-		u.entries = append(u.entries, l)
-		u.managers = append(u.managers, u.manager(self, m, since))
+		o.entries = append(o.entries, e)
+		o.managers = append(o.managers, o.manager(self, m, since))
 	}
-	return u
+	return o
 }
 
 func memberHeard(name string, at time.Duration) *memberState {
@@ -65,9 +65,9 @@
 }
 
 // manager returns the manager of an entry whose claims are recorded and always fail.
-func (u *outage) manager(self string, m *Members, since time.Time) *Manager {
+func (o *outage) manager(self string, m *Members, since time.Time) *Manager {
 	open := func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (LocalOwner, error) {
-		u.claims <- self
+		o.claims <- self
 		return nil, errors.New("another entry was first")
 	}
 	mgr := NewManager(shard.Identity{Entry: self, Start: 1}, m, open, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)))
@@ -77,13 +77,13 @@
 }
 
 // reconcileAll runs one pass on all entries and returns those that claimed the shard.
-func (u *outage) reconcileAll() (claimed []string) {
-	for _, mgr := range u.managers {
+func (o *outage) reconcileAll() (claimed []string) {
+	for _, mgr := range o.managers {
 		mgr.reconcile(context.Background())
 	}
 	synctest.Wait()
-	for len(u.claims) > 0 {
-		claimed = append(claimed, <-u.claims)
+	for len(o.claims) > 0 {
+		claimed = append(claimed, <-o.claims)
 	}
 	return claimed
 }
@@ -93,12 +93,12 @@
 func TestClaimsAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		u := newOutage()
-		c.Check(u.reconcileAll(), qt.HasLen, 0)
-		for _, l := range u.entries {
-			l.storeSince = time.Now()
+		o := newOutage()
+		c.Check(o.reconcileAll(), qt.HasLen, 0)
+		for _, e := range o.entries {
+			e.storeSince = time.Now()
 		}
-		c.Check(u.reconcileAll(), qt.HasLen, 1)
+		c.Check(o.reconcileAll(), qt.HasLen, 1)
 	})
 }
 
@@ -107,12 +107,12 @@
 func TestRowReadAfterClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		u := newOutage()
-		mgr := u.managers[0]
+		o := newOutage()
+		mgr := o.managers[0]
 		mgr.open = func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (LocalOwner, error) {
 			return nil, errors.Wrap(shard.ErrNotOwner{}, "take over")
 		}
-		u.entries[0].storeSince = time.Now()
+		o.entries[0].storeSince = time.Now()
 		c.Check(mgr.UnreadPools(), qt.HasLen, 0)
 		for range 6 {
 			mgr.reconcile(context.Background())
@@ -128,16 +128,16 @@
 func TestClaimAfterRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		since := time.Now()
-		l := &unstableEntry{storeSince: since}
-		m := NewMembers(Member{Name: "e1", Share: 1, Start: 2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), l)
+		e := &unstableEntry{storeSince: since}
+		m := NewMembers(Member{Name: "e1", Share: 1, Start: 2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
 		m.peers["e2"] = memberHeard("e2", 0)
 		m.peers["e2"].Start = 2
-		u := &outage{claims: make(chan string, 10)}
-		mgr := u.manager("e1", m, since)
+		o := &outage{claims: make(chan string, 10)}
+		mgr := o.manager("e1", m, since)
 		mgr.shards["p"].row = shard.OwnerRow{Entry: "e1", Start: 1, Term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() { _ = mgr.Run(ctx) }()
-		<-u.claims
+		<-o.claims
 		qt.Check(t, time.Since(since) <= 450*time.Millisecond, qt.IsTrue, qt.Commentf("claimed after %v", time.Since(since)))
 		cancel()
 	})
--- a/pkg/ownership/liveness_test.go
+++ b/pkg/ownership/liveness_test.go
@@ -22,29 +22,29 @@
 	storeFor     time.Duration
 }
 
-func (fixedEntry) CatalogVersion() int64                 { return 0 }
-func (fixedEntry) OwnersVersion() int64                  { return 0 }
-func (h fixedEntry) ReachesStore() bool                  { return h.reachesStore }
-func (h fixedEntry) StoreAnsweredFor() time.Duration     { return h.storeFor }
-func (fixedEntry) EntryChanged()                         {}
-func (fixedEntry) CatalogNewer(*peer.Caller, int64)      {}
+func (fixedEntry) CatalogVersion() int64                        { return 0 }
+func (fixedEntry) OwnersVersion() int64                         { return 0 }
+func (e fixedEntry) ReachesStore() bool                         { return e.reachesStore }
+func (e fixedEntry) StoreAnsweredFor() time.Duration            { return e.storeFor }
+func (fixedEntry) EntryChanged()                                {}
+func (fixedEntry) CatalogNewer(*peer.Caller, int64)             {}
 func (fixedEntry) OwnerRowReported(pool string, r platform.Row) {}
 
 // TestOwnerStatus runs testdata/judge: given what was heard of the other entries, the status of an
 // owner and whether its shard is claimed.
 func TestOwnerStatus(t *testing.T) {
 	datadriven.RunTest(t, "testdata/judge", func(t *testing.T, d *datadriven.TestData) string {
-		h := fixedEntry{reachesStore: true, storeFor: time.Hour}
+		local := fixedEntry{reachesStore: true, storeFor: time.Hour}
 		args := map[string]string{}
 		for _, a := range d.CmdArgs {
 			args[a.Key] = strings.Join(a.Vals, ",")
 		}
 		if v, ok := args["store"]; ok {
-			h.storeFor, _ = time.ParseDuration(v)
-			h.reachesStore = h.storeFor > 0
+			local.storeFor, _ = time.ParseDuration(v)
+			local.reachesStore = local.storeFor > 0
 		}
 		since := time.Now().Add(-time.Minute)
-		m := NewMembers(Member{Name: "me", Start: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), h)
+		m := NewMembers(Member{Name: "me", Start: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), local)
 		for _, line := range strings.Split(d.Input, "\n") {
 			addPeer(m, strings.Fields(line))
 		}
--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -18,12 +18,19 @@
 // LocalOwner is the owner of a shard that runs in this process; shard.Owner and fleetops.Runner
 // implement it.
 type LocalOwner interface {
+	// Term returns the owner's term, which is also its fencing token.
 	Term() int64
+	// RowVersion returns the version of the owner row that its takeover wrote.
 	RowVersion() int64
+	// Confirm records that no other entry had seen a newer owner row at a time of the entry's clock.
 	Confirm(at time.Duration)
+	// SetCatalog sets the configuration in force.
 	SetCatalog(c *catalog.Catalog)
+	// SetWorkers sets the current boots of all pools.
 	SetWorkers(workers []platform.Worker)
+	// Release hands the shard over to the entry next, or to any entry if next is empty.
 	Release(ctx context.Context, next string)
+	// Close stops the owner and waits for its work to end.
 	Close()
 }
 
@@ -34,8 +41,8 @@
 
 // Events are the callbacks of an Opener.
 type Events struct {
-	Committing   func()
-	Relinquished func(error)
+	Committing   func()      // called before the takeover is committed
+	Relinquished func(error) // called once if the owner gives up the shard, with the cause
 }
 
 // shardState is what this entry knows of one shard.
@@ -140,7 +147,7 @@
 	}
 }
 
-// SetWorkers sets the current boots of all pools from the directory of workers.
+// SetWorkers sets the current boots of all pools from the worker directory.
 func (mgr *Manager) SetWorkers(workers []platform.Worker) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
--- a/pkg/ownership/ping_test.go
+++ b/pkg/ownership/ping_test.go
@@ -26,15 +26,15 @@
 		}
 		p := m.peers["e7"]
 		c.Assert(m.nextPingDelay(p) > ownerTimeout, qt.IsTrue)
-		asked := make(chan time.Time, 1)
+		pinged := make(chan time.Time, 1)
 		go func() {
 			m.awaitNextPing(context.Background(), p)
-			asked <- time.Now()
+			pinged <- time.Now()
 		}()
 		time.Sleep(time.Millisecond)
 		became := time.Now()
 		m.SetOwners(map[string]bool{"e7": true})
-		c.Check(<-asked, qt.Equals, became)
+		c.Check(<-pinged, qt.Equals, became)
 	})
 }
 
@@ -49,11 +49,11 @@
 		}
 		m.peers["e7"].owns = true
 		m.pingSample(m.peers["e7"])
-		asked := 0
+		pinged := 0
 		for _, p := range m.peers {
-			asked += len(p.wake)
+			pinged += len(p.wake)
 		}
-		qt.Check(t, asked, qt.Equals, peerSampleSize)
+		qt.Check(t, pinged, qt.Equals, peerSampleSize)
 	})
 }
 
--- a/pkg/ownership/rebalance_test.go
+++ b/pkg/ownership/rebalance_test.go
@@ -48,7 +48,7 @@
 	to chan string
 }
 
-func (w *releaseRecorder) Release(_ context.Context, next string) { w.to <- next }
+func (r *releaseRecorder) Release(_ context.Context, next string) { r.to <- next }
 func (*releaseRecorder) Confirm(time.Duration)                    {}
 
 // TestRebalance checks that a small entry hands a shard over to the largest one. If the owner row
--- a/pkg/ownership/standdown_test.go
+++ b/pkg/ownership/standdown_test.go
@@ -21,11 +21,11 @@
 	ended atomic.Bool
 }
 
-func (w *slowOwner) Term() int64 { return 1 }
+func (o *slowOwner) Term() int64 { return 1 }
 
-func (w *slowOwner) Close() {
+func (o *slowOwner) Close() {
 	time.Sleep(50 * time.Millisecond)
-	w.ended.Store(true)
+	o.ended.Store(true)
 }
 
 // TestStandDown checks that an entry reports that it has stood down only after its owner has
--- a/pkg/platform/boot_test.go
+++ b/pkg/platform/boot_test.go
@@ -13,13 +13,13 @@
 func TestBootID(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := rapid.StringMatching(`[a-z0-9-]{1,12}`).Draw(t, "worker")
-		born := rapid.Int64Range(0, 1<<50).Draw(t, "born")
-		gotWorker, gotBorn := platform.ParseBootID(platform.BootID(worker, born))
-		if gotWorker != worker || gotBorn != born {
-			t.Fatalf("got %q and %d", gotWorker, gotBorn)
+		bootedAt := rapid.Int64Range(0, 1<<50).Draw(t, "born")
+		gotWorker, gotBootedAt := platform.ParseBootID(platform.BootID(worker, bootedAt))
+		if gotWorker != worker || gotBootedAt != bootedAt {
+			t.Fatalf("got %q and %d", gotWorker, gotBootedAt)
 		}
 	})
-	worker, born := platform.ParseBootID("w1@noon")
+	worker, bootedAt := platform.ParseBootID("w1@noon")
 	qt.Check(t, worker, qt.Equals, "w1@noon")
-	qt.Check(t, born, qt.Equals, int64(0))
+	qt.Check(t, bootedAt, qt.Equals, int64(0))
 }
--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -16,9 +16,10 @@
 	stopping   bool
 	started    time.Time
 	duration   time.Duration // 0 to run until stopped
-	stallAfter time.Duration // progress stays at this run time, 0 for never
+	stallAfter time.Duration // run time at which progress stops, 0 for never
 }
 
+// startAttempt carries out a start order whose token and lease are valid. The caller holds mu.
 func (w *Workers) startAttempt(b *boot, o platform.StartOrder) error {
 	if a := b.running[o.Task]; a != nil && a.number == o.Attempt {
 		return nil
@@ -69,6 +70,7 @@
 	}
 }
 
+// finish ends an attempt unless it has ended already.
 func (w *Workers) finish(b *boot, task string, a *attempt, reason platform.EndReason) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,6 +79,7 @@
 	}
 }
 
+// finishLocked ends an attempt and records its end. The caller holds mu.
 func (w *Workers) finishLocked(b *boot, task string, a *attempt, reason platform.EndReason) {
 	a.timer.Stop()
 	delete(b.running, task)
@@ -134,6 +137,7 @@
 	}
 }
 
+// acknowledge drops the ends up to a sequence number from later reports.
 func (w *Workers) acknowledge(b *boot, upTo int64) {
 	for _, e := range b.ended {
 		if e.Seq <= upTo {
--- a/pkg/platform/fake/fake.go
+++ b/pkg/platform/fake/fake.go
@@ -34,7 +34,7 @@
 // WithSeed sets the seed for the random choices of rules.
 func WithSeed(seed uint64) Option { return func(p *Platform) { p.faults = newInjector(seed) } }
 
-// WithLatency delays every call.
+// WithLatency sets the delay of every call.
 func WithLatency(d time.Duration) Option { return func(p *Platform) { p.latency = d } }
 
 // WithLimits sets the table's limits of writes and reads per second; calls above them fail with ErrNotDone.
@@ -45,7 +45,7 @@
 	}
 }
 
-// WithListLag sets the lag of the VM list.
+// WithListLag sets how old the states in the VM list are.
 func WithListLag(d time.Duration) Option { return func(p *Platform) { p.fleet.lag = d } }
 
 // WithReportLag sets the maximum age of a worker's task report.
@@ -54,7 +54,7 @@
 // WithRebootTime sets how long a reboot takes.
 func WithRebootTime(d time.Duration) Option { return func(p *Platform) { p.fleet.rebootTime = d } }
 
-// WithVMRuntime sets what simulates the backend servers on the VMs.
+// WithVMRuntime sets the simulation of what runs on the VMs.
 func WithVMRuntime(m VMRuntime) Option { return func(p *Platform) { p.fleet.runtime = m } }
 
 // WithObserver notifies o of every write that takes effect.
--- a/pkg/platform/fake/faults.go
+++ b/pkg/platform/fake/faults.go
@@ -17,7 +17,7 @@
 // The faults of any call; see also [FaultLate] and [FaultRefused].
 const (
 	FaultNone       Fault = ""
-	FaultDown       Fault = "down"        // the call is refused and has no effect
+	FaultDown       Fault = "down"        // the call fails with ErrNotDone and has no effect
 	FaultLostBefore Fault = "lost-before" // no effect and no answer
 	FaultLostAfter  Fault = "lost-after"  // the call takes effect, but its answer is lost
 	FaultSlow       Fault = "slow"        // the call is delayed by Rule.DelayMs
@@ -59,7 +59,7 @@
 	in.matched = make([]int, len(rules))
 }
 
-// decide counts the call and returns its fault and its delay.
+// decide counts the call and returns the fault and the delay to inject.
 func (in *injector) decide(op rest.Operation, zone string) (f Fault, delay time.Duration) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/pkg/platform/fake/fleet.go
+++ b/pkg/platform/fake/fleet.go
@@ -16,9 +16,9 @@
 
 // VMRuntime simulates what runs on the VMs; its methods must not call the platform.
 type VMRuntime interface {
-	// Leaving tells the VM's backend server whether it is leaving.
+	// Leaving is called when a VM starts to drain, or when that is reverted.
 	Leaving(vm string, leaving bool)
-	// Power starts or stops everything on the VM.
+	// Power is called when a VM is powered on or off.
 	Power(vm string, on bool)
 	// InFlight returns the number of requests that the VM's backend server is processing.
 	InFlight(vm string) int
@@ -37,11 +37,12 @@
 	state platform.VMState
 }
 
+// fakeVM is a VM with the history of its states.
 type fakeVM struct {
 	listed    platform.ListedVM
 	boot      int
 	operation string
-	history   []stateChange
+	history   []stateChange // ordered by time
 }
 
 // fleet holds the VMs.
--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -21,6 +21,7 @@
 	OrderThrottle OrderOp = "pace"
 )
 
+// workersView is the workers as one entry reaches them.
 type workersView struct {
 	w     *Workers
 	entry string
@@ -74,6 +75,7 @@
 	})
 }
 
+// apply runs do under the lock on the boot that receives the order.
 func (v *workersView) apply(ref platform.WorkerRef, do func(b *boot) error) error {
 	v.w.mu.Lock()
 	defer v.w.mu.Unlock()
--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -148,6 +148,7 @@
 // As returns the service as seen by one entry, whose name is passed to the fault function.
 func (r *Rows) As(entry string) platform.Rows { return &rowsView{Rows: r, entry: entry} }
 
+// rowsView is the service as one entry reaches it.
 type rowsView struct {
 	*Rows
 	entry string
--- a/pkg/platform/fake/tasks.go
+++ b/pkg/platform/fake/tasks.go
@@ -11,6 +11,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/rest"
 )
 
+// fakeTask is a task that was started on a worker.
 type fakeTask struct {
 	spec       platform.TaskSpec
 	state      platform.TaskState
@@ -23,7 +24,7 @@
 func (t *fakeTask) expireLease(now time.Time) {
 	if t.running() && now.After(t.leaseUntil) {
 		t.state = platform.TaskStopped
-		t.reason = "the lease lapsed"
+		t.reason = "the lease expired"
 	}
 }
 
@@ -167,6 +168,7 @@
 	return reports, err
 }
 
+// usedCpus returns the processors that a task uses.
 func usedCpus(t *fakeTask) float64 {
 	switch {
 	case !t.running():
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -57,7 +57,7 @@
 	// onCrash is called with each boot that a task has crashed.
 	onCrash func(info platform.Worker)
 	boots   map[string]*boot
-	// endOmissions counts, by boot and end, the reports that must still omit the end.
+	// endOmissions counts, by boot and sequence number, the reports that must still omit the end.
 	endOmissions map[string]map[int64]int
 	// omitEvery makes every n-th report of a boot omit one entry, 0 for none.
 	omitEvery int
@@ -130,14 +130,14 @@
 	w.omitEvery = every
 }
 
-// OmitEnd makes the next reports of a boot omit an end, as often as given by times.
-func (w *Workers) OmitEnd(name string, end int64, times int) {
+// OmitEnd makes the next reports of a boot omit the end with a sequence number, as often as times.
+func (w *Workers) OmitEnd(name string, seq int64, times int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.endOmissions[name] == nil {
 		w.endOmissions[name] = map[int64]int{}
 	}
-	w.endOmissions[name][end] = times
+	w.endOmissions[name][seq] = times
 }
 
 // SetOnCrash sets the function called with each boot that a task has crashed.
@@ -147,7 +147,8 @@
 	w.onCrash = f
 }
 
-// Boot starts a boot of a worker and ends an earlier one at the same address.
+// Boot starts a boot of a worker and ends an earlier one at the same address. drift is the fraction
+// by which its clock runs slow.
 func (w *Workers) Boot(info platform.Worker, drift float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,8 +192,8 @@
 	if needs.Fits(b.free) {
 		return true
 	}
-	for _, f := range b.pastCapacities {
-		if time.Since(f.until) <= capacityGrace && needs.Fits(b.free.Add(f.capacity).Sub(b.info.Capacity)) {
+	for _, past := range b.pastCapacities {
+		if time.Since(past.until) <= capacityGrace && needs.Fits(b.free.Add(past.capacity).Sub(b.info.Capacity)) {
 			return true
 		}
 	}
@@ -266,6 +267,7 @@
 	go w.onCrash(b.info)
 }
 
+// endBoot ends a boot and its attempts. The caller holds mu.
 func (w *Workers) endBoot(b *boot) {
 	if b.dead {
 		return
@@ -292,6 +294,7 @@
 	return tasks
 }
 
+// clock returns the worker's clock in ms.
 func (b *boot) clock() int64 {
 	return int64(float64(time.Since(b.start).Milliseconds()) * (1 - b.drift))
 }
