--- a/pkg/ownership/liveness_test.go
+++ b/pkg/ownership/liveness_test.go
@@ -30,10 +30,10 @@
 func (fixedEntry) CatalogNewer(*peer.Caller, int64)             {}
 func (fixedEntry) OwnerRowReported(pool string, r platform.Row) {}
 
-// TestOwnerStatus runs testdata/judge: given what was heard of the other entries, the status of an
+// TestOwnerStatus runs testdata/owner_status: given what was heard of the other entries, the status of an
 // owner and whether its shard is claimed.
 func TestOwnerStatus(t *testing.T) {
-	datadriven.RunTest(t, "testdata/judge", func(t *testing.T, d *datadriven.TestData) string {
+	datadriven.RunTest(t, "testdata/owner_status", func(t *testing.T, d *datadriven.TestData) string {
 		local := fixedEntry{reachesStore: true, storeFor: time.Hour}
 		args := map[string]string{}
 		for _, a := range d.CmdArgs {
