--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -22,7 +22,7 @@
 	Term() int64
 	// RowVersion returns the version of the owner row that its takeover wrote.
 	RowVersion() int64
-	// Confirm records that no other entry had seen a newer owner row at a time of the entry's clock.
+	// Confirm records that this entry was still the owner at a time on its clock.
 	Confirm(at time.Duration)
 	// SetCatalog sets the configuration in force.
 	SetCatalog(c *catalog.Catalog)
