--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -18,7 +18,7 @@
 // LocalOwner is the owner of a shard that runs in this process; shard.Owner and fleetops.Runner
 // implement it.
 type LocalOwner interface {
-	// Term returns the owner's term, which is also its fencing token.
+	// Term returns the term of the ownership, which increases with each takeover.
 	Term() int64
 	// RowVersion returns the version of the owner row that its takeover wrote.
 	RowVersion() int64
