--- a/pkg/entry/adapters.go
+++ b/pkg/entry/adapters.go
@@ -52,7 +52,7 @@
 	before := 0
 	for _, k := range e.peers.Statuses() {
 		s := k.State
-		if s.Zone == e.settings.Zone && !s.Stopping && s.Name < e.settings.Name && time.Since(k.Heard) < recent {
+		if s.Zone == e.settings.Zone && !s.Stopping && s.Name < e.settings.Name && time.Since(k.LastContact) < recent {
 			before++
 		}
 	}
@@ -112,7 +112,7 @@
 		return replies
 	}
 	return slices.DeleteFunc(replies, func(a membership.EntryInFlight) bool {
-		return !a.Reached && a.Heard.UnixMilli() < list.AsOfMs && !slices.ContainsFunc(list.VMs, func(vm platform.ListedVM) bool {
+		return !a.Reached && a.LastContact.UnixMilli() < list.AsOfMs && !slices.ContainsFunc(list.VMs, func(vm platform.ListedVM) bool {
 			return vm.State != platform.VMGone && (vm.Address == a.Address || vm.Name == a.Entry)
 		})
 	})
@@ -133,8 +133,8 @@
 	}
 	for _, k := range e.peers.Statuses() {
 		lastHeardMs := -1
-		if !k.Heard.IsZero() {
-			lastHeardMs = int(time.Since(k.Heard).Milliseconds())
+		if !k.LastContact.IsZero() {
+			lastHeardMs = int(time.Since(k.LastContact).Milliseconds())
 		}
 		state := k.State
 		state.Address = k.Address
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -11,20 +11,20 @@
 	AdmissionGranted Admission = "granted"
 	// AdmissionUnknownKey rejects a missing key, or one that no account has.
 	AdmissionUnknownKey Admission = "unknown_key"
-	// AdmissionUnsure rejects a key that may be newer than the configuration known here.
-	AdmissionUnsure Admission = "unsure"
+	// AdmissionUndetermined rejects a key that may be newer than the configuration known here.
+	AdmissionUndetermined Admission = "unsure"
 )
 
 // Admit looks up the account of a client's key, which is empty for none. While the table service
-// does not answer, an unknown key may be new, so the client is sent to another entry instead of
-// being told that the key is wrong.
+// does not answer, an unknown key may be new, so the client is asked to retry instead of being
+// told that the key is wrong.
 func (n *Node) Admit(cat *catalog.Catalog, q *catalog.Queue, key string) (account string, a Admission) {
 	account, ok := cat.Admit(q, key)
 	switch {
 	case ok:
 		return account, AdmissionGranted
 	case key != "" && !n.rows.answering():
-		a = AdmissionUnsure
+		a = AdmissionUndetermined
 	default:
 		a = AdmissionUnknownKey
 	}
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -24,7 +24,7 @@
 	leaseRenewals   *prometheus.CounterVec
 	orders          *prometheus.CounterVec
 	attemptEnds     *prometheus.CounterVec
-	repeatedEnds    prometheus.Counter
+	staleEnds       prometheus.Counter
 	losses          *prometheus.CounterVec
 	jobs            *prometheus.CounterVec
 	keysRefused     *prometheus.CounterVec
@@ -54,7 +54,7 @@
 		leaseRenewals: counter("gannetwell_looks_total", "Renewals of leases at workers by outcome."),
 		orders:        counter("gannetwell_orders_total", "Starts and stops ordered at workers by outcome."),
 		attemptEnds:   counter("gannetwell_ends_total", "Ends of attempts by reason."),
-		repeatedEnds: prometheus.NewCounter(prometheus.CounterOpts{
+		staleEnds: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "gannetwell_ends_passed_over_total", Help: "Ends that workers listed though they were told to forget them.",
 		}),
 		losses:      counter("gannetwell_attempts_lost_total", "Attempts that were lost, by how."),
@@ -75,14 +75,16 @@
 		}),
 		labelledAccounts: map[string]bool{},
 	}
-	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.repeatedEnds, m.losses, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
+	m.registry.MustRegister(m.commits, m.leaseRenewals, m.orders, m.attemptEnds, m.staleEnds, m.losses, m.jobs, m.keysRefused, m.malformedRows, m.atLimit, m.predecessorWait, m.evacuatedZones, collectors.NewGoCollector())
 	return m
 }
 
+// counter returns a counter with the label outcome.
 func counter(name, help string) *prometheus.CounterVec {
 	return prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{"outcome"})
 }
 
+// handler serves the metrics in the Prometheus text format.
 func (m *metrics) handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
@@ -92,7 +94,7 @@
 	m.commits.WithLabelValues(outcome(err)).Observe(d.Seconds())
 }
 
-// Look implements shard.Metrics.
+// Poll implements shard.Metrics.
 func (m *metrics) Poll(err error) { m.leaseRenewals.WithLabelValues(outcome(err)).Inc() }
 
 // Order implements shard.Metrics.
@@ -101,8 +103,8 @@
 // End implements shard.Metrics.
 func (m *metrics) End(reason platform.EndReason) { m.attemptEnds.WithLabelValues(string(reason)).Inc() }
 
-// EndPassedOver implements shard.Metrics.
-func (m *metrics) StaleEnd() { m.repeatedEnds.Inc() }
+// StaleEnd implements shard.Metrics.
+func (m *metrics) StaleEnd() { m.staleEnds.Inc() }
 
 // AttemptLost implements shard.Metrics.
 func (m *metrics) AttemptLost(kind shard.LossKind) { m.losses.WithLabelValues(string(kind)).Inc() }
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// ownerCallTimeout bounds a call that asks an owner for its load or to empty a VM.
+// ownerCallTimeout bounds a call that asks an owner for its load or to drain a VM.
 const ownerCallTimeout = 600 * time.Millisecond
 
 // errOperatorRowsUnread reports that the evacuated zones are not known yet, so no owner may start.
@@ -38,7 +38,7 @@
 	// than what its feed has read.
 	if owns, _ := n.ownership.Owns(); !owns {
 		if _, err := n.loadWorkers(ctx); err != nil {
-			return nil, errors.Wrap(err, "read directory of workers")
+			return nil, errors.Wrap(err, "read worker directory")
 		}
 	}
 	o, err := shard.Open(ctx, shard.Config{
@@ -68,11 +68,11 @@
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// openFleet takes over the fleet's operations, which move and maintain VMs.
+// openFleet takes over the fleet operations, which move and maintain VMs.
 func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Drain: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
+		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
 		Sending: events.Committing, OnOver: events.Relinquished,
 	}, seen, cat)
@@ -100,15 +100,15 @@
 	return waves
 }
 
-// emptyVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
-func (n *Node) emptyVM(ctx context.Context, pool, vm string) (empty bool) {
+// drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
+func (n *Node) drainVM(ctx context.Context, pool, vm string) (empty bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	reply := n.callOwner(ctx, &schema.Call{Kind: schema.CallKindEmpty, Pool: pool, VM: vm})
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// applyGrant passes the limit shares that came with a load request to the owner; full reports
+// applyGrant passes the shares of account limits in a load request to the owner; full reports
 // whether the reply is to list all accounts.
 func (n *Node) applyGrant(o *shard.Owner, raw []byte) (full bool) {
 	if len(raw) == 0 {
