--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -48,7 +48,7 @@
 	if reply.Snapshot != nil {
 		p.adoptSnapshot(reply.Snapshot)
 	}
-	if err := p.replica.Offer(reply.Entries); err != nil {
+	if err := p.replica.ApplyEntries(reply.Entries); err != nil {
 		p.log.Warn().Str("event", "entries_refused").Str("peer", reply.From.Name).Err(err).Send()
 	}
 }
@@ -69,7 +69,7 @@
 // Handle answers a request of a peer; it is a [peer.Handler].
 func (p *Peers) Handle(_ context.Context, q *schema.PeerRequest) *schema.PeerReply {
 	p.recordState(q.From)
-	if err := p.replica.Offer(q.Entries); err != nil && !errors.As(err, new(table.ErrGap)) {
+	if err := p.replica.ApplyEntries(q.Entries); err != nil && !errors.As(err, new(table.ErrGap)) {
 		p.log.Warn().Str("event", "entries_refused").Str("peer", q.From.Name).Err(err).Send()
 	}
 	// The state is read before the counts, so that a count of zero holds for its revision.
--- a/pkg/replica/commit.go
+++ b/pkg/replica/commit.go
@@ -99,7 +99,7 @@
 	if err := r.store.Commit(ctx, entryTxn(entry, headVersion)); err != nil {
 		return nil, err
 	}
-	return entry, r.Offer([]schema.Entry{*entry})
+	return entry, r.ApplyEntries([]schema.Entry{*entry})
 }
 
 // findEditOr returns the log entry of the edit if it was committed before, otherwise err. A
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -65,9 +65,9 @@
 	return r.changed
 }
 
-// Offer applies the log entries that follow the current revision and ignores older ones. It
+// ApplyEntries applies the log entries that follow the current revision and ignores older ones. It
 // returns table.ErrGap if entries in between are missing.
-func (r *Replica) Offer(entries []schema.Entry) (err error) {
+func (r *Replica) ApplyEntries(entries []schema.Entry) (err error) {
 	defer func() { err = errors.Wrap(err, "offer entries") }()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -205,7 +205,7 @@
 		"hand on": func(t *rapid.T) {
 			from, to := h.replicas[index.Draw(t, "from")], h.replicas[index.Draw(t, "to")]
 			entries, _ := from.Since(rapid.IntRange(0, 5).Draw(t, "since"), rapid.IntRange(1, 5).Draw(t, "limit"))
-			_ = to.Offer(entries) // a gap is rejected and leaves the replica unchanged
+			_ = to.ApplyEntries(entries) // a gap is rejected and leaves the replica unchanged
 		},
 		"adopt": func(t *rapid.T) {
 			h.replicas[index.Draw(t, "to")].Adopt(h.replicas[index.Draw(t, "from")].Snapshot())
--- a/pkg/replica/store.go
+++ b/pkg/replica/store.go
@@ -115,7 +115,7 @@
 		if len(entries) == 0 {
 			return errors.Errorf("head is at revision %d, but the log ends at %d", revision, r.Revision())
 		}
-		if err := r.Offer(entries); err != nil {
+		if err := r.ApplyEntries(entries); err != nil {
 			return err
 		}
 	}
