--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -63,7 +63,7 @@
 		p.log.Warn().Str("event", "snapshot_refused").Err(err).Send()
 		return
 	}
-	p.replica.Adopt(snap)
+	p.replica.InstallSnapshot(snap)
 }
 
 // Handle answers a request of a peer; it is a [peer.Handler].
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -96,8 +96,8 @@
 	return err
 }
 
-// Adopt replaces the table by a snapshot if that is newer and reports whether it did.
-func (r *Replica) Adopt(snap *table.Snapshot) bool {
+// InstallSnapshot replaces the table by a snapshot if that is newer and reports whether it did.
+func (r *Replica) InstallSnapshot(snap *table.Snapshot) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if snap.Revision <= r.snap.Load().Revision {
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -208,7 +208,7 @@
 			_ = to.ApplyEntries(entries) // a gap is rejected and leaves the replica unchanged
 		},
 		"adopt": func(t *rapid.T) {
-			h.replicas[index.Draw(t, "to")].Adopt(h.replicas[index.Draw(t, "from")].Snapshot())
+			h.replicas[index.Draw(t, "to")].InstallSnapshot(h.replicas[index.Draw(t, "from")].Snapshot())
 		},
 		"restart": func(t *rapid.T) {
 			i := index.Draw(t, "i")
--- a/pkg/replica/store.go
+++ b/pkg/replica/store.go
@@ -177,7 +177,7 @@
 		}
 		more = len(entries) == scanLimit
 	}
-	r.Adopt(snap)
+	r.InstallSnapshot(snap)
 	return nil
 }
 
