--- a/cmd/gannetbench/cmds/demo.go
+++ b/cmd/gannetbench/cmds/demo.go
@@ -51,7 +51,7 @@
 	} else {
 		c.print(sum)
 	}
-	if err == nil && sum.Harm() {
+	if err == nil && sum.HasViolations() {
 		err = cli.WithExitCode(cli.ExitFailed, errors.New("a counter of harm is not zero"))
 	}
 	return err
--- a/cmd/gannetctl/cmds/cmds.go
+++ b/cmd/gannetctl/cmds/cmds.go
@@ -1,5 +1,5 @@
 // Package cmds holds the subcommands of gannetctl. Each parses its flags, calls the
-// operators' API of an entry through service/client and prints the answer.
+// operators' API of an entry through service/client and prints the response.
 package cmds
 
 import (
@@ -163,7 +163,7 @@
 	}
 }
 
-// errorCode returns the API's code of a failed edit; without an answer the outcome is unknown.
+// errorCode returns the API's code of a failed edit; without a response the outcome is unknown.
 func errorCode(err error) api.ErrorCode {
 	var failure client.ErrAPI
 	if !errors.As(err, &failure) {
--- a/cmd/gannetctl/cmds/cmds_test.go
+++ b/cmd/gannetctl/cmds/cmds_test.go
@@ -50,7 +50,7 @@
 	return ages.ReplaceAllString(s, "AGO")
 }
 
-// withJobService adds fixed answers of the job service's API to h.
+// withJobService adds the job service's API with fixed responses to h.
 func withJobService(h http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", h)
@@ -75,9 +75,8 @@
 	return mux
 }
 
-// TestScripts runs each file of testdata against an entry of its own. Commands: run
-// takes a command line and, after a line "---", its standard input; file writes its
-// input to a file; fault injects a fault into every commit.
+// TestScripts runs the scripts of testdata, each against its own entry: run executes a command
+// line (with standard input after "---"), file writes a file, fault fails every commit.
 func TestScripts(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		dir := t.TempDir()
--- a/cmd/gannetctl/cmds/jobs.go
+++ b/cmd/gannetctl/cmds/jobs.go
@@ -211,6 +211,6 @@
 	if err != nil {
 		return nil, err
 	}
-	answer, err := cl.Shards(context.Background())
-	return answer.Shards, withExitCode(err)
+	resp, err := cl.Shards(context.Background())
+	return resp.Shards, withExitCode(err)
 }
--- a/internal/prop/prop.go
+++ b/internal/prop/prop.go
@@ -1,5 +1,5 @@
 // Package prop runs rapid property tests with a fixed seed and in virtual time
-// (testing/synctest), so that every run plays the same cases. Tests of the decision
+// (testing/synctest), so that every run generates the same cases. Tests of the decision
 // packages call Check; FindsFailure shows that a property detects an injected fault.
 package prop
 
@@ -49,7 +49,7 @@
 // casesPerGC is the number of cases between two garbage collections.
 const casesPerGC = 50
 
-// casesRun counts the cases played. It needs no lock, since tests with cases do not run in parallel.
+// casesRun counts the cases run. It needs no lock, since tests with cases do not run in parallel.
 var casesRun int
 
 // runInBubble runs f in virtual time and passes on the panic by which rapid ends a
@@ -80,7 +80,7 @@
 	Check(t, property)
 }
 
-// Replay plays the single case that a seed draws and ignores its result. rapid plays a
+// Replay runs the single case that a seed draws and ignores its result. rapid runs a
 // failing case more than once.
 func Replay(t *testing.T, seed uint64, property func(*rapid.T)) {
 	t.Helper()
@@ -112,7 +112,7 @@
 	return r.failed
 }
 
-// maxSearchCases bounds the cases that FindsFailure plays; it stops at the first failure.
+// maxSearchCases bounds the cases that FindsFailure runs; it stops at the first failure.
 const maxSearchCases = "3000"
 
 // setFlags sets flags and returns a function that restores their previous values.
--- a/pkg/bench/backend/backend.go
+++ b/pkg/bench/backend/backend.go
@@ -1,10 +1,3 @@
-// Package backend simulates backend servers: one HTTP server for each VM, over
-// loopback TCP, that can be drained, powered off and on, slowed down and made to fail.
-// It reports each request to an Observer, usually the checker.
-//
-// Headers of a request carry its ID and the work that it asks for. The response starts
-// with the ID and ends with a checksum, so that the caller can detect a truncated
-// response, a corrupted one, or one to another request.
 package backend
 
 import (
@@ -62,7 +55,7 @@
 	upgraded map[net.Conn]struct{} // hijacked connections, which http.Server does not close
 }
 
-// Servers holds the backend servers of all VMs; it implements fake.Machine.
+// Servers holds the backend servers of all VMs; it implements fake.VMRuntime.
 type Servers struct {
 	observer Observer
 	slots    int
@@ -116,7 +109,7 @@
 	}
 }
 
-// Leaving implements fake.Machine.
+// Leaving implements fake.VMRuntime.
 func (ss *Servers) Leaving(vm string, leaving bool) {
 	if s := ss.get(vm); s != nil {
 		s.leaving.Store(leaving)
@@ -124,7 +117,7 @@
 	}
 }
 
-// Power implements fake.Machine.
+// Power implements fake.VMRuntime.
 func (ss *Servers) Power(vm string, on bool) {
 	s := ss.get(vm)
 	if s == nil {
@@ -142,7 +135,7 @@
 	}
 }
 
-// InFlight implements fake.Machine.
+// InFlight implements fake.VMRuntime.
 func (ss *Servers) InFlight(vm string) int {
 	if s := ss.get(vm); s != nil {
 		return int(s.inFlight.Load())
--- a/pkg/bench/checker/checker.go
+++ b/pkg/bench/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker counts violations of the product's guarantees, called harm: wrong,
-// truncated or cut-off responses, repeated execution, exceeded pool budgets, VMs that
-// serve two pools, and configuration that goes back. It relies only on what callers,
+// Package checker counts violations of the product's guarantees: wrong, truncated or
+// cut-off responses, repeated execution, exceeded pool budgets, VMs that serve two pools,
+// and configuration revisions that decrease. It relies only on what callers,
 // backend servers and the simulated platform report, not on the product's own metrics.
 package checker
 
@@ -69,8 +69,8 @@
 	P999Ms                float64 `json:"p999_ms"`
 }
 
-// Harm reports whether a counter that must stay zero is above zero.
-func (r Report) Harm() bool {
+// HasViolations reports whether any counter of violations is above zero.
+func (r Report) HasViolations() bool {
 	return r.WrongAnswers+r.Truncated+r.OnceRanTwice+r.NotRunButRan+r.CutOff+
 		r.BudgetViolations+r.VMsInTwoPools+r.ConfigReverts > 0
 }
@@ -84,7 +84,7 @@
 // maxTrackedRequests bounds the memory for run counts.
 const maxTrackedRequests = 4 << 20
 
-// Checker collects events and counts harm; it is safe for concurrent use.
+// Checker collects events and counts violations; it is safe for concurrent use.
 type Checker struct {
 	mu        sync.Mutex
 	report    Report
--- a/pkg/bench/checker/checker_test.go
+++ b/pkg/bench/checker/checker_test.go
@@ -94,12 +94,12 @@
 		t.Run(name, func(t *testing.T) {
 			c := checker.New()
 			before := c.Report()
-			qt.Check(t, before.Harm(), qt.IsFalse)
+			qt.Check(t, before.HasViolations(), qt.IsFalse)
 			qt.Check(t, tc.count(before), qt.Equals, 0.0)
 			tc.do(c)
 			after := c.Report()
 			qt.Check(t, tc.count(after), qt.Equals, tc.want, qt.Commentf("%s", fmt.Sprintf("%+v", after)))
-			qt.Check(t, after.Harm(), qt.Equals, tc.harm)
+			qt.Check(t, after.HasViolations(), qt.Equals, tc.harm)
 		})
 	}
 }
--- a/pkg/bench/checker/fleet.go
+++ b/pkg/bench/checker/fleet.go
@@ -14,8 +14,8 @@
 	waves             map[string]schema.Wave
 	vmByAddress       map[string]string // VM name
 	poweredOff        map[string]bool
-	leavingSince      map[string]time.Time      // start of draining by VM, as told by the table or the platform
-	leavingByPlatform map[string]bool           // VMs that the platform has told to leave
+	leavingSince      map[string]time.Time      // start of draining by VM, by the table or the platform
+	leavingByPlatform map[string]bool           // VMs that the platform drains
 	inFlight          map[string]map[string]int // requests in flight by VM and service
 	overBudget        map[string]bool           // pools that exceed their budget
 	everAssigned      map[string]bool           // VMs that were once assigned to a pool
--- a/pkg/bench/demo/demo.go
+++ b/pkg/bench/demo/demo.go
@@ -249,6 +249,6 @@
 			return
 		}
 		r := d.Checker.Report()
-		d.logProgress("requests %d  answered %d  not-run %d  edits %d  p99 %.1f ms  harm %v", r.Requests, r.Answered, r.NotRun, r.Edits, r.P99Ms, r.Harm())
+		d.logProgress("requests %d  answered %d  not-run %d  edits %d  p99 %.1f ms  harm %v", r.Requests, r.Answered, r.NotRun, r.Edits, r.P99Ms, r.HasViolations())
 	}
 }
--- a/pkg/bench/demo/demo_test.go
+++ b/pkg/bench/demo/demo_test.go
@@ -28,7 +28,7 @@
 	sum, err := demo.Run(context.Background(), o)
 	c := qt.New(t)
 	c.Assert(err, qt.IsNil)
-	c.Check(sum.Harm(), qt.IsFalse, qt.Commentf("%+v %q", sum.Report, sum.Details))
+	c.Check(sum.HasViolations(), qt.IsFalse, qt.Commentf("%+v %q", sum.Report, sum.Details))
 	c.Check(sum.WaveDone, qt.IsTrue)
 	c.Check(sum.OnceRequests > 0, qt.IsTrue)
 	c.Check(sum.Edits > 0, qt.IsTrue)
--- a/pkg/bench/overhead/overhead.go
+++ b/pkg/bench/overhead/overhead.go
@@ -39,22 +39,22 @@
 
 // Result holds medians over the rounds.
 type Result struct {
-	DirectP50Us        float64 `json:"direct_p50_us"`
-	HopP50Us           float64 `json:"hop_p50_us"`
-	ThroughP50Us       float64 `json:"through_p50_us"`
-	DirectP99Us        float64 `json:"direct_p99_us"`
-	HopP99Us           float64 `json:"hop_p99_us"`
-	ThroughP99Us       float64 `json:"through_p99_us"`
-	AddedP50Us         float64 `json:"added_p50_us"`
-	RPSPerCore         float64 `json:"rps_per_core"` // requests per CPU second of the gateway: the process's CPU time less that of the direct route
-	DirectRPS          float64 `json:"direct_rps"`
-	HopRPS             float64 `json:"hop_rps"`
-	ThroughRPS         float64 `json:"through_rps"`
-	ThroughToHopRPS    float64 `json:"through_to_hop_rps"`
-	CPUUsDirect        float64 `json:"cpu_us_direct"`  // CPU time of a request at caller and backend server
-	CPUUsThrough       float64 `json:"cpu_us_through"` // same, with the gateway
-	Cores              int     `json:"cores"`
-	RequestsOfOneRound int     `json:"requests_of_one_round"`
+	DirectP50Us          float64 `json:"direct_p50_us"`
+	BaselineP50Us        float64 `json:"hop_p50_us"`
+	GatewayP50Us         float64 `json:"through_p50_us"`
+	DirectP99Us          float64 `json:"direct_p99_us"`
+	BaselineP99Us        float64 `json:"hop_p99_us"`
+	GatewayP99Us         float64 `json:"through_p99_us"`
+	AddedP50Us           float64 `json:"added_p50_us"`
+	RPSPerCore           float64 `json:"rps_per_core"` // requests per CPU second of the gateway: the process's CPU time less that of the direct route
+	DirectRPS            float64 `json:"direct_rps"`
+	BaselineRPS          float64 `json:"hop_rps"`
+	GatewayRPS           float64 `json:"through_rps"`
+	GatewayToBaselineRPS float64 `json:"through_to_hop_rps"`
+	CPUUsDirect          float64 `json:"cpu_us_direct"`  // CPU time of a request at caller and backend server
+	CPUUsGateway         float64 `json:"cpu_us_through"` // same, with the gateway
+	Cores                int     `json:"cores"`
+	RequestsOfOneRound   int     `json:"requests_of_one_round"`
 }
 
 // noObserver is a backend.Observer that ignores all events.
@@ -81,22 +81,22 @@
 	if err != nil {
 		return r, err
 	}
-	hop, stopHop, err := listenAndServe(bareHop(address))
+	baseline, stopBaseline, err := listenAndServe(baselineProxy(address))
 	if err != nil {
 		return r, err
 	}
-	defer stopHop()
+	defer stopBaseline()
 	g, err := newGateway(address)
 	if err != nil {
 		return r, err
 	}
 	defer g.Close()
-	through, stopThrough, err := listenAndServe(g)
+	viaGateway, stopGateway, err := listenAndServe(g)
 	if err != nil {
 		return r, err
 	}
-	defer stopThrough()
-	routes := []*route{{address: address}, {address: hop}, {address: through}}
+	defer stopGateway()
+	routes := []*route{{address: address}, {address: baseline}, {address: viaGateway}}
 	for range o.Rounds {
 		for _, rt := range routes {
 			if err := rt.runRound(o); err != nil {
@@ -107,17 +107,17 @@
 	return newResult(routes[0], routes[1], routes[2], o), nil
 }
 
-func newResult(direct, hop, through *route, o Options) Result {
+func newResult(direct, baseline, viaGateway *route, o Options) Result {
 	r := Result{
-		DirectP50Us: median(direct.p50), HopP50Us: median(hop.p50), ThroughP50Us: median(through.p50),
-		DirectP99Us: median(direct.p99), HopP99Us: median(hop.p99), ThroughP99Us: median(through.p99),
-		DirectRPS: median(direct.rps), HopRPS: median(hop.rps), ThroughRPS: median(through.rps),
-		CPUUsDirect: median(direct.cpu), CPUUsThrough: median(through.cpu),
+		DirectP50Us: median(direct.p50), BaselineP50Us: median(baseline.p50), GatewayP50Us: median(viaGateway.p50),
+		DirectP99Us: median(direct.p99), BaselineP99Us: median(baseline.p99), GatewayP99Us: median(viaGateway.p99),
+		DirectRPS: median(direct.rps), BaselineRPS: median(baseline.rps), GatewayRPS: median(viaGateway.rps),
+		CPUUsDirect: median(direct.cpu), CPUUsGateway: median(viaGateway.cpu),
 		Cores: runtime.GOMAXPROCS(0), RequestsOfOneRound: o.Requests,
 	}
-	r.AddedP50Us = r.ThroughP50Us - r.DirectP50Us
-	r.ThroughToHopRPS = r.ThroughRPS / r.HopRPS
-	r.RPSPerCore = 1e6 / (r.CPUUsThrough - r.CPUUsDirect)
+	r.AddedP50Us = r.GatewayP50Us - r.DirectP50Us
+	r.GatewayToBaselineRPS = r.GatewayRPS / r.BaselineRPS
+	r.RPSPerCore = 1e6 / (r.CPUUsGateway - r.CPUUsDirect)
 	return r
 }
 
@@ -158,8 +158,8 @@
 	return g, nil
 }
 
-// bareHop is the baseline: a proxy that forwards requests by net/http and copies the response.
-func bareHop(address string) http.Handler {
+// baselineProxy returns a proxy that only forwards requests by net/http and copies responses.
+func baselineProxy(address string) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		out := r.Clone(r.Context())
--- a/pkg/bench/report/report.go
+++ b/pkg/bench/report/report.go
@@ -54,7 +54,7 @@
 	scenario.Result
 	About                  string
 	Latency, Goodput, Shed template.URL
-	Product, Baseline      scenario.Figures
+	Product, Baseline      scenario.VariantResult
 	Classes                []schema.Class
 }
 
--- a/pkg/bench/scenario/collect.go
+++ b/pkg/bench/scenario/collect.go
@@ -10,8 +10,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// ClassFigures holds the results of one request class.
-type ClassFigures struct {
+// ClassResult holds the results of one request class.
+type ClassResult struct {
 	Requests    int     `json:"requests"`
 	Good        int     `json:"good"`
 	Shed        int     `json:"shed"`
--- a/pkg/bench/scenario/doc.go
+++ b/pkg/bench/scenario/doc.go
@@ -3,7 +3,7 @@
 // hedging, retries without a budget. gannetbench load calls Run.
 //
 // A run has two phases in one process: steady load, and load with the scenario's fault.
-// Figures are of the second phase; the p99 latency of the first is reported beside them
-// for comparison. Exchanges that break within [detectionWindow] of a fault are counted
+// Results are those of the second phase, with the p99 latency of the first for
+// comparison. Exchanges that break within [detectionWindow] of a fault are counted
 // separately, since no system can avoid a fault before it is detectable.
 package scenario
--- a/pkg/bench/scenario/scenario.go
+++ b/pkg/bench/scenario/scenario.go
@@ -39,34 +39,34 @@
 	return map[string]any{}
 }
 
-// Figures holds the results of one variant in the fault phase.
-type Figures struct {
-	GoodputRPS    float64                       `json:"goodput_rps"`
-	P50Ms         float64                       `json:"p50_ms"`
-	P99Ms         float64                       `json:"p99_ms"`
-	P999Ms        float64                       `json:"p999_ms"`
-	ByClass       map[schema.Class]ClassFigures `json:"by_class"`
-	ShedByClass   map[schema.Class]int          `json:"shed_by_class"`
-	RetriesRatio  float64                       `json:"retries_ratio"` // backend requests per caller request
-	WrongAnswers  int                           `json:"wrong_answers"`
-	OnceRanTwice  int                           `json:"once_ran_twice"`
-	NotRunButRan  int                           `json:"not_run_but_ran"`
-	CutOff        int                           `json:"cut_off"`
-	CutOffByFault int                           `json:"struck_by_fault"` // cut off within detectionWindow of a fault
-	RSSMB         float64                       `json:"rss_mb"`          // resident memory of the whole process
-	NotRunReasons map[string]int                `json:"not_run_reasons"`
-	Distribution  []Bucket                      `json:"distribution"`
-	Timeline      []Point                       `json:"timeline"`
-	Details       []string                      `json:"details"`
+// VariantResult holds the measurements of one variant in the fault phase.
+type VariantResult struct {
+	GoodputRPS    float64                      `json:"goodput_rps"`
+	P50Ms         float64                      `json:"p50_ms"`
+	P99Ms         float64                      `json:"p99_ms"`
+	P999Ms        float64                      `json:"p999_ms"`
+	ByClass       map[schema.Class]ClassResult `json:"by_class"`
+	ShedByClass   map[schema.Class]int         `json:"shed_by_class"`
+	RetriesRatio  float64                      `json:"retries_ratio"` // backend requests per caller request
+	WrongAnswers  int                          `json:"wrong_answers"`
+	OnceRanTwice  int                          `json:"once_ran_twice"`
+	NotRunButRan  int                          `json:"not_run_but_ran"`
+	CutOff        int                          `json:"cut_off"`
+	CutOffByFault int                          `json:"struck_by_fault"` // cut off within detectionWindow of a fault
+	RSSMB         float64                      `json:"rss_mb"`          // resident memory of the whole process
+	NotRunReasons map[string]int               `json:"not_run_reasons"`
+	Distribution  []Bucket                     `json:"distribution"`
+	Timeline      []Point                      `json:"timeline"`
+	Details       []string                     `json:"details"`
 }
 
 // Result holds the results of a scenario.
 type Result struct {
-	Scenario    string              `json:"scenario"`
-	OfferedRPS  float64             `json:"offered_rps"`
-	CapacityRPS float64             `json:"capacity_rps"`
-	FaultS      float64             `json:"fault_s"`
-	Variants    map[Variant]Figures `json:"variants"`
+	Scenario    string                    `json:"scenario"`
+	OfferedRPS  float64                   `json:"offered_rps"`
+	CapacityRPS float64                   `json:"capacity_rps"`
+	FaultS      float64                   `json:"fault_s"`
+	Variants    map[Variant]VariantResult `json:"variants"`
 }
 
 // Options sets the phase durations and the seed of the load.
@@ -90,7 +90,7 @@
 	}
 	r = Result{
 		Scenario: name, CapacityRPS: capacityRPS, OfferedRPS: capacityRPS * steadyLoadFraction * s.offeredFactor(),
-		FaultS: o.Fault.Seconds(), Variants: map[Variant]Figures{},
+		FaultS: o.Fault.Seconds(), Variants: map[Variant]VariantResult{},
 	}
 	for _, v := range []Variant{VariantProduct, VariantBaseline} {
 		f, err := runVariant(ctx, s, v, o)
@@ -119,7 +119,7 @@
 	addLoad   func(factor float64, d time.Duration) // adds load for d
 }
 
-func runVariant(ctx context.Context, s scenario, v Variant, o Options) (f Figures, err error) {
+func runVariant(ctx context.Context, s scenario, v Variant, o Options) (f VariantResult, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	so := standin.DefaultOptions()
@@ -179,8 +179,8 @@
 	return out
 }
 
-// measure runs both phases and returns the figures.
-func measure(ctx context.Context, s scenario, o Options, st *environment, background *sync.WaitGroup) (f Figures, err error) {
+// measure runs both phases and returns the results.
+func measure(ctx context.Context, s scenario, o Options, st *environment, background *sync.WaitGroup) (f VariantResult, err error) {
 	c := st.collector
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
@@ -203,7 +203,7 @@
 	sleep(ctx, time.Until(c.faultStart.Add(o.Fault)))
 	stopLoad()
 	loads.Wait()
-	f = c.figures(o.Fault, st.standin.Checker.StartedRequests()-before)
+	f = c.results(o.Fault, st.standin.Checker.StartedRequests()-before)
 	f.RSSMB = residentMB()
 	r := st.standin.Checker.Report()
 	f.WrongAnswers, f.OnceRanTwice, f.NotRunButRan, f.CutOff = r.WrongAnswers+r.Truncated, r.OnceRanTwice, r.NotRunButRan, r.CutOff
@@ -218,19 +218,19 @@
 	}
 }
 
-// figures computes the results of the fault phase and stops collecting.
-func (c *collector) figures(d time.Duration, backendRequests int) (f Figures) {
+// results computes the results of the fault phase and stops collecting.
+func (c *collector) results(d time.Duration, backendRequests int) (f VariantResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	f = Figures{
-		ByClass: map[schema.Class]ClassFigures{}, ShedByClass: map[schema.Class]int{},
+	f = VariantResult{
+		ByClass: map[schema.Class]ClassResult{}, ShedByClass: map[schema.Class]int{},
 		P50Ms: quantile(c.fault, 50), P99Ms: quantile(c.fault, 99), P999Ms: quantile(c.fault, 99.9),
 		CutOffByFault: c.cutOffByFault, NotRunReasons: maps.Clone(c.notRunReasons),
 	}
 	sent, good := 0, 0
 	for name, results := range c.fault.classes {
-		f.ByClass[name] = ClassFigures{
+		f.ByClass[name] = ClassResult{
 			Requests: results.requests, Good: results.good, Shed: results.shed,
 			P50Ms: float64(results.latency.ValueAtQuantile(50)) / 1000, P99Ms: float64(results.latency.ValueAtQuantile(99)) / 1000,
 			SteadyP99Ms: float64(c.steady.class(name).latency.ValueAtQuantile(99)) / 1000,
--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -67,9 +67,9 @@
 
 const harnessNodes = 3
 
-func newHarness(t fatalT, p mutations) *harness {
+func newHarness(t fatalT, m mutations) *harness {
 	h := &harness{
-		t: t, mutations: p, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
+		t: t, mutations: m, rows: map[string]schema.VM{}, pools: map[string]schema.Pool{},
 		poweredOff: map[string]bool{}, leaving: map[string]bool{},
 	}
 	h.platform = fake.New(fake.WithLatency(time.Millisecond), fake.WithVMRuntime(h), fake.WithObserver(h),
@@ -164,7 +164,7 @@
 	return s
 }
 
-func (h *harness) problem(format string, args ...any) {
+func (h *harness) recordProblem(format string, args ...any) {
 	h.problems = append(h.problems, fmt.Sprintf(format, args...))
 }
 
@@ -190,8 +190,8 @@
 		if old.Phase == schema.PhaseActive && vm.Phase == schema.PhaseDraining && vm.Pool != "" {
 			h.checkBudget(key.Name, vm.Pool)
 		}
-		if old.Pool != "" && vm.Pool != old.Pool && h.busy(key.Name) > 0 && !h.poweredOff[key.Name] {
-			h.problem("%s left pool %s with requests in flight", key.Name, old.Pool)
+		if old.Pool != "" && vm.Pool != old.Pool && h.totalInFlight(key.Name) > 0 && !h.poweredOff[key.Name] {
+			h.recordProblem("%s left pool %s with requests in flight", key.Name, old.Pool)
 		}
 	}
 }
@@ -204,25 +204,25 @@
 		}
 	}
 	if out > h.pools[pool].MaxUnavailable {
-		h.problem("%s was taken out of pool %s: %d VMs out of service, budget %d", name, pool, out, h.pools[pool].MaxUnavailable)
+		h.recordProblem("%s was taken out of pool %s: %d VMs out of service, budget %d", name, pool, out, h.pools[pool].MaxUnavailable)
 	}
 }
 
-func (h *harness) busy(vm string) (n int) {
+func (h *harness) totalInFlight(vm string) (n int) {
 	for _, node := range h.nodes {
 		n += node.inFlight[vm]
 	}
 	return n
 }
 
-// Leaving implements fake.Machine.
+// Leaving implements fake.VMRuntime.
 func (h *harness) Leaving(vm string, leaving bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leaving[vm] = leaving
 }
 
-// Power implements fake.Machine. It checks that a rebooted VM is idle and not active.
+// Power implements fake.VMRuntime. It checks that a rebooted VM is idle and not active.
 func (h *harness) Power(vm string, on bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -231,25 +231,25 @@
 	if on {
 		return
 	}
-	if !h.failing && h.busy(vm) > 0 {
-		h.problem("%s was rebooted with %d requests in flight", vm, h.busy(vm))
+	if !h.failing && h.totalInFlight(vm) > 0 {
+		h.recordProblem("%s was rebooted with %d requests in flight", vm, h.totalInFlight(vm))
 	}
 	if !h.failing && h.rows[vm].Phase == schema.PhaseActive {
-		h.problem("%s was rebooted while it is active", vm)
+		h.recordProblem("%s was rebooted while it is active", vm)
 	}
 	for _, n := range h.nodes {
 		delete(n.inFlight, vm)
 	}
 }
 
-// InFlight implements fake.Machine.
+// InFlight implements fake.VMRuntime.
 func (h *harness) InFlight(vm string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.mutations.zeroCounts {
 		return 0
 	}
-	return h.busy(vm)
+	return h.totalInFlight(vm)
 }
 
 // entryCounter implements Entries for the harness.
@@ -342,8 +342,8 @@
 // machine checks the nodes under concurrency, pauses, crashes, partitions, store faults, VM
 // failures and operator edits: no request is cut off, budgets hold, and every wave ends after
 // all faults end.
-func machine(t *rapid.T, p mutations) {
-	h := newHarness(t, p)
+func machine(t *rapid.T, m mutations) {
+	h := newHarness(t, m)
 	defer h.pending.Wait()
 	node := rapid.Custom(func(t *rapid.T) *node { return h.nodes[rapid.IntRange(0, harnessNodes-1).Draw(t, "node")] })
 	vm := rapid.SampledFrom([]string{"w0", "w1", "w2", "w3", "w4", "w5"})
@@ -513,20 +513,20 @@
 
 // TestMutations breaks one guarantee at a time and expects the property to fail.
 func TestMutations(t *testing.T) {
-	for name, p := range map[string]mutations{
+	for name, m := range map[string]mutations{
 		"entries report no requests": {zeroCounts: true},
 		"drains are not awaited":     {skipDrainWait: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, m) }), qt.IsTrue)
 		})
 	}
 }
 
 // pausedReboot pauses a node between the decision to reboot a VM and the call, while another
 // node completes two waves and the VMs serve again.
-func pausedReboot(t fatalT, p mutations) (problems []string) {
-	h := newHarness(t, p)
+func pausedReboot(t fatalT, m mutations) (problems []string) {
+	h := newHarness(t, m)
 	editAsOperator(h.caughtUp(), schema.KindWave, "wave-1", func(v *schema.Wave) { v.State, v.Pools = schema.WaveStateRunning, []string{} })
 	const paused = 5 * time.Minute
 	h.setPause(h.nodes[0], paused, fleet.EffectReboot)
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -53,7 +53,7 @@
 	for _, vm := range o.Prober.List().VMs {
 		listed[vm.Name] = vm.State
 	}
-	var draining, ask []string
+	var draining, toQuery []string
 	for name, row := range snap.VMs {
 		h, at := o.Prober.Health(name)
 		obs := fleet.Observation{InFlight: o.LocalInFlight(name), Listed: listed[name]}
@@ -63,15 +63,15 @@
 			draining = append(draining, name)
 		}
 		if row.Value.Phase != schema.PhaseActive || h == membership.HealthLeaving {
-			ask = append(ask, name)
+			toQuery = append(toQuery, name)
 		}
 	}
-	statuses := o.statuses(ctx, ask)
+	statuses := o.statuses(ctx, toQuery)
 	var entries []membership.EntryInFlight
 	if len(draining) > 0 {
 		entries = o.Entries.InFlight(ctx, draining)
 	}
-	for _, name := range ask {
+	for _, name := range toQuery {
 		obs := seen[name]
 		obs.Status = statuses[name]
 		if snap.VMs[name].Value.Phase == schema.PhaseDraining {
--- a/pkg/entry/adapters.go
+++ b/pkg/entry/adapters.go
@@ -63,13 +63,13 @@
 type marker struct{ g *gateway.Gateway }
 
 // MarkList implements membership.Marker.
-func (m marker) MarkList(vm string, closed bool) { m.g.Mark(vm, gateway.SourceList, closed) }
+func (m marker) MarkList(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceList, closed) }
 
 // MarkLeaving implements membership.Marker.
-func (m marker) MarkLeaving(vm string, closed bool) { m.g.Mark(vm, gateway.SourceProbe, closed) }
+func (m marker) MarkLeaving(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceProbe, closed) }
 
 // MarkHealth implements membership.Marker.
-func (m marker) MarkHealth(vm string, closed bool) { m.g.Mark(vm, gateway.SourceHealth, closed) }
+func (m marker) MarkHealth(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceHealth, closed) }
 
 // kindRequest lets operators ask for an explanation of a request by its ID.
 const kindRequest schema.Kind = "request"
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -104,8 +104,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// fill commits a table with one backend server.
-func fill(t *testing.T, n *node, address string) api.EditResult {
+// commitTable commits a table with one backend server.
+func commitTable(t *testing.T, n *node, address string) api.EditResult {
 	row := func(kind, name, value string) api.RowChange {
 		return api.RowChange{Kind: kind, Name: name, Value: json.RawMessage(value)}
 	}
@@ -130,7 +130,7 @@
 	cl := &cluster{t: t, store: fake.New()}
 	first := cl.start("entry-1")
 	await(func() bool { return ready(first) })
-	result := fill(t, first, strings.TrimPrefix(backend.URL, "http://"))
+	result := commitTable(t, first, strings.TrimPrefix(backend.URL, "http://"))
 
 	cl.store.SetRules(fake.Rule{Fault: fake.FaultDown})
 	second := cl.start("entry-2")
@@ -183,7 +183,7 @@
 	cl := &cluster{t: t, store: fake.New()}
 	n, other := cl.start("entry-1"), cl.start("entry-2")
 	await(func() bool { return ready(n) && ready(other) })
-	fill(t, n, strings.TrimPrefix(backend.URL, "http://"))
+	commitTable(t, n, strings.TrimPrefix(backend.URL, "http://"))
 
 	pr, pw := io.Pipe()
 	resp, err := http.Post("http://"+n.CallerAddress()+"/rooms/1", "text/plain", pr)
--- a/pkg/explain/explain.go
+++ b/pkg/explain/explain.go
@@ -18,7 +18,7 @@
 	Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation
 }
 
-// TableReader reads the current table and, from a revision on, the entries of its log.
+// TableReader reads the current table and the entries of its log from a revision on.
 type TableReader interface {
 	Snapshot() *table.Snapshot
 	History(ctx context.Context, from, limit int) ([]schema.Entry, error)
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -53,7 +53,7 @@
 // errSuperseded cancels an attempt after a hedged attempt has responded.
 var errSuperseded = errors.New("another attempt has answered")
 
-// newAttempt prepares an attempt at a claimed server and returns the function that runs it. ctx
+// newAttempt prepares an attempt at an acquired server and returns the function that runs it. ctx
 // must outlive the attempt.
 func (x *exchange) newAttempt(ctx context.Context, server *Server) (a *attempt, run func()) {
 	x.attempts++
@@ -163,7 +163,7 @@
 		a.err = failure
 		return
 	case errors.As(cause, new(errTruncatedResponse)):
-		failure.Reason = ReasonBadAnswer
+		failure.Reason = ReasonBadResponse
 	case a.trace.conn == nil:
 		failure.Reason, failure.Detail = ReasonConnect, "no connection to the backend server: "+cause.Error()
 		a.server.failures.Add(failuresToEject) // eject at once: a failed connect is conclusive
@@ -233,7 +233,7 @@
 	if x.attempts >= maxAttempts || !x.route.service.hedges.TryWithdraw() {
 		return nil, false
 	}
-	server, ok := x.claimServer()
+	server, ok := x.tryAcquireServer()
 	if !ok {
 		return nil, false
 	}
--- a/pkg/gateway/claim.go
+++ b/pkg/gateway/claim.go
@@ -75,13 +75,13 @@
 }
 
 // replay sends the saved response of an earlier request with the same key.
-func (x *exchange) replay(a *once.Response) {
+func (x *exchange) replay(resp *once.Response) {
 	h := x.w.Header()
-	maps.Copy(h, a.Header)
+	maps.Copy(h, resp.Header)
 	h.Set(HeaderOutcome, string(OutcomeRan))
 	h.Set(HeaderReplayed, "true")
-	x.w.WriteHeader(a.Status)
-	_, _ = x.w.Write(a.Body) // the caller may be gone
+	x.w.WriteHeader(resp.Status)
+	_, _ = x.w.Write(resp.Body) // the caller may be gone
 }
 
 // finishClaim records the result of the request, or releases the key if the request did not
--- a/pkg/gateway/exchange.go
+++ b/pkg/gateway/exchange.go
@@ -37,7 +37,7 @@
 
 	body          []byte // buffered request body
 	buffered      bool   // body holds the whole request body
-	reservedBytes int64  // share of Gateway.bodyMemory held for body
+	reservedBytes int64  // part of Gateway.bodyMemory reserved for body
 	tried         []*Server
 	mayHaveRun    bool // an attempt had an unknown outcome, so the request cannot be reported as not run
 	attempts      int
@@ -171,7 +171,7 @@
 		return notRun(http.StatusTooManyRequests, ReasonRate, "the caller sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
 	}
 	team := x.r.Header.Get(HeaderTeam)
-	if team != "" && !x.g.teamRates.Allow(team, x.view.teams[team], x.start) {
+	if team != "" && !x.g.teamRates.Allow(team, x.view.teamRates[team], x.start) {
 		return notRun(http.StatusTooManyRequests, ReasonRate, "the team sends more requests a second than it may").withRetryAfter(defaultRetryAfter)
 	}
 	return nil
@@ -253,7 +253,7 @@
 	}
 }
 
-// nextServer claims a server for the next attempt, if another attempt is allowed. A nil err
+// nextServer acquires a server for the next attempt, if another attempt is allowed. A nil err
 // means that the last server responded 502, 503 or 504.
 func (x *exchange) nextServer(ctx context.Context, err error) (server *Server, ok bool) {
 	if err == nil {
@@ -262,7 +262,7 @@
 	if !x.mayRetry(ctx, err) {
 		return nil, false
 	}
-	return x.claimServer()
+	return x.tryAcquireServer()
 }
 
 // backoff waits between attempts.
@@ -286,11 +286,11 @@
 	return err
 }
 
-// acquireServer claims a server; while all are full it waits in the service's queue.
+// acquireServer acquires a server; while all are full it waits in the service's queue.
 func (x *exchange) acquireServer(ctx context.Context) (server *Server, err error) {
 	svc := x.route.service
 	pick := func() (ok bool) {
-		server, ok = x.claimServer()
+		server, ok = x.tryAcquireServer()
 		return ok
 	}
 	if x.g.settings.Limits && svc.anyOpen() {
--- a/pkg/gateway/gateway.go
+++ b/pkg/gateway/gateway.go
@@ -52,8 +52,8 @@
 // WithLogger logs each failed request to l.
 func WithLogger(l zerolog.Logger) Option { return func(g *Gateway) { g.log = l } }
 
-// WithClaims enables idempotency keys, stored in b.
-func WithClaims(b *once.Claims) Option { return func(g *Gateway) { g.claims = b } }
+// WithClaims enables idempotency keys, which c claims.
+func WithClaims(c *once.Claims) Option { return func(g *Gateway) { g.claims = c } }
 
 // WithDial uses f to open connections to backend servers.
 func WithDial(f func(ctx context.Context, network, addr string) (net.Conn, error)) Option {
@@ -95,9 +95,9 @@
 	g.metrics.revision.Set(float64(snap.Revision))
 }
 
-// Mark opens or closes a VM's server on behalf of a source. VMs that are not in the table are
-// ignored.
-func (g *Gateway) Mark(vm string, src Source, closed bool) {
+// SetClosed closes or reopens a VM's server on behalf of a source. VMs that are not in the table
+// are ignored.
+func (g *Gateway) SetClosed(vm string, src Source, closed bool) {
 	g.mu.Lock()
 	server, ok := g.servers[vm]
 	g.mu.Unlock()
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -340,7 +340,7 @@
 				snap.VMs["w1"] = vm
 				g.SetTable(snap)
 			} else {
-				g.Mark("w1", src, true)
+				g.SetClosed("w1", src, true)
 			}
 			for g.InFlight("w1") > 0 {
 				time.Sleep(time.Millisecond)
@@ -587,8 +587,8 @@
 		used[before[room]]++
 	}
 	c.Check(used, qt.HasLen, 4)
-	a.Mark("w1", gateway.SourceProbe, true)
-	b.Mark("w1", gateway.SourceProbe, true)
+	a.SetClosed("w1", gateway.SourceProbe, true)
+	b.SetClosed("w1", gateway.SourceProbe, true)
 	for room := range rooms {
 		after := place(room)
 		c.Check(after, qt.Not(qt.Equals), "w1")
--- a/pkg/gateway/limit/adaptive.go
+++ b/pkg/gateway/limit/adaptive.go
@@ -22,7 +22,7 @@
 	uncongestedRatio = 1.15
 	decreaseFactor   = 0.85
 	timeoutFactor    = 0.7 // after a timeout
-	// minUtilization is the share of the limit that must be in flight for it to rise.
+	// minUtilization is the fraction of the limit that must be in flight for it to rise.
 	minUtilization = 0.8
 	// smoothingFactor is the weight of a new sample in the moving average.
 	smoothingFactor = 0.1
@@ -30,7 +30,7 @@
 	minDecreaseInterval = 50 * time.Millisecond
 )
 
-// classShare is the share of a server's limit that a class may use, so that higher classes
+// classShare is the fraction of a server's limit that a class may use, so that higher classes
 // always find capacity.
 var classShare = map[schema.Class]float64{
 	schema.ClassLive: 1, schema.ClassInteractive: 1, schema.ClassClerk: 0.85, schema.ClassBatch: 0.7,
--- a/pkg/gateway/once/once_test.go
+++ b/pkg/gateway/once/once_test.go
@@ -23,7 +23,7 @@
 type harness struct {
 	store  *fake.Platform
 	wrap   func(platform.Table) platform.Table
-	books  []*once.Claims
+	claims []*once.Claims
 	cancel []context.CancelFunc
 	wg     sync.WaitGroup
 
@@ -38,7 +38,7 @@
 func newHarness(wrap func(platform.Table) platform.Table) *harness {
 	h := &harness{store: fake.New(fake.WithLatency(2 * time.Millisecond)), wrap: wrap, runs: map[string]int{}, bodies: map[string]string{}}
 	for range entries {
-		h.books = append(h.books, nil)
+		h.claims = append(h.claims, nil)
 		h.cancel = append(h.cancel, func() {})
 	}
 	for i := range entries {
@@ -52,7 +52,7 @@
 	h.cancel[i]()
 	ctx, cancel := context.WithCancel(context.Background())
 	b := once.New(h.wrap(h.store.View("z")), fmt.Sprintf("entry-%d", i))
-	h.books[i], h.cancel[i] = b, cancel
+	h.claims[i], h.cancel[i] = b, cancel
 	h.wg.Go(func() { _ = b.Run(ctx) })
 }
 
@@ -86,11 +86,11 @@
 	h.bodies[key] = body
 	h.mu.Unlock()
 	time.Sleep(took)
-	var answer *once.Response
+	var resp *once.Response
 	if f == answered {
-		answer = &once.Response{Status: 200, Body: []byte(key + body)}
+		resp = &once.Response{Status: 200, Body: []byte(key + body)}
 	}
-	b.Finish(t, answer)
+	b.Finish(t, resp)
 }
 
 func (h *harness) checkResponse(key, body string, ok bool) {
@@ -134,7 +134,7 @@
 				body := rapid.SampledFrom([]string{"x", "x", "y"}).Draw(t, "body")
 				f := rapid.SampledFrom([]result{answered, unknown, never}).Draw(t, "fate")
 				took := time.Duration(rapid.IntRange(0, 300).Draw(t, "took")) * time.Millisecond
-				b := h.books[i]
+				b := h.claims[i]
 				h.wg.Go(func() { h.request(b, key, body, f, took) })
 			}
 		},
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -49,13 +49,13 @@
 	ReasonNoServer      Reason = "no-server"          // no backend server accepts requests
 	ReasonConnect       Reason = "connect-failed"     // connecting to the backend server failed
 	ReasonBroken        Reason = "exchange-broken"    // the connection to the backend server failed
-	ReasonBadAnswer     Reason = "bad-answer"         // the response was invalid or truncated
+	ReasonBadResponse   Reason = "bad-answer"         // the response was invalid or truncated
 	ReasonDeadline      Reason = "deadline"           // no response within the deadline
 	ReasonCallerGone    Reason = "caller-gone"        // the caller closed the connection
 	ReasonUpgradeFailed Reason = "upgrade-failed"     // the protocol upgrade failed
 )
 
-// ErrRequest reports a failed request with everything its caller is told.
+// ErrRequest reports a failed request with everything that its response contains.
 type ErrRequest struct {
 	Status     int // HTTP status
 	Outcome    Outcome
--- a/pkg/gateway/pick.go
+++ b/pkg/gateway/pick.go
@@ -8,8 +8,8 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// claimServer claims a server that has not been tried yet; the caller must release it.
-func (x *exchange) claimServer() (server *Server, ok bool) {
+// tryAcquireServer acquires a server that has not been tried yet; the caller must release it.
+func (x *exchange) tryAcquireServer() (server *Server, ok bool) {
 	svc := x.route.service
 	for _, lenient := range []bool{false, true} {
 		for range maxAttempts {
@@ -17,7 +17,7 @@
 			if !ok {
 				break
 			}
-			if server.claim(x.route.Class, lenient) {
+			if server.tryAcquire(x.route.Class, lenient) {
 				return server, true
 			}
 		}
--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -65,7 +65,7 @@
 	return o.attempts[id]
 }
 
-func (o *oracle) problem(format string, args ...any) {
+func (o *oracle) recordProblem(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.problems = append(o.problems, fmt.Sprintf(format, args...))
@@ -180,7 +180,7 @@
 	}
 	ran := h.ran(id)
 	if route == "/once" && ran > 1 {
-		h.problem("%s ran %d times", id, ran)
+		h.recordProblem("%s ran %d times", id, ran)
 	}
 	if err != nil {
 		return // without a response there is no outcome to check
@@ -193,13 +193,13 @@
 	whole := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
 	switch {
 	case outcome == gateway.OutcomeNotRun && ran > 0:
-		h.problem("%s is reported as not run but ran", id)
+		h.recordProblem("%s is reported as not run but ran", id)
 	case outcome == "":
-		h.problem("%s has no outcome, status %d", id, resp.StatusCode)
+		h.recordProblem("%s has no outcome, status %d", id, resp.StatusCode)
 	case resp.StatusCode == http.StatusOK && readErr == nil && !whole:
-		h.problem("%s got %d bytes that are not the complete response", id, len(body))
+		h.recordProblem("%s got %d bytes that are not the complete response", id, len(body))
 	case resp.StatusCode == http.StatusOK && outcome != gateway.OutcomeRan:
-		h.problem("%s got a response but its outcome is %s", id, outcome)
+		h.recordProblem("%s got a response but its outcome is %s", id, outcome)
 	}
 }
 
@@ -248,7 +248,7 @@
 		},
 		"mark": func(t *rapid.T) {
 			src := rapid.SampledFrom([]gateway.Source{gateway.SourceList, gateway.SourceProbe, gateway.SourceHealth}).Draw(t, "source")
-			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].Mark(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
+			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].SetClosed(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
 		},
 		"store": func(t *rapid.T) {
 			h.store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 30, Count: rapid.IntRange(1, 3).Draw(t, "count")})
--- a/pkg/gateway/retry/retry.go
+++ b/pkg/gateway/retry/retry.go
@@ -1,5 +1,5 @@
 // Package retry bounds the load that retries and hedged requests of package gateway add. A
-// [Budget] limits them to a share of the requests, and a [Quantile] estimates the latency after
+// [Budget] limits them to a fraction of the requests, and a [Quantile] estimates the latency after
 // which a request is hedged (Dean and Barroso, "The Tail at Scale", 2013).
 package retry
 
@@ -67,7 +67,7 @@
 func NewQuantile(q float64) *Quantile { return &Quantile{q: q} }
 
 const (
-	stepFraction = 0.05 // step size as a share of the estimate
+	stepFraction = 0.05 // step size as a fraction of the estimate
 	stepScale    = 2    // scales the steps up and down, whose ratio is q to 1-q
 	minSamples   = 50   // samples needed before Value is valid
 )
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -106,9 +106,9 @@
 	slowStartPenalty = 4
 )
 
-// claim counts a request in flight if the server is open and below its limit. The count is
+// tryAcquire counts a request in flight if the server is open and below its limit. The count is
 // incremented before the sources are checked; see the package documentation.
-func (s *Server) claim(class schema.Class, lenient bool) bool {
+func (s *Server) tryAcquire(class schema.Class, lenient bool) bool {
 	n := s.inFlight.Add(1)
 	capacity := s.capacity()
 	if s.limit != nil {
--- a/pkg/gateway/view.go
+++ b/pkg/gateway/view.go
@@ -25,7 +25,7 @@
 	hedgeDelay *retry.Quantile
 }
 
-// service is the backend servers of a service.
+// service is a service of the table with its backend servers and its state.
 type service struct {
 	name   string
 	local  []*Server // in the entry's zone
@@ -41,8 +41,8 @@
 	hedges  *retry.Budget
 }
 
-// Budgets for retries and hedged attempts, as shares of the requests, and the latency quantile
-// after which a request is hedged.
+// Budgets for retries and hedged attempts, as fractions of the requests, and the latency
+// quantile after which a request is hedged.
 const (
 	retryShare    = 0.08
 	hedgeShare    = 0.05
@@ -83,9 +83,9 @@
 
 // view is the immutable routing state that requests use.
 type view struct {
-	revision int
-	routes   []*route           // longest path prefix first, then those with a method
-	teams    map[string]float64 // requests per second by team
+	revision  int
+	routes    []*route           // longest path prefix first, then those with a method
+	teamRates map[string]float64 // requests per second by team
 }
 
 // match returns the route for a request, nil if there is none.
@@ -119,9 +119,9 @@
 			svc.remote = append(svc.remote, server)
 		}
 	}
-	v := &view{revision: snap.Revision, teams: map[string]float64{}}
+	v := &view{revision: snap.Revision, teamRates: map[string]float64{}}
 	for name, team := range snap.Teams {
-		v.teams[name] = team.Value.RequestsPerS
+		v.teamRates[name] = team.Value.RequestsPerS
 	}
 	for _, name := range snap.Routes.Names() {
 		row := snap.Routes[name].Value
--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -65,14 +65,14 @@
 // Unwrap returns the cause.
 func (e ErrNotSent) Unwrap() error { return e.Cause }
 
-// ErrNoAnswer reports a request without a response; the host may have received it.
-type ErrNoAnswer struct{ Cause error }
+// ErrNoResponse reports a request without a response; the host may have received it.
+type ErrNoResponse struct{ Cause error }
 
 // Error returns why there was no response.
-func (e ErrNoAnswer) Error() string { return "no answer: " + e.Cause.Error() }
+func (e ErrNoResponse) Error() string { return "no answer: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e ErrNoAnswer) Unwrap() error { return e.Cause }
+func (e ErrNoResponse) Unwrap() error { return e.Cause }
 
 // Dial opens a connection to a host:port.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -109,7 +109,7 @@
 }
 
 // Do sends a request and returns the response or, if ctx ends or the exchange fails, an
-// [ErrNotSent] or [ErrNoAnswer]. It resends a request on another connection only if a reused
+// [ErrNotSent] or [ErrNoResponse]. It resends a request on another connection only if a reused
 // connection sent none of it, or if it is a GET and the host had closed the reused connection.
 func (c *Client) Do(ctx context.Context, r *Request) (resp Response, err error) {
 	for {
@@ -124,7 +124,7 @@
 		if cn.reused && ctx.Err() == nil && (!sent || r.Method == fasthttp.MethodGet && errors.As(err, new(errClosed))) {
 			continue
 		}
-		return resp, ErrNoAnswer{Cause: err}
+		return resp, ErrNoResponse{Cause: err}
 	}
 }
 
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -32,7 +32,7 @@
 type Option func(*Replica)
 
 // WithNotify calls f with each new snapshot before it becomes visible, in order. The log
-// entries that led to it are empty after Adopt.
+// entries that led to it are empty after InstallSnapshot.
 func WithNotify(f func(*table.Snapshot, []schema.Entry)) Option {
 	return func(r *Replica) { r.notify = f }
 }
--- a/pkg/replica/replica_test.go
+++ b/pkg/replica/replica_test.go
@@ -48,8 +48,8 @@
 
 func unmodified(t platform.Table) platform.Table { return t }
 
-func newHarness(t *rapid.T, p mutation) *harness {
-	h := &harness{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), mutation: p, reported: map[string]outcome{}}
+func newHarness(t *rapid.T, m mutation) *harness {
+	h := &harness{t: t, store: fake.New(fake.WithLatency(time.Millisecond)), mutation: m, reported: map[string]outcome{}}
 	for range 3 {
 		h.replicas = append(h.replicas, h.newReplica())
 		h.highest = append(h.highest, 0)
@@ -80,12 +80,12 @@
 
 // TestMutations breaks one guarantee of the store at a time and expects the property to fail.
 func TestMutations(t *testing.T) {
-	for name, p := range map[string]mutation{
+	for name, m := range map[string]mutation{
 		"no conditions":                        func(t platform.Table) platform.Table { return unconditional{t} },
 		"unknown outcome reported as not done": func(t platform.Table) platform.Table { return misreporting{t} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, p) }), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, func(rt *rapid.T) { machine(rt, m) }), qt.IsTrue)
 		})
 	}
 }
@@ -179,8 +179,8 @@
 }
 
 // machine is the property that TestMachine checks.
-func machine(t *rapid.T, p mutation) {
-	h := newHarness(t, p)
+func machine(t *rapid.T, m mutation) {
+	h := newHarness(t, m)
 	index := rapid.IntRange(0, len(h.replicas)-1)
 	names := rapid.SampledFrom([]string{"a", "b", "c"})
 	t.Repeat(map[string]func(*rapid.T){
--- a/pkg/table/transition.go
+++ b/pkg/table/transition.go
@@ -61,7 +61,7 @@
 	}
 	if existed && exists {
 		c.checkPoolMove(name, old.Value, row.Value)
-		c.noteTakenOut(name, old.Value, row.Value)
+		c.recordTakenOut(name, old.Value, row.Value)
 	}
 }
 
@@ -104,8 +104,8 @@
 	}
 }
 
-// noteTakenOut records a VM that goes out of service for maintenance.
-func (c *transitionChecker) noteTakenOut(name string, old, row schema.VM) {
+// recordTakenOut records a VM that goes out of service for maintenance.
+func (c *transitionChecker) recordTakenOut(name string, old, row schema.VM) {
 	if old.Phase != schema.PhaseActive || !InMaintenance(row.Phase) || row.Pool == "" {
 		return
 	}
