--- a/pkg/bench/checker/checker.go
+++ b/pkg/bench/checker/checker.go
@@ -194,8 +194,8 @@
 	if len(c.runs) < maxTrackedRequests {
 		c.runs[id]++
 	}
-	if afterLeaving := c.fleet.requestStarted(vm, service, at); afterLeaving > 0 {
-		c.report.NewWorkAfterLeavingMs = max(c.report.NewWorkAfterLeavingMs, milliseconds(afterLeaving))
+	if afterDrain := c.fleet.requestStarted(vm, service, at); afterDrain > 0 {
+		c.report.NewWorkAfterLeavingMs = max(c.report.NewWorkAfterLeavingMs, milliseconds(afterDrain))
 	}
 	if c.fleet.servesTwoServices(vm) {
 		c.report.VMsInTwoPools++
@@ -229,7 +229,7 @@
 func (c *Checker) Leaving(vm string, leaving bool, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fleet.setLeaving(vm, leaving, at)
+	c.fleet.setDraining(vm, leaving, at)
 	c.checkBudgets()
 }
 
--- a/pkg/bench/checker/checker_test.go
+++ b/pkg/bench/checker/checker_test.go
@@ -34,10 +34,10 @@
 		return checker.Request{ID: id, Entry: "e", Sent: now, Done: now.Add(time.Millisecond), Result: result}
 	}
 	for name, tc := range map[string]struct {
-		do    func(c *checker.Checker)
-		count func(r checker.Report) float64
-		want  float64
-		harm  bool
+		do        func(c *checker.Checker)
+		count     func(r checker.Report) float64
+		want      float64
+		violation bool
 	}{
 		"wrong_answers": {func(c *checker.Checker) { c.Finished(request("a", checker.ResultWrong), 0) }, func(r checker.Report) float64 { return float64(r.WrongAnswers) }, 1, true},
 		"truncated":     {func(c *checker.Checker) { c.Finished(request("a", checker.ResultTruncated), 0) }, func(r checker.Report) float64 { return float64(r.Truncated) }, 1, true},
@@ -99,7 +99,7 @@
 			tc.do(c)
 			after := c.Report()
 			qt.Check(t, tc.count(after), qt.Equals, tc.want, qt.Commentf("%s", fmt.Sprintf("%+v", after)))
-			qt.Check(t, after.HasViolations(), qt.Equals, tc.harm)
+			qt.Check(t, after.HasViolations(), qt.Equals, tc.violation)
 		})
 	}
 }
--- a/pkg/bench/checker/fleet.go
+++ b/pkg/bench/checker/fleet.go
@@ -9,33 +9,33 @@
 
 // fleetState is the state of the fleet by the simulated platform's table and the VMs.
 type fleetState struct {
-	vms               map[string]schema.VM
-	pools             map[string]schema.Pool
-	waves             map[string]schema.Wave
-	vmByAddress       map[string]string // VM name
-	poweredOff        map[string]bool
-	leavingSince      map[string]time.Time      // start of draining by VM, by the table or the platform
-	leavingByPlatform map[string]bool           // VMs that the platform drains
-	inFlight          map[string]map[string]int // requests in flight by VM and service
-	overBudget        map[string]bool           // pools that exceed their budget
-	everAssigned      map[string]bool           // VMs that were once assigned to a pool
+	vms                map[string]schema.VM
+	pools              map[string]schema.Pool
+	waves              map[string]schema.Wave
+	vmByAddress        map[string]string // VM name
+	poweredOff         map[string]bool
+	drainingSince      map[string]time.Time      // start of draining by VM, by the table or the platform
+	drainingByPlatform map[string]bool           // VMs that the platform drains
+	inFlight           map[string]map[string]int // requests in flight by VM and service
+	overBudget         map[string]bool           // pools that exceed their budget
+	everAssigned       map[string]bool           // VMs that were once assigned to a pool
 }
 
 func newFleetState() fleetState {
 	return fleetState{
 		vms: map[string]schema.VM{}, pools: map[string]schema.Pool{}, waves: map[string]schema.Wave{},
-		vmByAddress: map[string]string{}, poweredOff: map[string]bool{}, leavingSince: map[string]time.Time{}, leavingByPlatform: map[string]bool{},
+		vmByAddress: map[string]string{}, poweredOff: map[string]bool{}, drainingSince: map[string]time.Time{}, drainingByPlatform: map[string]bool{},
 		inFlight: map[string]map[string]int{}, overBudget: map[string]bool{}, everAssigned: map[string]bool{},
 	}
 }
 
-// requestStarted counts a request and returns how long the VM had been leaving by then.
-func (f *fleetState) requestStarted(vm, service string, at time.Time) (afterLeaving time.Duration) {
+// requestStarted counts a request and returns how long the VM had been draining by then.
+func (f *fleetState) requestStarted(vm, service string, at time.Time) (afterDrain time.Duration) {
 	if f.inFlight[vm] == nil {
 		f.inFlight[vm] = map[string]int{}
 	}
 	f.inFlight[vm][service]++
-	if since, ok := f.leavingSince[vm]; ok {
+	if since, ok := f.drainingSince[vm]; ok {
 		return at.Sub(since)
 	}
 	return 0
@@ -49,19 +49,19 @@
 
 func (f *fleetState) servesTwoServices(vm string) bool { return len(f.inFlight[vm]) > 1 }
 
-func (f *fleetState) setLeaving(vm string, leaving bool, at time.Time) {
-	f.leavingByPlatform[vm] = leaving
-	f.updateLeaving(vm, at)
+func (f *fleetState) setDraining(vm string, draining bool, at time.Time) {
+	f.drainingByPlatform[vm] = draining
+	f.updateDraining(vm, at)
 }
 
-// updateLeaving sets or clears the time since which a VM has been leaving.
-func (f *fleetState) updateLeaving(vm string, at time.Time) {
-	leaving := f.leavingByPlatform[vm] || f.vms[vm].Phase == schema.PhaseDraining || f.vms[vm].Phase == schema.PhaseRebooting
-	if _, ok := f.leavingSince[vm]; leaving && !ok {
-		f.leavingSince[vm] = at
+// updateDraining sets or clears the time since which a VM has been draining or rebooting.
+func (f *fleetState) updateDraining(vm string, at time.Time) {
+	draining := f.drainingByPlatform[vm] || f.vms[vm].Phase == schema.PhaseDraining || f.vms[vm].Phase == schema.PhaseRebooting
+	if _, ok := f.drainingSince[vm]; draining && !ok {
+		f.drainingSince[vm] = at
 	}
-	if !leaving {
-		delete(f.leavingSince, vm)
+	if !draining {
+		delete(f.drainingSince, vm)
 	}
 }
 
@@ -83,9 +83,9 @@
 		moved = vm.Pool != old.Pool && f.everAssigned[key.Name]
 		f.everAssigned[key.Name] = f.everAssigned[key.Name] || vm.Pool != ""
 		if vm.Phase == schema.PhaseActive && old.Phase != schema.PhaseActive {
-			f.leavingByPlatform[key.Name] = false
+			f.drainingByPlatform[key.Name] = false
 		}
-		f.updateLeaving(key.Name, at)
+		f.updateDraining(key.Name, at)
 	case schema.KindPool:
 		if removed {
 			delete(f.pools, key.Name)
@@ -113,7 +113,7 @@
 func (f *fleetState) newlyOverBudget() (pools []string) {
 	unavailable := map[string]int{}
 	for name, vm := range f.vms {
-		if vm.Pool != "" && (vm.Phase != schema.PhaseActive || f.poweredOff[name] || f.leavingByPlatform[name]) {
+		if vm.Pool != "" && (vm.Phase != schema.PhaseActive || f.poweredOff[name] || f.drainingByPlatform[name]) {
 			unavailable[vm.Pool]++
 		}
 	}
--- a/pkg/bench/lateness/lateness.go
+++ b/pkg/bench/lateness/lateness.go
@@ -20,7 +20,7 @@
 	FirstStart   Cause = "first start"   // acceptance to the first start of a task
 	Spread       Cause = "spread"        // first to last start of a step's tasks
 	BetweenSteps Cause = "between steps" // end of a step to the first start of the next
-	Rerun        Cause = "rerun"         // a task had to start again
+	Rerun        Cause = "rerun"         // a task was started more than once
 	Other        Cause = "other"
 )
 
--- a/pkg/bench/scenario/faults.go
+++ b/pkg/bench/scenario/faults.go
@@ -15,7 +15,7 @@
 type scenario struct {
 	about      string
 	loadFactor float64 // peak load as a factor of the steady one, for the report; 0 means 1
-	inject     func(st *environment, d time.Duration) error
+	inject     func(env *environment, d time.Duration) error
 }
 
 func (s scenario) offeredFactor() float64 { return max(1, s.loadFactor) }
@@ -41,57 +41,57 @@
 
 func workVM(zone, i int) string { return fmt.Sprintf("%s-%d-%d", serviceWork, zone, i) }
 
-func slowDownServer(st *environment, _ time.Duration) error {
-	st.standin.Backends.SetDelay(workVM(1, 1), slowServerDelay)
+func slowDownServer(env *environment, _ time.Duration) error {
+	env.standin.Backends.SetDelay(workVM(1, 1), slowServerDelay)
 	return nil
 }
 
-func failServer(st *environment, _ time.Duration) error {
-	st.standin.Backends.SetUnhealthy(workVM(1, 1), true)
+func failServer(env *environment, _ time.Duration) error {
+	env.standin.Backends.SetUnhealthy(workVM(1, 1), true)
 	return nil
 }
 
-func overload(st *environment, d time.Duration) error {
-	st.addLoad(3, d)
+func overload(env *environment, d time.Duration) error {
+	env.addLoad(3, d)
 	return nil
 }
 
-func isolateZone(st *environment, _ time.Duration) error {
-	st.collector.recordFault()
-	st.partition.isolate(zoneName(0))
-	st.standin.Platform.SetRules(fake.Rule{Zone: zoneName(0), Fault: fake.FaultDown})
+func isolateZone(env *environment, _ time.Duration) error {
+	env.collector.recordFault()
+	env.partition.isolate(zoneName(0))
+	env.standin.Platform.SetRules(fake.Rule{Zone: zoneName(0), Fault: fake.FaultDown})
 	return nil
 }
 
-func failPlatform(st *environment, _ time.Duration) error {
-	st.standin.Platform.SetRules(fake.Rule{Fault: fake.FaultDown})
+func failPlatform(env *environment, _ time.Duration) error {
+	env.standin.Platform.SetRules(fake.Rule{Fault: fake.FaultDown})
 	return nil
 }
 
-func startWave(st *environment, _ time.Duration) error {
-	_, err := st.entries.AnyClient().Edit(st.ctx, api.EditRequest{ID: "wave", Reason: "the scenario's wave", Changes: []api.RowChange{{
+func startWave(env *environment, _ time.Duration) error {
+	_, err := env.entries.AnyClient().Edit(env.ctx, api.EditRequest{ID: "wave", Reason: "the scenario's wave", Changes: []api.RowChange{{
 		Kind: string(schema.KindWave), Name: "wave", Value: table.MustValue(schema.Wave{State: schema.WaveStateRunning, Pools: []string{}}),
 	}}})
 	return err
 }
 
-func crashEntry(st *environment, _ time.Duration) error {
-	st.collector.recordFault()
-	st.entries.Crash("entry-1")
+func crashEntry(env *environment, _ time.Duration) error {
+	env.collector.recordFault()
+	env.entries.Crash("entry-1")
 	return nil
 }
 
-func failAllServers(st *environment, _ time.Duration) error {
+func failAllServers(env *environment, _ time.Duration) error {
 	for z := range zones {
 		for i := range serversPerZone {
-			st.standin.Backends.SetUnhealthy(workVM(z+1, i+1), true)
+			env.standin.Backends.SetUnhealthy(workVM(z+1, i+1), true)
 		}
 	}
 	return nil
 }
 
-func burst(st *environment, d time.Duration) error {
-	st.addLoad(2, d/4)
+func burst(env *environment, d time.Duration) error {
+	env.addLoad(2, d/4)
 	return nil
 }
 
--- a/pkg/bench/scenario/scenario.go
+++ b/pkg/bench/scenario/scenario.go
@@ -180,34 +180,34 @@
 }
 
 // measure runs both phases and returns the results.
-func measure(ctx context.Context, s scenario, o Options, st *environment, background *sync.WaitGroup) (f VariantResult, err error) {
-	c := st.collector
+func measure(ctx context.Context, s scenario, o Options, env *environment, background *sync.WaitGroup) (f VariantResult, err error) {
+	c := env.collector
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var loads sync.WaitGroup
 	generate := func(ctx context.Context, name string, factor float64, seed uint64) {
-		loads.Go(func() { load.NewGenerator(st.balancer, c, name, seed).Run(ctx, newStreams(factor)) })
+		loads.Go(func() { load.NewGenerator(env.balancer, c, name, seed).Run(ctx, newStreams(factor)) })
 	}
 	generate(loadCtx, "base", 1, o.Seed)
-	st.addLoad = func(factor float64, d time.Duration) {
+	env.addLoad = func(factor float64, d time.Duration) {
 		addedCtx, cancel := context.WithTimeout(loadCtx, d)
 		background.Go(func() { <-addedCtx.Done(); cancel() })
 		generate(addedCtx, fmt.Sprintf("more-%d", time.Now().UnixNano()), factor, o.Seed+1)
 	}
 	sleep(ctx, o.Steady)
-	before := st.standin.Checker.StartedRequests()
+	before := env.standin.Checker.StartedRequests()
 	c.beginFaultPhase()
-	if err := s.inject(st, o.Fault); err != nil {
+	if err := s.inject(env, o.Fault); err != nil {
 		return f, err
 	}
 	sleep(ctx, time.Until(c.faultStart.Add(o.Fault)))
 	stopLoad()
 	loads.Wait()
-	f = c.results(o.Fault, st.standin.Checker.StartedRequests()-before)
+	f = c.results(o.Fault, env.standin.Checker.StartedRequests()-before)
 	f.RSSMB = residentMB()
-	r := st.standin.Checker.Report()
+	r := env.standin.Checker.Report()
 	f.WrongAnswers, f.OnceRanTwice, f.NotRunButRan, f.CutOff = r.WrongAnswers+r.Truncated, r.OnceRanTwice, r.NotRunButRan, r.CutOff
-	f.Details = st.standin.Checker.Details()
+	f.Details = env.standin.Checker.Details()
 	return f, ctx.Err()
 }
 
--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -55,7 +55,7 @@
 		}
 		roots = x509.NewCertPool()
 		if !roots.AppendCertsFromPEM(pem) {
-			return errors.Errorf("%s holds no certificate", r.files.CAFile)
+			return errors.Errorf("CA file %s contains no PEM certificate", r.files.CAFile)
 		}
 	}
 	r.cert, r.roots, r.modTime, r.checkedAt = &cert, roots, modTime, time.Now()
@@ -133,7 +133,7 @@
 		InsecureSkipVerify: true, // VerifyConnection verifies the chain instead
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			if len(cs.PeerCertificates) == 0 {
-				return errors.New("the peer shows no certificate")
+				return errors.New("the peer presented no certificate")
 			}
 			inter := x509.NewCertPool()
 			for _, c := range cs.PeerCertificates[1:] {
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -48,7 +48,7 @@
 // Observe returns observations of all VMs of a snapshot. VMs that are out of service are also
 // queried for their status.
 func (o *Observer) Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation {
-	seen := make(map[string]fleet.Observation, len(snap.VMs))
+	observations := make(map[string]fleet.Observation, len(snap.VMs))
 	listed := map[string]platform.VMState{}
 	for _, vm := range o.Prober.List().VMs {
 		listed[vm.Name] = vm.State
@@ -58,7 +58,7 @@
 		h, at := o.Prober.Health(name)
 		obs := fleet.Observation{InFlight: o.LocalInFlight(name), Listed: listed[name]}
 		obs.Health, obs.Since = o.trackHealth(name, h, at, row.Value)
-		seen[name] = obs
+		observations[name] = obs
 		if row.Value.Phase == schema.PhaseDraining {
 			draining = append(draining, name)
 		}
@@ -72,14 +72,14 @@
 		entries = o.Entries.InFlight(ctx, draining)
 	}
 	for _, name := range toQuery {
-		obs := seen[name]
+		obs := observations[name]
 		obs.Status = statuses[name]
 		if snap.VMs[name].Value.Phase == schema.PhaseDraining {
 			obs.Entries = entryCounts(name, entries)
 		}
-		seen[name] = obs
+		observations[name] = obs
 	}
-	return seen
+	return observations
 }
 
 // trackHealth converts a probe result to health and the time since when it has lasted. For a VM
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -73,7 +73,7 @@
 
 // New creates an entry and binds its listeners. The caller must then call Run.
 func New(settings schema.Settings, opts ...Option) (e *Entry, err error) {
-	defer func() { err = errors.Wrapf(err, "make entry %s", settings.Name) }()
+	defer func() { err = errors.Wrapf(err, "create entry %s", settings.Name) }()
 	e = &Entry{
 		settings: settings, log: zerolog.Nop(), limits: fleet.DefaultLimits(),
 		traffic: newTraffic(), registry: prometheus.NewRegistry(), stop: make(chan struct{}),
@@ -99,22 +99,22 @@
 func (e *Entry) assemble() {
 	s := e.settings
 	e.claims = once.New(e.platform, s.Name)
-	path := []gateway.Option{gateway.WithLogger(e.log), gateway.WithClaims(e.claims)}
-	probes := []membership.ServersOption{
+	gatewayOptions := []gateway.Option{gateway.WithLogger(e.log), gateway.WithClaims(e.claims)}
+	serversOptions := []membership.ServersOption{
 		membership.WithProbeInterval(ms(s.Gateway.ProbeIntervalMs)),
 		membership.WithOnList(e.onVMList),
 		membership.WithServersLogger(e.log),
 	}
 	if e.dial != nil {
-		path = append(path, gateway.WithDial(e.dial))
-		probes = append(probes, membership.WithProbeDial(e.dial))
+		gatewayOptions = append(gatewayOptions, gateway.WithDial(e.dial))
+		serversOptions = append(serversOptions, membership.WithProbeDial(e.dial))
 	}
-	e.gateway = gateway.New(s.Name, s.Zone, s.Gateway, path...)
+	e.gateway = gateway.New(s.Name, s.Zone, s.Gateway, gatewayOptions...)
 	e.replica = replica.New(e.platform, replica.WithNotify(e.onTable))
 	self := schema.PeerState{
 		Name: s.Name, Incarnation: int(time.Now().UnixMilli()), Zone: s.Zone, Address: e.PeerAddress(),
 	}
-	links := []membership.PeersOption{
+	peersOptions := []membership.PeersOption{
 		membership.WithInFlight(e.gateway.InFlight),
 		membership.WithStopping(e.stopping),
 		membership.WithInterval(ms(s.Control.SyncIntervalMs)),
@@ -123,11 +123,11 @@
 		membership.WithPeerLogger(e.log),
 	}
 	if e.dial != nil {
-		links = append(links, membership.WithPeerDial(e.dial))
+		peersOptions = append(peersOptions, membership.WithPeerDial(e.dial))
 	}
-	e.peers = membership.NewPeers(self, s.Peers.Secret, e.replica, links...)
+	e.peers = membership.NewPeers(self, s.Peers.Secret, e.replica, peersOptions...)
 	e.peers.SetAddresses(s.Peers.Seeds)
-	e.servers = membership.NewServers(s.Zone, e.replica, e.platform, marker{e.gateway}, probes...)
+	e.servers = membership.NewServers(s.Zone, e.replica, e.platform, marker{e.gateway}, serversOptions...)
 	e.follower = replica.NewFollower(e.replica, ms(s.Control.HeadIntervalMs), e.isReader, e.log)
 	e.observer = &control.Observer{VMs: e.platform, Prober: e.servers, Entries: e.entries(), LocalInFlight: e.gateway.InFlight}
 	e.loop = control.New(s.Name, e.replica, e.platform, e.observer,
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -188,7 +188,7 @@
 	pr, pw := io.Pipe()
 	resp, err := http.Post("http://"+n.CallerAddress()+"/rooms/1", "text/plain", pr)
 	c.Assert(err, qt.IsNil)
-	say := func(text string) {
+	sendLine := func(text string) {
 		_, err := io.WriteString(pw, text)
 		c.Assert(err, qt.IsNil)
 		got := make([]byte, len(text))
@@ -196,12 +196,12 @@
 		c.Assert(err, qt.IsNil)
 		c.Check(string(got), qt.Equals, text)
 	}
-	say("good morning")
+	sendLine("good morning")
 	n.Stop()
 	await(func() bool { return !ready(n) })
 	for range 10 {
 		time.Sleep(10 * time.Millisecond)
-		say("the stream goes on")
+		sendLine("the stream goes on")
 	}
 	select {
 	case err := <-n.done:
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -242,7 +242,7 @@
 	return b, true
 }
 
-// recordOutcome notes on the exchange that an attempt may have run.
+// recordOutcome records on the exchange that an attempt may have run.
 func (x *exchange) recordOutcome(a *attempt) *attempt {
 	var failure ErrRequest
 	if errors.As(a.err, &failure) && failure.Outcome != OutcomeNotRun {
--- a/pkg/gateway/limit/queue.go
+++ b/pkg/gateway/limit/queue.go
@@ -31,9 +31,9 @@
 const (
 	// maxWaiters bounds the waiters per class, and so the queue's memory.
 	maxWaiters = 256
-	// lowestClassTurn is the interval, in notifications, at which the lowest class is served
+	// lowestClassInterval is the interval, in notifications, at which the lowest class is served
 	// first, which prevents starvation.
-	lowestClassTurn = 16
+	lowestClassInterval = 16
 )
 
 // ErrShed is returned for a request that got no server in time.
@@ -45,9 +45,9 @@
 type Queue struct {
 	waiting atomic.Int64
 
-	mu      sync.Mutex
-	byClass [len(classOrder)][]*waiter // by rank, oldest first
-	turn    int
+	mu            sync.Mutex
+	byClass       [len(classOrder)][]*waiter // by rank, oldest first
+	notifications int
 }
 
 type waiter struct {
@@ -85,14 +85,14 @@
 	defer cancel()
 	start := time.Now()
 	for {
-		w := q.join(class, start)
+		w := q.enqueue(class, start)
 		if try() { // a slot may have become free before the waiter was added
-			q.leave(class, w)
+			q.remove(class, w)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			if !q.leave(class, w) {
+			if !q.remove(class, w) {
 				q.Notify() // pass a notification received meanwhile to the next waiter
 			}
 			return ErrShed
@@ -107,8 +107,8 @@
 	}
 }
 
-// join adds a waiter, shedding the oldest of its class if the queue is full.
-func (q *Queue) join(class schema.Class, since time.Time) *waiter {
+// enqueue adds a waiter, shedding the oldest of its class if the queue is full.
+func (q *Queue) enqueue(class schema.Class, since time.Time) *waiter {
 	w := &waiter{wake: make(chan struct{}, 1), enqueuedAt: since}
 	rank := classRank[class]
 	q.mu.Lock()
@@ -123,8 +123,8 @@
 	return w
 }
 
-// leave removes a waiter; it returns false if the waiter is no longer queued.
-func (q *Queue) leave(class schema.Class, w *waiter) bool {
+// remove removes a waiter; it returns false if the waiter is no longer queued.
+func (q *Queue) remove(class schema.Class, w *waiter) bool {
 	rank := classRank[class]
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -145,8 +145,8 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.turn++
-	if q.turn%lowestClassTurn == 0 {
+	q.notifications++
+	if q.notifications%lowestClassInterval == 0 {
 		for rank := len(classOrder) - 1; rank >= 0; rank-- {
 			if q.wakeOne(rank) {
 				return
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -138,7 +138,7 @@
 	// Not cancelled with ctx: other requests may wait for the claim.
 	<-c.committed
 	if c.err != nil {
-		cs.drop(c)
+		cs.remove(c)
 		return nil, nil, c.err
 	}
 	return c, nil, nil
@@ -188,8 +188,8 @@
 	cs.wake()
 }
 
-// drop removes a claim that could not be committed.
-func (cs *Claims) drop(c *Claim) {
+// remove removes a claim that could not be committed.
+func (cs *Claims) remove(c *Claim) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	if cs.byKey[c.key] == c {
@@ -303,35 +303,35 @@
 
 // resolveConflicts finds which keys of a batch were claimed before and requeues the others.
 func (cs *Claims) resolveConflicts(ctx context.Context, batch []*Claim) {
-	var again []*Claim
+	var requeued []*Claim
 	for _, c := range batch {
-		held, err := cs.read(ctx, c.key)
+		stored, err := cs.read(ctx, c.key)
 		switch {
 		case err != nil:
 			c.resolve(ErrUnavailable{Cause: err})
-		case held == nil:
-			again = append(again, c)
+		case stored == nil:
+			requeued = append(requeued, c)
 		default:
-			c.resolve(checkRecord(held, c))
+			c.resolve(checkRecord(stored, c))
 		}
 	}
 	cs.mu.Lock()
-	cs.pending = append(again, cs.pending...)
+	cs.pending = append(requeued, cs.pending...)
 	cs.mu.Unlock()
-	if len(again) > 0 {
+	if len(requeued) > 0 {
 		cs.wake()
 	}
 }
 
 // checkRecord compares a stored claim with c: nil means that c is the stored claim.
-func checkRecord(held *claimRecord, c *Claim) error {
+func checkRecord(stored *claimRecord, c *Claim) error {
 	switch {
-	case held.Token == c.record.Token:
+	case stored.Token == c.record.Token:
 		return nil
-	case held.Digest != c.record.Digest:
+	case stored.Digest != c.record.Digest:
 		return ErrBodyMismatch{}
 	}
-	return ErrClaimed{Entry: held.Entry}
+	return ErrClaimed{Entry: stored.Entry}
 }
 
 // readBack determines whether a claim was committed. If it is not found it may still be
@@ -339,9 +339,9 @@
 func (cs *Claims) readBack(ctx context.Context, c *Claim) error {
 	var last error
 	for range maxReadBacks {
-		held, err := cs.read(ctx, c.key)
-		if err == nil && held != nil {
-			return checkRecord(held, c)
+		stored, err := cs.read(ctx, c.key)
+		if err == nil && stored != nil {
+			return checkRecord(stored, c)
 		}
 		last = errors.New("the answer of the store was lost")
 		if err != nil {
@@ -357,13 +357,13 @@
 }
 
 // read returns the stored claim of a key, nil if there is none.
-func (cs *Claims) read(ctx context.Context, key Key) (held *claimRecord, err error) {
+func (cs *Claims) read(ctx context.Context, key Key) (stored *claimRecord, err error) {
 	item, err := cs.store.Get(ctx, keyPrefix+string(key))
 	if err != nil || item.Version == 0 {
 		return nil, err
 	}
-	held = &claimRecord{}
-	return held, errors.Wrap(json.Unmarshal(item.Value, held), "decode claim")
+	stored = &claimRecord{}
+	return stored, errors.Wrap(json.Unmarshal(item.Value, stored), "decode claim")
 }
 
 // releaseKeys deletes claims. It is not retried: a retry could delete another request's claim.
--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -84,11 +84,11 @@
 func (o *oracle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	plan := strings.Split(r.Header.Get(headerPlan), ",")
-	does := behavior(plan[min(o.startAttempt(id), len(plan)-1)])
+	planned := behavior(plan[min(o.startAttempt(id), len(plan)-1)])
 	_, _ = io.Copy(io.Discard, r.Body)
-	body := expectedBody(id, does == respondsLarge || does == closesInLargeResponse)
+	body := expectedBody(id, planned == respondsLarge || planned == closesInLargeResponse)
 	cut, _ := strconv.Atoi(r.Header.Get(headerCut))
-	switch does {
+	switch planned {
 	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -102,7 +102,7 @@
 	case closesInResponse, closesInLargeResponse:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:min(len(body)-1, cut)])
-		if does == closesInLargeResponse {
+		if planned == closesInLargeResponse {
 			_ = http.NewResponseController(w).Flush()
 		}
 		panic(http.ErrAbortHandler)
@@ -190,13 +190,13 @@
 	if first, ok := h.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
 		want = first
 	}
-	whole := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
+	complete := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
 	switch {
 	case outcome == gateway.OutcomeNotRun && ran > 0:
 		h.recordProblem("%s is reported as not run but ran", id)
 	case outcome == "":
 		h.recordProblem("%s has no outcome, status %d", id, resp.StatusCode)
-	case resp.StatusCode == http.StatusOK && readErr == nil && !whole:
+	case resp.StatusCode == http.StatusOK && readErr == nil && !complete:
 		h.recordProblem("%s got %d bytes that are not the complete response", id, len(body))
 	case resp.StatusCode == http.StatusOK && outcome != gateway.OutcomeRan:
 		h.recordProblem("%s got a response but its outcome is %s", id, outcome)
--- a/pkg/replica/follow.go
+++ b/pkg/replica/follow.go
@@ -23,9 +23,9 @@
 }
 
 // NewFollower returns a follower that reads the head once per interval, or less often while
-// reader returns false.
-func NewFollower(r *Replica, interval time.Duration, reader func() bool, log zerolog.Logger) *Follower {
-	return &Follower{replica: r, interval: interval, isReader: reader, log: log}
+// isReader returns false.
+func NewFollower(r *Replica, interval time.Duration, isReader func() bool, log zerolog.Logger) *Follower {
+	return &Follower{replica: r, interval: interval, isReader: isReader, log: log}
 }
 
 // Err returns the error of the last read, nil if it succeeded.
