--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -225,7 +225,7 @@
 				route := rapid.SampledFrom([]string{"/safe", "/once"}).Draw(t, "route")
 				var plan []string
 				for range 3 {
-					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "conduct")))
+					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "behavior")))
 				}
 				cut := rapid.SampledFrom([]int{0, 1, 8, 9, 65_535, 65_536, 65_537, 100_000}).Draw(t, "cut")
 				wg.Go(func() { h.send(entry, route, id, strings.Join(plan, ","), "", cut) })
@@ -238,7 +238,7 @@
 				h.nextID++
 				h.keys[key] = fmt.Sprintf("r%d", h.nextID)
 			}
-			plan := string(rapid.SampledFrom(behaviors).Draw(t, "conduct"))
+			plan := string(rapid.SampledFrom(behaviors).Draw(t, "behavior"))
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
