--- a/pkg/bench/claims/claims.go
+++ b/pkg/bench/claims/claims.go
@@ -46,12 +46,12 @@
 
 // newGroupedClaimer returns a claimer that batches concurrent claims into transactions.
 func newGroupedClaimer(ctx context.Context, store platform.Table, wg *sync.WaitGroup, i int) claimer {
-	b := once.New(store, fmt.Sprintf("entry-%d", i))
-	wg.Go(func() { _ = b.Run(ctx) })
+	claims := once.New(store, fmt.Sprintf("entry-%d", i))
+	wg.Go(func() { _ = claims.Run(ctx) })
 	return func(ctx context.Context, key string) error {
-		t, _, err := b.Claim(ctx, once.NewKey("r", "c", key), "d")
+		claim, _, err := claims.Claim(ctx, once.NewKey("r", "c", key), "d")
 		if err == nil {
-			b.Finish(t, nil)
+			claims.Finish(claim, nil)
 		}
 		return err
 	}
@@ -66,13 +66,13 @@
 	}
 }
 
-func measure(method string, rate int, d time.Duration, make func(context.Context, platform.Table, *sync.WaitGroup, int) claimer) Result {
+func measure(method string, rate int, d time.Duration, newClaimer func(context.Context, platform.Table, *sync.WaitGroup, int) claimer) Result {
 	store := fake.New(fake.WithLatency(storeLatency))
 	ctx, cancel := context.WithCancel(context.Background())
 	var background, calls sync.WaitGroup
 	var claimers []claimer
 	for i := range entries {
-		claimers = append(claimers, make(ctx, store.View("z"), &background, i))
+		claimers = append(claimers, newClaimer(ctx, store.View("z"), &background, i))
 	}
 	var mu sync.Mutex
 	var latenciesMs []float64
--- a/pkg/bench/cluster/cluster.go
+++ b/pkg/bench/cluster/cluster.go
@@ -161,7 +161,7 @@
 
 const stopTimeout = 30 * time.Second
 
-// Stop makes a planned stop of an entry and waits until it has ended.
+// Stop stops an entry gracefully and waits until it has ended.
 func (es *Entries) Stop(name string) error {
 	es.mu.Lock()
 	r := es.running[name]
--- a/pkg/bench/silence/silence.go
+++ b/pkg/bench/silence/silence.go
@@ -38,11 +38,11 @@
 
 // Silence makes a random fraction, from 0 to 1, of the open connections silent and
 // returns their number.
-func (l *Listener) Silence(share float64) (n int) {
+func (l *Listener) Silence(fraction float64) (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
-		if rand.Float64() < share {
+		if rand.Float64() < fraction {
 			c.silence()
 			n++
 		}
