--- a/pkg/bench/claims/claims.go
+++ b/pkg/bench/claims/claims.go
@@ -66,13 +66,13 @@
 	}
 }
 
-func measure(method string, rate int, d time.Duration, newClaimer func(context.Context, platform.Table, *sync.WaitGroup, int) claimer) Result {
+func measure(method string, rate int, d time.Duration, make func(context.Context, platform.Table, *sync.WaitGroup, int) claimer) Result {
 	store := fake.New(fake.WithLatency(storeLatency))
 	ctx, cancel := context.WithCancel(context.Background())
 	var background, calls sync.WaitGroup
 	var claimers []claimer
 	for i := range entries {
-		claimers = append(claimers, newClaimer(ctx, store.View("z"), &background, i))
+		claimers = append(claimers, make(ctx, store.View("z"), &background, i))
 	}
 	var mu sync.Mutex
 	var latenciesMs []float64
