--- a/pkg/bench/checker/checker.go
+++ b/pkg/bench/checker/checker.go
@@ -1,6 +1,6 @@
-// Package checker counts violations of the product's guarantees, called harm: wrong,
-// truncated or cut-off responses, repeated execution, exceeded pool budgets, VMs that
-// serve two pools, and configuration that goes back. It relies only on what callers,
+// Package checker counts violations of the product's guarantees: wrong, truncated or
+// cut-off responses, repeated execution, exceeded pool budgets, VMs that serve two pools,
+// and configuration revisions that decrease. It relies only on what callers,
 // backend servers and the simulated platform report, not on the product's own metrics.
 package checker
 
@@ -69,8 +69,8 @@
 	P999Ms                float64 `json:"p999_ms"`
 }
 
-// Harm reports whether a counter that must stay zero is above zero.
-func (r Report) Harm() bool {
+// HasViolations reports whether any counter of violations is above zero.
+func (r Report) HasViolations() bool {
 	return r.WrongAnswers+r.Truncated+r.OnceRanTwice+r.NotRunButRan+r.CutOff+
 		r.BudgetViolations+r.VMsInTwoPools+r.ConfigReverts > 0
 }
@@ -84,7 +84,7 @@
 // maxTrackedRequests bounds the memory for run counts.
 const maxTrackedRequests = 4 << 20
 
-// Checker collects events and counts harm; it is safe for concurrent use.
+// Checker collects events and counts violations; it is safe for concurrent use.
 type Checker struct {
 	mu        sync.Mutex
 	report    Report
@@ -194,8 +194,8 @@
 	if len(c.runs) < maxTrackedRequests {
 		c.runs[id]++
 	}
-	if afterLeaving := c.fleet.requestStarted(vm, service, at); afterLeaving > 0 {
-		c.report.NewWorkAfterLeavingMs = max(c.report.NewWorkAfterLeavingMs, milliseconds(afterLeaving))
+	if afterDrain := c.fleet.requestStarted(vm, service, at); afterDrain > 0 {
+		c.report.NewWorkAfterLeavingMs = max(c.report.NewWorkAfterLeavingMs, milliseconds(afterDrain))
 	}
 	if c.fleet.servesTwoServices(vm) {
 		c.report.VMsInTwoPools++
@@ -229,7 +229,7 @@
 func (c *Checker) Leaving(vm string, leaving bool, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.fleet.setLeaving(vm, leaving, at)
+	c.fleet.setDraining(vm, leaving, at)
 	c.checkBudgets()
 }
 
--- a/pkg/bench/claims/claims.go
+++ b/pkg/bench/claims/claims.go
@@ -46,12 +46,12 @@
 
 // newGroupedClaimer returns a claimer that batches concurrent claims into transactions.
 func newGroupedClaimer(ctx context.Context, store platform.Table, wg *sync.WaitGroup, i int) claimer {
-	b := once.New(store, fmt.Sprintf("entry-%d", i))
-	wg.Go(func() { _ = b.Run(ctx) })
+	claims := once.New(store, fmt.Sprintf("entry-%d", i))
+	wg.Go(func() { _ = claims.Run(ctx) })
 	return func(ctx context.Context, key string) error {
-		t, _, err := b.Claim(ctx, once.NewKey("r", "c", key), "d")
+		claim, _, err := claims.Claim(ctx, once.NewKey("r", "c", key), "d")
 		if err == nil {
-			b.Finish(t, nil)
+			claims.Finish(claim, nil)
 		}
 		return err
 	}
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -48,38 +48,38 @@
 // Observe returns observations of all VMs of a snapshot. VMs that are out of service are also
 // queried for their status.
 func (o *Observer) Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation {
-	seen := make(map[string]fleet.Observation, len(snap.VMs))
+	observations := make(map[string]fleet.Observation, len(snap.VMs))
 	listed := map[string]platform.VMState{}
 	for _, vm := range o.Prober.List().VMs {
 		listed[vm.Name] = vm.State
 	}
-	var draining, ask []string
+	var draining, toQuery []string
 	for name, row := range snap.VMs {
 		h, at := o.Prober.Health(name)
 		obs := fleet.Observation{InFlight: o.LocalInFlight(name), Listed: listed[name]}
 		obs.Health, obs.Since = o.trackHealth(name, h, at, row.Value)
-		seen[name] = obs
+		observations[name] = obs
 		if row.Value.Phase == schema.PhaseDraining {
 			draining = append(draining, name)
 		}
 		if row.Value.Phase != schema.PhaseActive || h == membership.HealthLeaving {
-			ask = append(ask, name)
+			toQuery = append(toQuery, name)
 		}
 	}
-	statuses := o.statuses(ctx, ask)
+	statuses := o.statuses(ctx, toQuery)
 	var entries []membership.EntryInFlight
 	if len(draining) > 0 {
 		entries = o.Entries.InFlight(ctx, draining)
 	}
-	for _, name := range ask {
-		obs := seen[name]
+	for _, name := range toQuery {
+		obs := observations[name]
 		obs.Status = statuses[name]
 		if snap.VMs[name].Value.Phase == schema.PhaseDraining {
 			obs.Entries = entryCounts(name, entries)
 		}
-		seen[name] = obs
+		observations[name] = obs
 	}
-	return seen
+	return observations
 }
 
 // trackHealth converts a probe result to health and the time since when it has lasted. For a VM
--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -65,7 +65,7 @@
 	return o.attempts[id]
 }
 
-func (o *oracle) problem(format string, args ...any) {
+func (o *oracle) recordProblem(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.problems = append(o.problems, fmt.Sprintf(format, args...))
@@ -84,11 +84,11 @@
 func (o *oracle) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(headerID)
 	plan := strings.Split(r.Header.Get(headerPlan), ",")
-	does := behavior(plan[min(o.startAttempt(id), len(plan)-1)])
+	planned := behavior(plan[min(o.startAttempt(id), len(plan)-1)])
 	_, _ = io.Copy(io.Discard, r.Body)
-	body := expectedBody(id, does == respondsLarge || does == closesInLargeResponse)
+	body := expectedBody(id, planned == respondsLarge || planned == closesInLargeResponse)
 	cut, _ := strconv.Atoi(r.Header.Get(headerCut))
-	switch does {
+	switch planned {
 	case unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -102,7 +102,7 @@
 	case closesInResponse, closesInLargeResponse:
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = w.Write(body[:min(len(body)-1, cut)])
-		if does == closesInLargeResponse {
+		if planned == closesInLargeResponse {
 			_ = http.NewResponseController(w).Flush()
 		}
 		panic(http.ErrAbortHandler)
@@ -180,7 +180,7 @@
 	}
 	ran := h.ran(id)
 	if route == "/once" && ran > 1 {
-		h.problem("%s ran %d times", id, ran)
+		h.recordProblem("%s ran %d times", id, ran)
 	}
 	if err != nil {
 		return // without a response there is no outcome to check
@@ -190,16 +190,16 @@
 	if first, ok := h.keys[key]; ok && resp.Header.Get(gateway.HeaderReplayed) != "" {
 		want = first
 	}
-	whole := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
+	complete := bytes.Equal(body, expectedBody(want, false)) || bytes.Equal(body, expectedBody(want, true))
 	switch {
 	case outcome == gateway.OutcomeNotRun && ran > 0:
-		h.problem("%s is reported as not run but ran", id)
+		h.recordProblem("%s is reported as not run but ran", id)
 	case outcome == "":
-		h.problem("%s has no outcome, status %d", id, resp.StatusCode)
-	case resp.StatusCode == http.StatusOK && readErr == nil && !whole:
-		h.problem("%s got %d bytes that are not the complete response", id, len(body))
+		h.recordProblem("%s has no outcome, status %d", id, resp.StatusCode)
+	case resp.StatusCode == http.StatusOK && readErr == nil && !complete:
+		h.recordProblem("%s got %d bytes that are not the complete response", id, len(body))
 	case resp.StatusCode == http.StatusOK && outcome != gateway.OutcomeRan:
-		h.problem("%s got a response but its outcome is %s", id, outcome)
+		h.recordProblem("%s got a response but its outcome is %s", id, outcome)
 	}
 }
 
@@ -225,7 +225,7 @@
 				route := rapid.SampledFrom([]string{"/safe", "/once"}).Draw(t, "route")
 				var plan []string
 				for range 3 {
-					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "conduct")))
+					plan = append(plan, string(rapid.SampledFrom(behaviors).Draw(t, "behavior")))
 				}
 				cut := rapid.SampledFrom([]int{0, 1, 8, 9, 65_535, 65_536, 65_537, 100_000}).Draw(t, "cut")
 				wg.Go(func() { h.send(entry, route, id, strings.Join(plan, ","), "", cut) })
@@ -238,7 +238,7 @@
 				h.nextID++
 				h.keys[key] = fmt.Sprintf("r%d", h.nextID)
 			}
-			plan := string(rapid.SampledFrom(behaviors).Draw(t, "conduct"))
+			plan := string(rapid.SampledFrom(behaviors).Draw(t, "behavior"))
 			var wg sync.WaitGroup
 			for range rapid.IntRange(1, 4).Draw(t, "n") {
 				entry := rapid.IntRange(0, 1).Draw(t, "entry")
@@ -248,7 +248,7 @@
 		},
 		"mark": func(t *rapid.T) {
 			src := rapid.SampledFrom([]gateway.Source{gateway.SourceList, gateway.SourceProbe, gateway.SourceHealth}).Draw(t, "source")
-			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].Mark(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
+			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].SetClosed(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
 		},
 		"store": func(t *rapid.T) {
 			h.store.SetRules(fake.Rule{Op: rest.OpCommit, Fault: rapid.SampledFrom(fake.Faults()).Draw(t, "fault"), DelayMs: 30, Count: rapid.IntRange(1, 3).Draw(t, "count")})
--- a/pkg/replica/replica.go
+++ b/pkg/replica/replica.go
@@ -32,7 +32,7 @@
 type Option func(*Replica)
 
 // WithNotify calls f with each new snapshot before it becomes visible, in order. The log
-// entries that led to it are empty after Adopt.
+// entries that led to it are empty after InstallSnapshot.
 func WithNotify(f func(*table.Snapshot, []schema.Entry)) Option {
 	return func(r *Replica) { r.notify = f }
 }
@@ -65,9 +65,9 @@
 	return r.changed
 }
 
-// Offer applies the log entries that follow the current revision and ignores older ones. It
+// ApplyEntries applies the log entries that follow the current revision and ignores older ones. It
 // returns table.ErrGap if entries in between are missing.
-func (r *Replica) Offer(entries []schema.Entry) (err error) {
+func (r *Replica) ApplyEntries(entries []schema.Entry) (err error) {
 	defer func() { err = errors.Wrap(err, "offer entries") }()
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,8 +96,8 @@
 	return err
 }
 
-// Adopt replaces the table by a snapshot if that is newer and reports whether it did.
-func (r *Replica) Adopt(snap *table.Snapshot) bool {
+// InstallSnapshot replaces the table by a snapshot if that is newer and reports whether it did.
+func (r *Replica) InstallSnapshot(snap *table.Snapshot) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if snap.Revision <= r.snap.Load().Revision {
--- a/pkg/replica/store.go
+++ b/pkg/replica/store.go
@@ -115,7 +115,7 @@
 		if len(entries) == 0 {
 			return errors.Errorf("head is at revision %d, but the log ends at %d", revision, r.Revision())
 		}
-		if err := r.Offer(entries); err != nil {
+		if err := r.ApplyEntries(entries); err != nil {
 			return err
 		}
 	}
@@ -177,7 +177,7 @@
 		}
 		more = len(entries) == scanLimit
 	}
-	r.Adopt(snap)
+	r.InstallSnapshot(snap)
 	return nil
 }
 
