--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // grantFor returns the quota grant to send to a pool's shard, or nil.
-func (r *Runner) grantFor(pool string, grants map[string]allowance.Grant) *allowance.Grant {
+func (r *Runner) grantFor(pool string, grants map[string]quota.Grant) *quota.Grant {
 	g, ok := grants[pool]
 	if !ok {
 		return nil
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -7,10 +7,10 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/elapsed"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
@@ -25,7 +25,7 @@
 type Drainer func(ctx context.Context, pool, vm string) (drained bool)
 
 // Loader requests the load of a pool's shard. If grant is not nil, it is sent with the request.
-type Loader func(ctx context.Context, pool string, grant *allowance.Grant) (l shard.Load, ok bool)
+type Loader func(ctx context.Context, pool string, grant *quota.Grant) (l shard.Load, ok bool)
 
 // Config holds the settings and dependencies of a Runner.
 type Config struct {
@@ -67,7 +67,7 @@
 	formerWaves    map[string]int           // by VM: the wave of those orders, 0 for a move
 	lastLoads      map[string]shard.Load    // by pool
 	trends         map[string]trend         // of demand, by pool
-	limits         *allowance.Allocator     // divides account quotas among shards
+	limits         *quota.Allocator         // divides account quotas among shards
 	surplus        map[string]int           // consecutive steps with surplus VMs, by pool
 	moves          map[string]*move         // by VM
 	announced      map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
@@ -94,7 +94,7 @@
 	now := cfg.Clock.Now()
 	r = &Runner{
 		cfg: cfg, claim: c, log: cfg.Log.With().Str("pool", Partition).Int64("term", c.Term).Logger(),
-		limits: allowance.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
+		limits: quota.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
 		policy: DefaultSizing, moves: map[string]*move{}, surplus: map[string]int{}, trends: map[string]trend{},
 		formerKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
 	}
--- a/pkg/node/accounts.go
+++ b/pkg/node/accounts.go
@@ -9,8 +9,8 @@
 
 	"github.com/labstack/echo/v4"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
@@ -52,7 +52,7 @@
 	all := map[string][]api.AccountInPool{}
 	for _, pool := range cat.ActivePools() {
 		wg.Go(func() {
-			l, ok := n.loadOf(ctx, pool, &allowance.Grant{Full: true}) // names no holder, so it grants nothing
+			l, ok := n.loadOf(ctx, pool, &quota.Grant{Full: true}) // names no holder, so it grants nothing
 			if !ok {
 				return
 			}
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/fleetops"
 	"github.com/gannetwell/gannetwell/pkg/ownership"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/schema"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
@@ -114,7 +114,7 @@
 	if len(raw) == 0 {
 		return false
 	}
-	var g allowance.Grant
+	var g quota.Grant
 	if err := msgpack.Unmarshal(raw, &g); err != nil {
 		n.log.Error().Str("event", "grant_malformed").Err(err).Send()
 		return false
@@ -125,7 +125,7 @@
 
 // loadOf asks the owner of a pool's shard for its load, and passes it the shares of the accounts'
 // limits in g unless it is nil.
-func (n *Node) loadOf(ctx context.Context, pool string, g *allowance.Grant) (l shard.Load, ok bool) {
+func (n *Node) loadOf(ctx context.Context, pool string, g *quota.Grant) (l shard.Load, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	q := &schema.Call{Kind: schema.CallKindLoad, Pool: pool}
--- a/pkg/allowance/allocator_test.go
+++ b/pkg/quota/allocator_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 import (
 	"testing"
--- a/pkg/allowance/doc.go
+++ b/pkg/quota/doc.go
@@ -1,4 +1,4 @@
-// Package allowance divides client accounts' quotas among shards.
+// Package quota divides client accounts' quotas among shards.
 //
 // An account's limit covers what it runs on the workers of all pools, but each pool's shard owner
 // schedules on its own. So every shard has a share of each limit, and what runs in a shard never
@@ -18,4 +18,4 @@
 //
 // Shares are fractions of the limit, so that a changed limit needs no coordination. Correctness
 // does not depend on clocks. The package does no I/O.
-package allowance
+package quota
--- a/pkg/allowance/allowance.go
+++ b/pkg/quota/quota.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 // Grant sets the shares of some accounts at one shard.
 type Grant struct {
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -1,10 +1,10 @@
 package shard
 
 import (
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/placement"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 )
 
 // demand counts the waiting tasks that the limits of their accounts allow to run, so that a pool
@@ -34,16 +34,16 @@
 
 // reportAccounts returns the usage and demand of accounts with a limit, and, if full, also accounts
 // without work here; the lock is held.
-func (o *Owner) reportAccounts(full bool) allowance.Report {
+func (o *Owner) reportAccounts(full bool) quota.Report {
 	r := o.accounts.shares.Report()
 	r.Full = full
 	unbooked := o.unbookedUsage()
-	uses := map[string]*allowance.Usage{}
-	use := func(account string) *allowance.Usage {
+	uses := map[string]*quota.Usage{}
+	use := func(account string) *quota.Usage {
 		u := uses[account]
 		if u == nil {
 			running := placement.MaxFraction(o.book.Allocated(account).Add(unbooked[account]), o.limitOf(account))
-			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
+			u = &quota.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
 		return u
@@ -75,7 +75,7 @@
 }
 
 // addWaiting adds n waiting tasks to an account's demand.
-func addWaiting(u *allowance.Usage, st *jobs.Step, n int, limit platform.Resources) {
+func addWaiting(u *quota.Usage, st *jobs.Step, n int, limit platform.Resources) {
 	fraction := func(tasks int) float64 {
 		return placement.MaxFraction(placement.LimitCharge(st.Needs, limit, tasks), limit)
 	}
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/placement"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 )
 
 // limitLogInterval is the minimum time between two log lines on an account that is at its limit.
@@ -15,16 +15,16 @@
 
 // accounts is the state of client accounts, beyond the catalog.
 type accounts struct {
-	shares     *allowance.ShardShares        // of the limits of accounts
+	shares     *quota.ShardShares            // of the limits of accounts
 	changed    bool                          // the shares are to be written
 	removed    map[string]platform.Resources // limits of accounts no longer in the catalog
 	loggedAt   map[string]time.Duration      // when an account was last logged as at its limit
 	guaranteed map[string]*guaranteedRate    // token buckets of guaranteed rates
 }
 
-func newAccounts(stored allowance.Row) accounts {
+func newAccounts(stored quota.Row) accounts {
 	return accounts{
-		shares: allowance.NewShardShares(stored), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
+		shares: quota.NewShardShares(stored), removed: map[string]platform.Resources{}, loggedAt: map[string]time.Duration{},
 		guaranteed: map[string]*guaranteedRate{},
 	}
 }
@@ -51,7 +51,7 @@
 }
 
 // ApplyGrant takes over granted shares of the limits of accounts.
-func (o *Owner) ApplyGrant(g allowance.Grant) {
+func (o *Owner) ApplyGrant(g quota.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.closed || o.releasing || !o.accounts.shares.Apply(g) {
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 )
 
 // Limits of a transaction, below those of the table service: 100 rows and 1 MB.
@@ -41,7 +41,7 @@
 	record      bool                         // parts of the record of leased workers are written
 	parts       []int                        // numbers of these parts
 	leased      *[recordParts][]leasedWorker // content of the record
-	shares      *allowance.Row               // quota shares of accounts as written, nil if unchanged
+	shares      *quota.Row                   // quota shares of accounts as written, nil if unchanged
 	acks        map[*session]int64           // number of the last end to acknowledge, by worker
 	drops       []expiredJob
 	txn         platform.RowTxn
--- a/pkg/shard/cluster_test.go
+++ b/pkg/shard/cluster_test.go
@@ -15,12 +15,12 @@
 	"github.com/pkg/errors"
 	"github.com/rs/zerolog"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/elapsed"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/platform"
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
@@ -355,7 +355,7 @@
 
 // grant gives an owner a share of an account's limit, as the holder of a term does.
 func (e *testCluster) grant(entry string, term, seq int64, account string, share float64) {
-	e.owners[entry].ApplyGrant(allowance.Grant{Term: term, Seq: seq, Shares: map[string]float64{account: share}})
+	e.owners[entry].ApplyGrant(quota.Grant{Term: term, Seq: seq, Shares: map[string]float64{account: share}})
 }
 
 type noMetrics struct{}
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -6,10 +6,10 @@
 	"slices"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/placement"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 )
 
 // loadLogInterval is the time between two log lines about a shard's load.
@@ -53,7 +53,7 @@
 	// exclude them; Used includes their tasks.
 	ZonesOut map[string]ZoneLoad
 	// Accounts reports what client accounts use and request of their limits.
-	Accounts allowance.Report
+	Accounts quota.Report
 }
 
 // Load returns the shard's load, with full including the use of all accounts; ok is false if
--- a/pkg/shard/load_bench_test.go
+++ b/pkg/shard/load_bench_test.go
@@ -6,9 +6,9 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 )
 
 // BenchmarkBusyOwner runs three seconds of 170 jobs a second in a pool of 250 workers, without
@@ -34,7 +34,7 @@
 		shares[name] = 1
 	}
 	e.startOwner("a")
-	e.owners["a"].ApplyGrant(allowance.Grant{Term: 1, Seq: 1, Shares: shares})
+	e.owners["a"].ApplyGrant(quota.Grant{Term: 1, Seq: 1, Shares: shares})
 	time.Sleep(time.Second)
 	for i := range 510 {
 		account := ""
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -9,9 +9,9 @@
 	"github.com/pkg/errors"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 )
 
 // ReadRow returns a row, with version 0 if it does not exist.
@@ -42,7 +42,7 @@
 	record            workerRecord
 	unheard           bool // a worker of a former owner was lost before it reported to a later one
 	workersUnreadable bool // the record of workers is malformed: any worker may hold a lease
-	shares            allowance.Row
+	shares            quota.Row
 }
 
 // errMalformedRow reports a row that can't be decoded.
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/platform"
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
@@ -245,7 +245,7 @@
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "holder %d, grant %d, bound %v\n", l.Accounts.Term, l.Accounts.Seq, l.Accounts.Enforced)
-	slices.SortFunc(l.Accounts.Accounts, func(a, b allowance.Usage) int { return strings.Compare(a.Account, b.Account) })
+	slices.SortFunc(l.Accounts.Accounts, func(a, b quota.Usage) int { return strings.Compare(a.Account, b.Account) })
 	for _, u := range l.Accounts.Accounts {
 		fmt.Fprintf(&out, "%s: running %.2f, wanted %.2f, step %.2f, share %.2f\n", u.Account, u.Running, u.Demand, u.MinStart, u.Share)
 	}
