--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -46,8 +46,8 @@
 	OrderGap        time.Duration // minimum time between orders of two holders for a VM
 	MaintenanceTime time.Duration // of one VM
 
-	Sending func()      // called before the takeover's transaction is sent
-	OnOver  func(error) // called once when ownership is lost
+	BeforeTakeover func()      // called before the takeover's transaction is sent
+	OnOver         func(error) // called once when ownership is lost
 }
 
 // Runner maintains VMs and sizes pools while this entry is the holder.
@@ -84,7 +84,7 @@
 
 // Open takes over the work if its owner row still has the version seen.
 func Open(ctx context.Context, cfg Config, seen shard.ObservedOwner, cat *catalog.Catalog) (r *Runner, err error) {
-	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.Sending)
+	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.BeforeTakeover)
 	if err != nil {
 		return nil, err
 	}
