--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -166,7 +166,7 @@
 		},
 		Report: func(int, bool) (platform.Row, error) { return platform.Row{}, nil },
 		Waves:  s.requested, ZoneOut: s.evacuated,
-		OrderGap: orderGap, BeforeTakeover: func() {}, OnOver: func(error) {},
+		OrderGap: orderGap, BeforeTakeover: func() {}, OnGivenUp: func(error) {},
 	}, shard.ObservedOwner{Version: seen.Version}, cat)
 }
 
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -47,7 +47,7 @@
 	MaintenanceTime time.Duration // of one VM
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
-	OnOver         func(error) // called once when ownership is lost
+	OnGivenUp      func(error) // called once when ownership is lost
 }
 
 // Runner maintains VMs and sizes pools while this entry is the holder.
@@ -225,5 +225,5 @@
 	r.relinquished = true
 	r.log.Warn().Str("event", "maintenance_given_up").Send()
 	r.cancel()
-	go r.cfg.OnOver(nil)
+	go r.cfg.OnGivenUp(nil)
 }
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -74,7 +74,7 @@
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Drain: n.emptyVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
-		BeforeTakeover: events.Committing, OnOver: events.Relinquished,
+		BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
 	}, seen, cat)
 	if err != nil {
 		return nil, err // no typed nil in the interface
