--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -25,8 +25,8 @@
 	return worst
 }
 
-// EvidenceVersion counts the changes to the losses of the job's tasks.
-func (j *Job) EvidenceVersion() int { return j.evidenceVersion }
+// LossesVersion counts the changes to the losses of the job's tasks.
+func (j *Job) LossesVersion() int { return j.evidenceVersion }
 
 // MarkEvidencePersisted records that the losses are persisted up to version n.
 func (j *Job) MarkEvidencePersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -182,7 +182,7 @@
 		j.NoteProgressRows(len(rows))
 		b.jobs = append(b.jobs, j)
 		b.states = append(b.states, j.State)
-		b.evidence = append(b.evidence, j.EvidenceVersion())
+		b.evidence = append(b.evidence, j.LossesVersion())
 		for i, key := range progressKeys(o.cfg.Pool, j.ID, len(rows)) {
 			b.put(key, rows[i])
 		}
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -28,7 +28,7 @@
 	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
-	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.EvidenceVersion()})
+	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.LossesVersion()})
 	o.persist(j, true)
 	return true
 }
