--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -28,8 +28,8 @@
 // LossesVersion counts the changes to the losses of the job's tasks.
 func (j *Job) LossesVersion() int { return j.evidenceVersion }
 
-// MarkEvidencePersisted records that the losses are persisted up to version n.
-func (j *Job) MarkEvidencePersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
+// MarkLossesPersisted records that the losses are persisted up to version n.
+func (j *Job) MarkLossesPersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
 
 // EvidencePersisted reports whether the losses are persisted at least up to version n.
 func (j *Job) EvidencePersisted(n int) bool { return j.evidencePersisted >= n }
