--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -31,5 +31,5 @@
 // MarkLossesPersisted records that the losses are persisted up to version n.
 func (j *Job) MarkLossesPersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
 
-// EvidencePersisted reports whether the losses are persisted at least up to version n.
-func (j *Job) EvidencePersisted(n int) bool { return j.evidencePersisted >= n }
+// LossesPersisted reports whether the losses are persisted at least up to version n.
+func (j *Job) LossesPersisted(n int) bool { return j.evidencePersisted >= n }
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -39,7 +39,7 @@
 		return
 	}
 	o.noted[j] = slices.DeleteFunc(o.noted[j], func(n deferredStart) bool {
-		if !j.EvidencePersisted(n.evidence) {
+		if !j.LossesPersisted(n.evidence) {
 			return false
 		}
 		name := n.running.Task.Name()
