--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -211,5 +211,5 @@
 // ProgressRows returns the number of progress rows that may be stored for the job.
 func (j *Job) ProgressRows() int { return j.progressRows }
 
-// NoteProgressRows records that n progress rows were written.
-func (j *Job) NoteProgressRows(n int) { j.progressRows = max(j.progressRows, n) }
+// RecordProgressRows records that n progress rows were written.
+func (j *Job) RecordProgressRows(n int) { j.progressRows = max(j.progressRows, n) }
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -179,7 +179,7 @@
 		}
 		delete(o.dirty, j)
 		delete(o.refusedProgress, j)
-		j.NoteProgressRows(len(rows))
+		j.RecordProgressRows(len(rows))
 		b.jobs = append(b.jobs, j)
 		b.states = append(b.states, j.State)
 		b.evidence = append(b.evidence, j.LossesVersion())
