--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -49,20 +49,20 @@
 
 // The kinds of actions. Those named Effect are effects on the platform.
 const (
-	ActionAssign  ActionKind = "assign"
-	ActionRelease ActionKind = "release"
-	ActionGrant   ActionKind = "grant"
-	ActionUngrant ActionKind = "ungrant"
-	ActionReboot  ActionKind = "reboot"
-	ActionCheck   ActionKind = "check"
-	ActionReturn  ActionKind = "return"
-	ActionDown    ActionKind = "down"
-	ActionUp      ActionKind = "up"
-	ActionReplace ActionKind = "replace"
-	ActionWave    ActionKind = "wave"
-	EffectDrain   ActionKind = "effect-drain"
-	EffectUndrain ActionKind = "effect-undrain"
-	EffectReboot  ActionKind = "effect-reboot"
+	ActionAssign      ActionKind = "assign"
+	ActionRelease     ActionKind = "release"
+	ActionStartDrain  ActionKind = "grant"
+	ActionCancelDrain ActionKind = "ungrant"
+	ActionReboot      ActionKind = "reboot"
+	ActionCheck       ActionKind = "check"
+	ActionReturn      ActionKind = "return"
+	ActionDown        ActionKind = "down"
+	ActionUp          ActionKind = "up"
+	ActionReplace     ActionKind = "replace"
+	ActionWave        ActionKind = "wave"
+	EffectDrain       ActionKind = "effect-drain"
+	EffectUndrain     ActionKind = "effect-undrain"
+	EffectReboot      ActionKind = "effect-reboot"
 )
 
 // Action is an edit of the table or an effect on the platform.
--- a/pkg/fleet/health.go
+++ b/pkg/fleet/health.go
@@ -13,7 +13,7 @@
 	for _, name := range d.names {
 		vm, o := d.vm(name), d.Observed[name]
 		switch {
-		case vm.Phase == schema.PhaseActive && d.badFor(o, d.limits.DownAfter):
+		case vm.Phase == schema.PhaseActive && d.unhealthyFor(o, d.limits.DownAfter):
 			vm.Phase = schema.PhaseDown
 			d.edit(ActionDown, name, vm, "its backend server does not answer probes",
 				fmt.Sprintf("probes fail since %s; the platform's list says %q", o.Since.UTC().Format(time.RFC3339), o.Listed))
@@ -23,8 +23,8 @@
 	}
 }
 
-// badFor reports whether a VM's health has been bad for at least age.
-func (d *decider) badFor(o Observation, age time.Duration) bool {
+// unhealthyFor reports whether a VM's health has been bad for at least age.
+func (d *decider) unhealthyFor(o Observation, age time.Duration) bool {
 	return o.Health == HealthBad && !o.Since.IsZero() && d.Now.Sub(o.Since) >= age
 }
 
--- a/pkg/fleet/phases.go
+++ b/pkg/fleet/phases.go
@@ -45,10 +45,10 @@
 	if !d.drainWanted(vm) {
 		evidence := fmt.Sprintf("wave %q is %s", vm.Wave, d.Table.Waves[vm.Wave].Value.State)
 		vm.Phase, vm.Wave = schema.PhaseActive, ""
-		d.edit(ActionUngrant, name, vm, "the drain is no longer wanted", evidence)
+		d.edit(ActionCancelDrain, name, vm, "the drain is no longer wanted", evidence)
 		return
 	}
-	if o.Status == nil && d.badFor(o, d.limits.RepairAfter) {
+	if o.Status == nil && d.unhealthyFor(o, d.limits.RepairAfter) {
 		d.markDown(name, vm, "it failed while it drained")
 		return
 	}
--- a/pkg/fleet/sizes.go
+++ b/pkg/fleet/sizes.go
@@ -71,7 +71,7 @@
 	name := candidates[0]
 	vm := d.vm(name)
 	vm.Phase = schema.PhaseDraining
-	d.edit(ActionGrant, name, vm, fmt.Sprintf("pool %q has %d VMs, its size is %d", pool, d.size[pool], d.Table.Pools[pool].Value.Size),
+	d.edit(ActionStartDrain, name, vm, fmt.Sprintf("pool %q has %d VMs, its size is %d", pool, d.size[pool], d.Table.Pools[pool].Value.Size),
 		fmt.Sprintf("%d of its VMs are out of service, the budget is %d", d.unavailable[pool], d.Table.Pools[pool].Value.MaxUnavailable))
 	d.unavailable[pool]++
 }
--- a/pkg/fleet/wave.go
+++ b/pkg/fleet/wave.go
@@ -69,7 +69,7 @@
 			wave.FinishedAtMs = int(d.Now.UnixMilli())
 			d.editWave(name, wave, "every VM has returned", fmt.Sprintf("%d maintained, %d down", progress.Done, progress.Down))
 		default:
-			d.grant(name, wave, progress)
+			d.startDrains(name, wave, progress)
 		}
 	}
 }
@@ -84,8 +84,8 @@
 	})
 }
 
-// grant starts draining VMs as far as the pools' budgets and the wave's limit allow.
-func (d *decider) grant(name string, wave schema.Wave, progress Progress) {
+// startDrains starts draining VMs as far as the pools' budgets and the wave's limit allow.
+func (d *decider) startDrains(name string, wave schema.Wave, progress Progress) {
 	current := progress.Current
 	for _, vmName := range d.candidates(func(vm schema.VM) bool {
 		return InScope(wave, vm.Pool) && !IsMaintained(name, wave, vm)
@@ -104,7 +104,7 @@
 			d.unavailable[vm.Pool]++
 		}
 		vm.Phase, vm.Wave = schema.PhaseDraining, name
-		d.edit(ActionGrant, vmName, vm, "its turn in wave "+name, evidence)
+		d.edit(ActionStartDrain, vmName, vm, "its turn in wave "+name, evidence)
 		current++
 	}
 }
--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -27,14 +27,14 @@
 	slope  float64       // thousandths of a core per second, smoothed
 }
 
-// loads requests the load of each pool from its shard's owner and passes on quota grants. Pools
+// pollLoads requests the load of each pool from its shard's owner and passes on quota grants. Pools
 // whose owner does not answer are left out.
-func (r *Runner) loads(ctx context.Context) map[string]shard.Load {
+func (r *Runner) pollLoads(ctx context.Context) map[string]shard.Load {
 	r.mu.Lock()
 	cat := r.catalog
 	r.mu.Unlock()
 	pools := cat.ActivePools()
-	grants := r.limits.Plan(pools, cat.LimitedAccounts())
+	grants := r.quotas.Plan(pools, cat.LimitedAccounts())
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	loads := map[string]shard.Load{}
@@ -51,7 +51,7 @@
 	}
 	wg.Wait()
 	for pool, l := range loads {
-		r.limits.HandleReport(pool, l.Accounts)
+		r.quotas.HandleReport(pool, l.Accounts)
 	}
 	return loads
 }
@@ -199,7 +199,7 @@
 func (r *Runner) heldByWaves() map[string]Phase {
 	held := map[string]Phase{}
 	for _, w := range r.openWaves() {
-		closing := w.closing(r.now() - w.startedAt)
+		closing := w.nearDeadline(r.now() - w.startedAt)
 		for _, v := range w.vms {
 			switch {
 			case v.Phase == PhaseDraining, v.Phase == PhaseOrdered:
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return a, err
 	}
-	r.clock = tableClock{read: page.Now, sent: sent, received: r.now()}
+	r.clock = tableClock{serverTime: page.Now, sent: sent, received: r.now()}
 	row := platform.Row{RowKey: announcementKey}
 	if len(page.Rows) > 0 && page.Rows[0].Key == announcementKey.Key {
 		row = page.Rows[0]
@@ -68,7 +68,7 @@
 // whether that is known. Former holders send no order later than announced, however long they were
 // paused or partitioned.
 func (r *Runner) loadFormerOrders(ctx context.Context) (known bool) {
-	if r.formerKnown {
+	if r.formerOrdersKnown {
 		return true
 	}
 	a, err := r.readAnnouncement(ctx)
@@ -81,7 +81,7 @@
 		r.log.Warn().Str("event", "former_orders_not_known").Err(err).Send()
 		return false
 	}
-	r.formerKnown = true
+	r.formerOrdersKnown = true
 	var longest time.Duration
 	for _, o := range a.Orders {
 		r.formerOrders[o.VM] = o.Until
@@ -237,7 +237,7 @@
 // actually sent, to shorten its wait.
 func (r *Runner) releaseOwnership(ctx context.Context, next string) error {
 	now := r.now()
-	if !r.formerKnown || now < r.noOrdersBefore {
+	if !r.formerOrdersKnown || now < r.noOrdersBefore {
 		// The former holder's orders are unknown: leave its announcement to the next holder.
 		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next})
 	}
--- a/pkg/fleetops/large_test.go
+++ b/pkg/fleetops/large_test.go
@@ -48,7 +48,7 @@
 		c.Assert(err, qt.IsNil)
 		var k waveProgress
 		c.Assert(msgpack.Unmarshal(page.Rows[0].Value, &k), qt.IsNil)
-		done, count := k.done(wave.requestHash()), 0
+		done, count := k.done(wave.vmListHash()), 0
 		for at, vm := range wave.VMs {
 			if done(vm, at) {
 				count++
@@ -68,12 +68,12 @@
 	c.Assert(err, qt.IsNil)
 	var k waveProgress
 	c.Assert(msgpack.Unmarshal(raw, &k), qt.IsNil)
-	done := k.done(w.requestHash())
+	done := k.done(w.vmListHash())
 	c.Check(done("v2", 1), qt.IsTrue)
 	c.Check(done("v1", 0), qt.IsFalse)
 
-	other := waveProgress{Bits: []byte{7}, List: w.requestHash()}
+	other := waveProgress{DoneBits: []byte{7}, VMListHash: w.vmListHash()}
 	longer := Wave{VMs: []string{"v0", "v1", "v2", "v3"}}
-	c.Check(other.done(longer.requestHash())("v0", 0), qt.IsFalse)
-	c.Check(other.done(w.requestHash())("v1", 0), qt.IsTrue)
+	c.Check(other.done(longer.vmListHash())("v0", 0), qt.IsFalse)
+	c.Check(other.done(w.vmListHash())("v1", 0), qt.IsTrue)
 }
--- a/pkg/fleetops/maintain.go
+++ b/pkg/fleetops/maintain.go
@@ -151,5 +151,5 @@
 	}
 	light := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Light })
 	tight := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Tight })
-	return View{Machines: machines, Spare: r.sparePool(), Light: light, SlowToDrain: tight, RecentlyOrdered: recent, OrderedByFormer: former, Since: r.now() - w.startedAt}
+	return View{Machines: machines, Spare: r.sparePool(), Light: light, SlowToDrain: tight, RecentlyOrdered: recent, OrderedByFormer: former, Elapsed: r.now() - w.startedAt}
 }
--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -241,11 +241,11 @@
 
 // Two holders' orders for one VM keep the minimum gap across takeovers, crashes, pauses, table
 // outages and delayed writes.
-func TestDistance(t *testing.T) { prop.Check(t, orderGapProperty(nil)) }
+func TestOrderGap(t *testing.T) { prop.Check(t, orderGapProperty(nil)) }
 
 // The property detects clocks that differ, announcements that are lost or unconditional, and
 // holders that do not read them.
-func TestDistanceFindsPlanted(t *testing.T) {
+func TestOrderGapDetectsFaults(t *testing.T) {
 	lead := time.Duration(0)
 	for name, breaks := range map[string]func(rows platform.Rows) platform.Rows{
 		"the next holder's clock is ahead": func(rows platform.Rows) platform.Rows {
--- a/pkg/fleetops/plan_test.go
+++ b/pkg/fleetops/plan_test.go
@@ -97,7 +97,7 @@
 		}
 	}
 	var out strings.Builder
-	for _, v := range SelectVMs(w, vms, View{Machines: machines, Spare: "spare", Light: light, RecentlyOrdered: recent, SlowToDrain: tight, OrderedByFormer: former, Since: since}) {
+	for _, v := range SelectVMs(w, vms, View{Machines: machines, Spare: "spare", Light: light, RecentlyOrdered: recent, SlowToDrain: tight, OrderedByFormer: former, Elapsed: since}) {
 		fmt.Fprintf(&out, "%s\n", v.Name)
 	}
 	return out.String()
--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -17,27 +17,27 @@
 
 // waveProgress is the persisted progress of a wave: the VMs that are done or gone.
 type waveProgress struct {
-	Names []string `msgpack:"d,omitempty"` // as stored by earlier versions
-	// Bits is a bitmap over the VMs of the request. List is the hash of that VM list, to detect
+	DoneNames []string `msgpack:"d,omitempty"` // as stored by earlier versions
+	// DoneBits is a bitmap over the VMs of the request. List is the hash of that VM list, to detect
 	// that it changed.
-	Bits []byte `msgpack:"b,omitempty"`
-	List uint64 `msgpack:"l,omitempty"`
+	DoneBits   []byte `msgpack:"b,omitempty"`
+	VMListHash uint64 `msgpack:"l,omitempty"`
 }
 
 // done returns a function that reports whether a VM is done or gone, by its name and its index in
 // the request.
 func (p *waveProgress) done(list uint64) func(name string, at int) bool {
-	names := make(map[string]bool, len(p.Names))
-	for _, name := range p.Names {
+	names := make(map[string]bool, len(p.DoneNames))
+	for _, name := range p.DoneNames {
 		names[name] = true
 	}
 	return func(name string, at int) bool {
-		return names[name] || p.List == list && at/8 < len(p.Bits) && p.Bits[at/8]&(1<<(at%8)) != 0
+		return names[name] || p.VMListHash == list && at/8 < len(p.DoneBits) && p.DoneBits[at/8]&(1<<(at%8)) != 0
 	}
 }
 
-// requestHash returns a hash of the VMs that the wave was requested for.
-func (w *Wave) requestHash() uint64 {
+// vmListHash returns a hash of the VMs that the wave was requested for.
+func (w *Wave) vmListHash() uint64 {
 	h := xxhash.New()
 	for _, vm := range w.VMs {
 		_, _ = h.WriteString(vm + "\n") // never fails
@@ -66,7 +66,7 @@
 			return errors.Wrap(err, "decode progress of wave")
 		}
 	}
-	done, begun := p.done(w.requestHash()), false
+	done, begun := p.done(w.vmListHash()), false
 	for at, v := range w.vms {
 		if done(v.Name, at) {
 			v.Phase, begun = PhaseDone, true
@@ -82,10 +82,10 @@
 // progress returns the progress to persist, and whether the wave is finished.
 func (w *wave) progress() (p waveProgress, finished bool) {
 	finished = true
-	p.Bits, p.List = make([]byte, (len(w.vms)+7)/8), w.requestHash()
+	p.DoneBits, p.VMListHash = make([]byte, (len(w.vms)+7)/8), w.vmListHash()
 	for at, v := range w.vms {
 		if v.Phase == PhaseDone || v.Phase == PhaseGone {
-			p.Bits[at/8] |= 1 << (at % 8)
+			p.DoneBits[at/8] |= 1 << (at % 8)
 		} else {
 			finished = false
 		}
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -60,17 +60,17 @@
 	done   chan struct{}
 
 	// Used by the run loop only.
-	clock          tableClock
-	formerKnown    bool                     // the former holders' announcement was read
-	noOrdersBefore time.Duration            // set if that announcement was malformed
-	formerOrders   map[string]time.Duration // by VM: until when former holders may have sent orders, on the table service's clock
-	formerWaves    map[string]int           // by VM: the wave of those orders, 0 for a move
-	lastLoads      map[string]shard.Load    // by pool
-	trends         map[string]trend         // of demand, by pool
-	limits         *quota.Allocator         // divides account quotas among shards
-	surplus        map[string]int           // consecutive steps with surplus VMs, by pool
-	moves          map[string]*move         // by VM
-	announced      map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
+	clock             tableClock
+	formerOrdersKnown bool                     // the former holders' announcement was read
+	noOrdersBefore    time.Duration            // set if that announcement was malformed
+	formerOrders      map[string]time.Duration // by VM: until when former holders may have sent orders, on the table service's clock
+	formerWaves       map[string]int           // by VM: the wave of those orders, 0 for a move
+	lastLoads         map[string]shard.Load    // by pool
+	trends            map[string]trend         // of demand, by pool
+	quotas            *quota.Allocator         // divides account quotas among shards
+	surplus           map[string]int           // consecutive steps with surplus VMs, by pool
+	moves             map[string]*move         // by VM
+	announced         map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
 
 	announcedVersion int64 // version of the announcement row as last read or written, 0 for none
 
@@ -94,9 +94,9 @@
 	now := cfg.Clock.Now()
 	r = &Runner{
 		cfg: cfg, claim: c, log: cfg.Log.With().Str("pool", Partition).Int64("term", c.Term).Logger(),
-		limits: quota.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
+		quotas: quota.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
 		policy: DefaultSizing, moves: map[string]*move{}, surplus: map[string]int{}, trends: map[string]trend{},
-		formerKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
+		formerOrdersKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
 	}
 	r.loadFormerOrders(ctx)
 	runCtx, cancel := context.WithCancel(context.Background())
@@ -163,10 +163,10 @@
 		if ctx.Err() == nil {
 			r.log.Warn().Str("event", "machines_not_listed").Err(err).Send()
 		}
-		r.loads(ctx) // quotas are still divided
+		r.pollLoads(ctx) // quotas are still divided
 		return
 	}
-	r.lastLoads = r.loads(ctx)
+	r.lastLoads = r.pollLoads(ctx)
 	r.acceptWaves()
 	mayOrder := r.mayOrder(ctx)
 	// Waves go first, so that a VM that just became idle is maintained rather than moved.
--- a/pkg/fleetops/sizing.go
+++ b/pkg/fleetops/sizing.go
@@ -100,7 +100,7 @@
 			short = append(short, s)
 		}
 	}
-	pl.fill(short, pools)
+	pl.fillDeficits(short, pools)
 	if spare == "" || len(short) > 0 {
 		return pl.moves
 	}
@@ -121,8 +121,8 @@
 	surplus map[string]int // by pool: VMs above the target size after the planned moves
 }
 
-// fill plans moves to the pools that are short, largest deficit first.
-func (pl *movePlan) fill(short, pools []*PoolState) {
+// fillDeficits plans moves to the pools that are short, largest deficit first.
+func (pl *movePlan) fillDeficits(short, pools []*PoolState) {
 	slices.SortStableFunc(short, func(a, b *PoolState) int { return cmp.Compare(pl.surplus[a.Name], pl.surplus[b.Name]) })
 	donors := slices.Clone(pools)
 	for _, s := range short {
--- a/pkg/fleetops/tableclock.go
+++ b/pkg/fleetops/tableclock.go
@@ -5,16 +5,16 @@
 // tableClock estimates the table service's monotonic clock from one answer: the time in the answer
 // lies between sending the request and receiving the answer.
 type tableClock struct {
-	read     time.Duration // the service's time in the answer
-	sent     time.Duration // on the local clock
-	received time.Duration // on the local clock
+	serverTime time.Duration // the service's time in the answer
+	sent       time.Duration // on the local clock
+	received   time.Duration // on the local clock
 }
 
 // latest returns the upper bound of the service's clock at a local time.
-func (c tableClock) latest(now time.Duration) time.Duration { return c.read + now - c.sent }
+func (c tableClock) latest(now time.Duration) time.Duration { return c.serverTime + now - c.sent }
 
 // earliest returns the lower bound of the service's clock at a local time.
-func (c tableClock) earliest(now time.Duration) time.Duration { return c.read + now - c.received }
+func (c tableClock) earliest(now time.Duration) time.Duration { return c.serverTime + now - c.received }
 
 // fresh reports whether the bounds are close together and recent enough to ignore clock drift.
 func (c tableClock) fresh(now time.Duration) bool {
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -71,8 +71,8 @@
 	return since >= w.Within/2 || since+2*needs >= w.Within
 }
 
-// closing reports whether a VM that is moved now would be maintained after the deadline.
-func (w *Wave) closing(since time.Duration) bool { return since+maintenanceRound >= w.Within }
+// nearDeadline reports whether a VM that is moved now would be maintained after the deadline.
+func (w *Wave) nearDeadline(since time.Duration) bool { return since+maintenanceRound >= w.Within }
 
 // How much the maintenance of a VM disrupts running tasks.
 const (
@@ -100,7 +100,7 @@
 	SlowToDrain     map[string]bool             // VMs that take longest to drain
 	RecentlyOrdered map[string]bool             // VMs that a former holder may have ordered down very recently
 	OrderedByFormer map[string]bool             // VMs that a former holder ordered last and that may be done
-	Since           time.Duration               // time since the wave was requested
+	Elapsed         time.Duration               // time since the wave was requested
 }
 
 // waveCounts counts VMs for the limits on a wave.
@@ -156,7 +156,7 @@
 func SelectVMs(w Wave, vms []*VM, view View) (next []*VM) {
 	machines, spare, light := view.Machines, view.Spare, view.Light
 	t := countVMs(vms, view)
-	isUrgent := w.urgent(len(vms), view.Since)
+	isUrgent := w.urgent(len(vms), view.Elapsed)
 	waiting := slices.DeleteFunc(slices.Clone(vms), func(v *VM) bool { return v.Phase != PhaseWaiting })
 	slices.SortStableFunc(waiting, func(a, b *VM) int {
 		return cmp.Or(
--- a/pkg/fleetops/wave_test.go
+++ b/pkg/fleetops/wave_test.go
@@ -37,7 +37,7 @@
 
 // A VM that is down by a former holder's order is not maintained again, even if that holder stored
 // no progress. A VM that is down for another reason is maintained once it is up.
-func TestMaintainedByFormer(t *testing.T) {
+func TestMaintainedByFormerHolder(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// tasksPerEntry is the number of a step's tasks that one entry covers in progress of several
+	// tasksPerChunk is the number of a step's tasks that one entry covers in progress of several
 	// rows.
-	tasksPerEntry = 32
+	tasksPerChunk = 32
 	// maxProgressRows limits the rows of a job's progress, so that they fit into one transaction
 	// together with other pending rows.
 	maxProgressRows = 8
@@ -83,7 +83,7 @@
 // occurrenceBytes returns the maximum encoded size of one occurrence, without checkpoints and
 // losses.
 func (r *Record) occurrenceBytes() int {
-	return len(r.Spec.Steps)*stepBytes + r.Spec.tasks()*(taskBytes+stepBytes/tasksPerEntry+max(1, r.MaxAttempts)*attemptBytes)
+	return len(r.Spec.Steps)*stepBytes + r.Spec.tasks()*(taskBytes+stepBytes/tasksPerChunk+max(1, r.MaxAttempts)*attemptBytes)
 }
 
 // maxPersistedBytes returns the maximum progress size for rows of limit bytes, with a margin for
@@ -96,7 +96,7 @@
 	if err != nil || len(single) <= limit {
 		return [][]byte{single}, err
 	}
-	first := Progress{State: p.State, Out: p.Out, Over: p.Over}
+	first := Progress{State: p.State, Stopping: p.Stopping, Finished: p.Finished}
 	part, size := Progress{}, 0
 	var parts []Progress
 	for _, sp := range p.Steps {
@@ -112,7 +112,7 @@
 		}
 	}
 	parts = append(parts, part)
-	first.Parts = 1 + len(parts)
+	first.Rows = 1 + len(parts)
 	for _, row := range append([]Progress{first}, parts...) {
 		raw, err := row.marshal()
 		if err != nil {
@@ -132,10 +132,10 @@
 // split divides a step's progress into entries of tasksPerEntry tasks.
 func (sp *StepProgress) split() []StepProgress {
 	tasks := max(1, 8*len(sp.Done), 1+maxKey(sp.Failed), 1+maxKey(sp.Checkpoints), 1+maxKey(sp.Losses))
-	entries := make([]StepProgress, (tasks+tasksPerEntry-1)/tasksPerEntry)
+	entries := make([]StepProgress, (tasks+tasksPerChunk-1)/tasksPerChunk)
 	for i := range entries {
-		entries[i].At, entries[i].GangFailed = sp.At, sp.GangFailed
-		if from, to := i*tasksPerEntry/8, min((i+1)*tasksPerEntry/8, len(sp.Done)); from < to {
+		entries[i].StepNumber, entries[i].GangFailed = sp.StepNumber, sp.GangFailed
+		if from, to := i*tasksPerChunk/8, min((i+1)*tasksPerChunk/8, len(sp.Done)); from < to {
 			entries[i].Done = make([]byte, to)
 			copy(entries[i].Done[from:], sp.Done[from:to])
 		}
@@ -158,7 +158,7 @@
 // distribute copies per-task values into the entries that cover the tasks.
 func distribute[V any](all map[int]V, entries []StepProgress, field func(*StepProgress) *map[int]V) {
 	for task, v := range all {
-		m := field(&entries[task/tasksPerEntry])
+		m := field(&entries[task/tasksPerChunk])
 		if *m == nil {
 			*m = map[int]V{}
 		}
@@ -169,7 +169,7 @@
 // marshal encodes one row. It uses the unversioned format if earlier versions can decode the row
 // completely.
 func (p *Progress) marshal() ([]byte, error) {
-	if len(p.Over) == 0 && p.Parts == 0 {
+	if len(p.Finished) == 0 && p.Rows == 0 {
 		return msgpack.Marshal(p)
 	}
 	return msgpack.Marshal([]any{formatVersioned, p})
@@ -198,13 +198,13 @@
 // Join appends the remaining rows to the first one. Rows beyond p.Parts are left over from larger
 // progress: they are only counted, so that they are removed with the job.
 func (p *Progress) Join(further []Progress) error {
-	if len(further) < p.Parts-1 {
-		return errors.Errorf("found only %d of %d rows of a job's progress", 1+len(further), p.Parts)
+	if len(further) < p.Rows-1 {
+		return errors.Errorf("found only %d of %d rows of a job's progress", 1+len(further), p.Rows)
 	}
-	for i := range p.Parts - 1 {
+	for i := range p.Rows - 1 {
 		p.Steps = append(p.Steps, further[i].Steps...)
 	}
-	p.Parts = 1 + len(further)
+	p.Rows = 1 + len(further)
 	return nil
 }
 
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -86,7 +86,7 @@
 
 // Incomplete progress is rejected.
 func TestMissingRowIsRejected(t *testing.T) {
-	p := Progress{Parts: 3}
+	p := Progress{Rows: 3}
 	qt.Check(t, p.Join([]Progress{{}}), qt.IsNotNil)
 	qt.Check(t, p.Join([]Progress{{}, {}}), qt.IsNil)
 }
@@ -96,9 +96,9 @@
 func TestStaleRowsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	stale := Progress{Steps: []StepProgress{{Done: []byte{1}}}}
-	for _, p := range []Progress{{State: StateCompleted}, {Parts: 2}, {}} {
+	for _, p := range []Progress{{State: StateCompleted}, {Rows: 2}, {}} {
 		further := []Progress{stale, stale, stale}
-		if p.Parts > 1 {
+		if p.Rows > 1 {
 			further[0] = Progress{}
 		}
 		c.Assert(p.Join(further), qt.IsNil)
@@ -120,12 +120,12 @@
 func TestEarlierVersionRejectsNewProgress(t *testing.T) {
 	c := qt.New(t)
 	var old oldProgress
-	for _, p := range []Progress{{Over: rangeSet{0, 3}}, {Parts: 2}} {
+	for _, p := range []Progress{{Finished: rangeSet{0, 3}}, {Rows: 2}} {
 		raw, err := p.marshal()
 		c.Assert(err, qt.IsNil)
 		c.Check(msgpack.Unmarshal(raw, &old), qt.IsNotNil)
 	}
-	plain := Progress{State: StateCompleted, Steps: []StepProgress{{At: 1, Done: []byte{3}}}}
+	plain := Progress{State: StateCompleted, Steps: []StepProgress{{StepNumber: 1, Done: []byte{3}}}}
 	raw, err := plain.marshal()
 	c.Assert(err, qt.IsNil)
 	c.Assert(msgpack.Unmarshal(raw, &old), qt.IsNil)
@@ -186,7 +186,7 @@
 }
 
 // Memory does not grow with the number of scheduled occurrences.
-func TestManyOccurrencesStayCheap(t *testing.T) {
+func TestManyOccurrencesMemory(t *testing.T) {
 	c := qt.New(t)
 	r := Record{MaxAttempts: 3, Spec: Spec{Times: 10_000_000, Interval: time.Second, Steps: []Step{{Count: 1}}}}
 	allocated := testing.AllocsPerRun(1, func() {
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -6,7 +6,7 @@
 // the task is started on trial.
 func (t *Task) SetLosses(ls blame.Losses) {
 	t.Losses = ls
-	t.Step.Job.evidenceVersion++
+	t.Step.Job.lossesVersion++
 }
 
 // Verdict returns how the task may be started, given the workers that were lost while running it.
@@ -26,10 +26,10 @@
 }
 
 // LossesVersion counts the changes to the losses of the job's tasks.
-func (j *Job) LossesVersion() int { return j.evidenceVersion }
+func (j *Job) LossesVersion() int { return j.lossesVersion }
 
 // MarkLossesPersisted records that the losses are persisted up to version n.
-func (j *Job) MarkLossesPersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
+func (j *Job) MarkLossesPersisted(n int) { j.lossesPersisted = max(j.lossesPersisted, n) }
 
 // LossesPersisted reports whether the losses are persisted at least up to version n.
-func (j *Job) LossesPersisted(n int) bool { return j.evidencePersisted >= n }
+func (j *Job) LossesPersisted(n int) bool { return j.lossesPersisted >= n }
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -36,9 +36,9 @@
 	AddedAt        time.Duration // on the owner's clock; negative if accepted before that clock started
 	Restored       bool          // a former owner persisted it
 
-	evidenceVersion   int // changes to the losses of its tasks
-	evidencePersisted int // version of the losses that is persisted
-	progressRows      int // rows that its progress may occupy
+	lossesVersion   int // changes to the losses of its tasks
+	lossesPersisted int // version of the losses that is persisted
+	progressRows    int // rows that its progress may occupy
 
 	expanded       []*occurrence // by number
 	nextOccurrence int           // the first one to expand next
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -11,17 +11,17 @@
 type Progress struct {
 	State State          `msgpack:"s,omitempty"` // empty while the job is not final
 	Steps []StepProgress `msgpack:"p,omitempty"`
-	// Over contains the finished occurrences.
-	Over rangeSet `msgpack:"v,omitempty"`
-	// Parts is the number of rows, 0 for one.
-	Parts int `msgpack:"n,omitempty"`
-	// Out is the resources of a final job's attempts that were still being stopped.
-	Out *platform.Resources `msgpack:"o,omitempty"`
+	// Finished contains the finished occurrences.
+	Finished rangeSet `msgpack:"v,omitempty"`
+	// Rows is the number of rows, 0 for one.
+	Rows int `msgpack:"n,omitempty"`
+	// Stopping is the resources of a final job's attempts that were still being stopped.
+	Stopping *platform.Resources `msgpack:"o,omitempty"`
 }
 
 // StepProgress is the progress of one step, or of some of its tasks.
 type StepProgress struct {
-	At          int             `msgpack:"a"`           // occurrence number * steps per occurrence + step index
+	StepNumber  int             `msgpack:"a"`           // occurrence number * steps per occurrence + step index
 	Done        []byte          `msgpack:"d,omitempty"` // bitmap by task index
 	Failed      map[int][]int64 `msgpack:"f,omitempty"` // numbers of failed attempts, by task index
 	Checkpoints map[int]string  `msgpack:"c,omitempty"` // by task index
@@ -36,12 +36,12 @@
 	if j.State.Final() {
 		p.State = j.State
 		if out := j.usage(); out != (platform.Resources{}) {
-			p.Out = &out
+			p.Stopping = &out
 		}
 		return p
 	}
 	if j.Spec.Times > 0 {
-		p.Over = slices.Clone(j.finished)
+		p.Finished = slices.Clone(j.finished)
 	}
 	for _, s := range j.Steps {
 		if s.Job.Spec.Times > 0 && s.occurrence.unfinished == 0 {
@@ -56,7 +56,7 @@
 
 // progress returns the step's progress; ok is false if there is nothing to persist.
 func (s *StepRun) progress(at int) (sp StepProgress, ok bool) {
-	sp = StepProgress{At: at, GangFailed: s.GangFailed}
+	sp = StepProgress{StepNumber: at, GangFailed: s.GangFailed}
 	ok = len(s.GangFailed) > 0
 	for i, t := range s.Tasks {
 		switch {
@@ -94,17 +94,17 @@
 
 // restore applies persisted progress to a new job.
 func (j *Job) restore(p Progress) {
-	j.progressRows = max(j.progressRows, p.Parts)
+	j.progressRows = max(j.progressRows, p.Rows)
 	if p.State.Final() {
 		j.State, j.PersistedState, j.Started, j.restoredFinal = p.State, p.State, true, true
-		if p.Out != nil {
-			j.restoredUsage = *p.Out
+		if p.Stopping != nil {
+			j.restoredUsage = *p.Stopping
 		}
 		return
 	}
-	if j.Spec.Times > 0 && p.Over.valid(j.Spec.Times) {
-		j.finished = p.Over
-		j.Started = len(p.Over) > 0
+	if j.Spec.Times > 0 && p.Finished.valid(j.Spec.Times) {
+		j.finished = p.Finished
+		j.Started = len(p.Finished) > 0
 	}
 	for i := range p.Steps {
 		j.restoreStep(&p.Steps[i])
@@ -117,10 +117,10 @@
 // restoreStep applies the progress of a step, or of some of its tasks.
 func (j *Job) restoreStep(sp *StepProgress) {
 	stepCount := len(j.Spec.Steps)
-	if sp.At < 0 || sp.At/stepCount >= j.Spec.Occurrences() || j.finished.has(sp.At/stepCount) {
+	if sp.StepNumber < 0 || sp.StepNumber/stepCount >= j.Spec.Occurrences() || j.finished.has(sp.StepNumber/stepCount) {
 		return
 	}
-	s := j.insertOccurrence(sp.At / stepCount).steps[sp.At%stepCount]
+	s := j.insertOccurrence(sp.StepNumber / stepCount).steps[sp.StepNumber%stepCount]
 	s.GangFailed = sp.GangFailed
 	for i, t := range s.Tasks {
 		if failed, ok := sp.Failed[i]; ok {
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -325,7 +325,7 @@
 func TestNeverAbove(t *testing.T) { prop.Check(t, property(faults{})) }
 
 // The model detects each injected fault.
-func TestNeverAboveFindsPlanted(t *testing.T) {
+func TestNeverAboveDetectsFaults(t *testing.T) {
 	for name, f := range map[string]faults{
 		"grants in flight not counted":           {ignoresUnacked: true},
 		"new allocator does not synchronize":     {skipsSync: true},
