--- a/pkg/fleet/doc.go
+++ b/pkg/fleet/doc.go
@@ -7,13 +7,15 @@
 // every step until they are observed to have worked, so that a crash between an edit and its
 // effect loses nothing.
 //
-// A VM goes through these phases in a maintenance wave:
+// A VM without a pool is free; operators call the free VMs the buffer. A pool's budget is the number
+// of its VMs that may be out of service at once. A VM goes through these phases in a maintenance
+// wave:
 //
 //	active -> draining    when its pool's budget allows it
-//	draining -> rebooting when every entry, at the revision that closed the VM, and the VM itself report that nothing is in flight
+//	draining -> rebooting when every entry that knows of the drain, and the VM itself, report that no request is in flight
 //	rebooting -> checking when the VM has carried out the operation and is live
 //	checking -> active    when its backend server answers probes
 //
-// A missing observation never allows a step: an unknown VM counts as unavailable for the budget
+// A missing observation never advances a phase: an unknown VM counts as unavailable for the budget
 // and as not drained.
 package fleet
--- a/pkg/fleet/fleet.go
+++ b/pkg/fleet/fleet.go
@@ -32,9 +32,9 @@
 // EntryCount is an entry's report of its requests in flight to a VM.
 type EntryCount struct {
 	Entry    string
-	Reached  bool
-	Revision int
-	Count    int
+	Reached  bool // the entry answered
+	Revision int  // of the table, as in force at the entry
+	Count    int  // requests in flight
 }
 
 // State is the input of a decision.
--- a/pkg/fleet/health.go
+++ b/pkg/fleet/health.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// checkHealth marks failed VMs down and repairs or returns those that are down.
+// checkHealth marks failed VMs down and repairs those that are down or returns them to service.
 func (d *decider) checkHealth() {
 	for _, name := range d.names {
 		vm, o := d.vm(name), d.Observed[name]
@@ -28,14 +28,14 @@
 	return o.Health == HealthBad && !o.Since.IsZero() && d.Now.Sub(o.Since) >= age
 }
 
-// markDown marks a VM down that did not come through its maintenance.
+// markDown marks a VM down whose drain, reboot or check failed, and removes it from its wave.
 func (d *decider) markDown(name string, vm schema.VM, reason string) {
 	vm.Phase, vm.Wave = schema.PhaseDown, ""
 	d.edit(ActionDown, name, vm, reason, "the VM gives no status, probes fail or it does not return")
 }
 
 // repair returns a VM to service once it is healthy, reboots it if it stays down, and eventually
-// frees its place in the pool.
+// removes it from its pool, which then gets another VM.
 func (d *decider) repair(name string, vm schema.VM, o Observation) {
 	live := o.Status != nil && o.Status.State == platform.VMLive
 	leaving := o.Status != nil && o.Status.State == platform.VMLeaving
@@ -43,7 +43,7 @@
 	age := d.phaseAge(vm)
 	switch {
 	case pending && o.Status.Boot == vm.OperationBoot:
-		// A call for this reboot may still be in flight: the VM is not safe to use before it.
+		// The reboot call may still be in flight, so the VM must not serve before it is carried out.
 		vm.Phase = schema.PhaseRebooting
 		d.edit(ActionReboot, name, vm, "its reboot has not been carried out yet", statusEvidence(o))
 	case leaving:
@@ -56,8 +56,8 @@
 		vm.Pool = ""
 		d.edit(ActionReplace, name, vm, fmt.Sprintf("down for %s: pool %q gets another VM", age.Round(time.Second), pool), statusEvidence(o))
 	case live && age >= d.limits.RepairAfter && o.Status.InFlight == 0:
-		// An entry that does not know that the VM is down may still send requests:
-		// reboot only when none is in flight.
+		// An entry that does not know that the VM is down may still send requests: reboot only
+		// when none is in flight.
 		vm.Phase = schema.PhaseRebooting
 		vm.Operation = operationID(name, "repair", d.Table.VMs[name].Version)
 		vm.OperationBoot = o.Status.Boot
--- a/pkg/fleet/phases.go
+++ b/pkg/fleet/phases.go
@@ -70,8 +70,8 @@
 	d.edit(ActionReboot, name, vm, "drained in wave "+vm.Wave, evidence)
 }
 
-// DrainBlocker describes what a draining VM waits for, or returns "" if nothing is in flight to it
-// for certain. version is that of the row that closed the VM.
+// DrainBlocker describes what a draining VM waits for, or returns "" if certainly no request is in
+// flight to it. version is that of the row that set the VM draining.
 func DrainBlocker(version int, o Observation) string {
 	if len(o.Entries) == 0 {
 		return "no entry has been asked yet"
--- a/pkg/fleet/wave.go
+++ b/pkg/fleet/wave.go
@@ -26,7 +26,7 @@
 
 // IsMaintained reports whether a VM needs no maintenance by a wave: this wave, or another one
 // since this one started, maintained it. Without the second case, overlapping waves would
-// overwrite each other's marks and never end.
+// overwrite each other's MaintainedBy and never end.
 func IsMaintained(name string, w schema.Wave, vm schema.VM) bool {
 	return vm.MaintainedBy == name || w.StartedAtMs > 0 && vm.MaintainedAtMs >= w.StartedAtMs
 }
@@ -52,7 +52,7 @@
 	return p
 }
 
-// advanceWaves starts requested waves, selects VMs of running waves and ends completed ones.
+// advanceWaves starts requested waves, starts draining VMs of running waves and ends completed ones.
 func (d *decider) advanceWaves() {
 	for _, name := range d.Table.Waves.Names() {
 		wave := d.Table.Waves[name].Value
--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// forecastHorizon is about how long a move takes until the VM runs tasks in its new pool.
+	// forecastHorizon is about the time from planning a move until the VM runs tasks in its new pool.
 	forecastHorizon = 2 * time.Second
 	// slopeSmoothing is the weight of the newest sample in the exponential average of the slope.
 	slopeSmoothing = 0.25
@@ -27,7 +27,7 @@
 	slope  float64       // thousandths of a core per second, smoothed
 }
 
-// pollLoads requests the load of each pool from its shard's owner and passes on quota grants. Pools
+// pollLoads sends quota grants to the owners of the pools' shards and collects their loads. Pools
 // whose owner does not answer are left out.
 func (r *Runner) pollLoads(ctx context.Context) map[string]shard.Load {
 	r.mu.Lock()
@@ -100,8 +100,8 @@
 	return pools
 }
 
-// loadedPools returns the pools whose load is known, with their current workers, and the spare
-// pool.
+// loadedPools returns the state of the pools whose load is known, with their workers as supply, and
+// of the spare pool.
 func (r *Runner) loadedPools(machines map[string]platform.Machine, loads map[string]shard.Load) map[string]*PoolState {
 	pools := map[string]*PoolState{}
 	for name, l := range loads {
@@ -131,8 +131,8 @@
 	return c
 }
 
-// countMoves adds VMs in transit to the supply of their new pools. It returns the number of VMs
-// leaving each pool.
+// countMoves adds the VMs of this holder's moves to the supply of their new pools. It returns the
+// number of VMs leaving each pool.
 func (r *Runner) countMoves(pools map[string]*PoolState, machines map[string]platform.Machine) (leaving map[string]int) {
 	leaving = map[string]int{}
 	for vm, m := range r.moves {
@@ -146,8 +146,8 @@
 	return leaving
 }
 
-// countMachines adds VMs that will soon run tasks without a move of ours to the supply of their
-// pools, and lists the movable VMs of the spare pool.
+// countMachines adds the VMs that will soon run tasks without a move by this holder to the supply of
+// their pools, and lists the movable VMs of the spare pool.
 func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, held map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
@@ -158,7 +158,7 @@
 			s.Supply++ // ordered by a former holder
 		}
 		if held[vm] == PhaseOrdered {
-			s.Supply++ // it returns shortly
+			s.Supply++ // back up shortly
 		}
 		if s.Spare && m.State == platform.MachineUp && held[vm] == "" && r.mayOrderFor(vm) {
 			s.Movable = append(s.Movable, vm)
@@ -181,7 +181,8 @@
 	return movable
 }
 
-// countSurplus returns for how many consecutive steps a pool had more VMs than its target size.
+// countSurplus returns the number of consecutive steps in which a pool had more VMs than its target
+// size.
 func (r *Runner) countSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// orderWindow is how long after its announcement an order may be sent. It must exceed a slow
-	// table transaction, and it adds to the time that the next holder waits.
+	// orderWindow is how long after its announcement an order may be sent. It must exceed the time of
+	// a slow table transaction, and it adds to the time that the next holder waits.
 	orderWindow = time.Second
 	// orderTransit is the maximum time that an order takes to reach the VM service.
 	orderTransit = 250 * time.Millisecond
@@ -28,10 +28,10 @@
 	announcedOrderBytes  = 24
 )
 
-// announcement lists the VMs for which this holder may have sent orders recently or is about to,
-// each with the latest send time. It is persisted before the orders are sent, on condition that
-// the holder still owns the work. A new holder reads it after its takeover, and so knows every VM
-// whose orders it has to delay.
+// announcement lists the VMs for which a holder may have sent orders recently or is about to, each
+// with the latest send time. It is persisted before the orders are sent, on condition that the owner
+// row is unchanged. A new holder reads it after its takeover, and so knows every VM whose orders it
+// has to delay.
 type announcement struct {
 	Term   int64            `msgpack:"t"`
 	Orders []announcedOrder `msgpack:"o"`
@@ -46,7 +46,7 @@
 
 var announcementKey = platform.RowKey{Table: tableProgress, Partition: Partition, Key: "orders"}
 
-// readAnnouncement reads the announcement and, with it, the table service's clock.
+// readAnnouncement reads the announcement and updates the estimate of the table service's clock.
 func (r *Runner) readAnnouncement(ctx context.Context) (a announcement, err error) {
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -64,9 +64,9 @@
 	return decodeAnnouncement(row)
 }
 
-// loadFormerOrders reads once which VMs former holders may have sent orders for, and reports
-// whether that is known. Former holders send no order later than announced, however long they were
-// paused or partitioned.
+// loadFormerOrders reads once for which VMs former holders may have sent orders, and reports whether
+// that is known. Former holders send no order later than announced, however long they were paused
+// or partitioned.
 func (r *Runner) loadFormerOrders(ctx context.Context) (known bool) {
 	if r.formerOrdersKnown {
 		return true
@@ -109,8 +109,8 @@
 	return a, nil
 }
 
-// inForce reports whether another holder would still have to wait because of an order sent until
-// the given time of the table service's clock.
+// inForce reports whether another holder must still delay its orders after an order that was sent
+// no later than the given time of the table service's clock.
 func (r *Runner) inForce(until, now time.Duration) bool {
 	return r.clock.earliest(now) < until+orderTransit+r.cfg.OrderGap
 }
@@ -132,8 +132,7 @@
 		r.log.Error().Str("event", "orders_not_announced").Err(err).Send()
 		return
 	}
-	// Expecting the row's version prevents a delayed commit from overwriting a
-	// newer announcement.
+	// The expected row version prevents a delayed commit from overwriting a newer announcement.
 	txn.Expect = []platform.Row{r.claim.Precondition(Partition), {RowKey: announcementKey, Version: r.announcedVersion}}
 	writeCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -145,20 +144,20 @@
 	case errors.As(err, &conflict):
 		r.resolveConflict(conflict)
 	default:
-		// The commit may have succeeded or not: either row contains the orders
+		// The commit may have succeeded or not. Either version of the row contains the orders
 		// announced before, with the same or a later time.
 		r.log.Warn().Str("event", "orders_not_announced").Int("vms", len(vms)).Err(err).Send()
 	}
 }
 
-// resolveConflict handles a conflicting row: either the work has another owner, or an earlier
-// unanswered announcement of this holder was committed. The latter is taken as announced; the next
-// step announces what it lacks.
+// resolveConflict handles a conflicting row: either another entry took over, or an earlier
+// unanswered announcement of this holder was committed. The latter is used as the current
+// announcement; the next step announces the missing orders.
 func (r *Runner) resolveConflict(conflict platform.ErrConflict) {
-	held := r.claim.Precondition(Partition)
+	ownerRow := r.claim.Precondition(Partition)
 	for _, row := range conflict.Rows {
 		switch {
-		case row.RowKey == held.RowKey && row.Version != held.Version:
+		case row.RowKey == ownerRow.RowKey && row.Version != ownerRow.Version:
 			r.relinquish()
 			return
 		case row.RowKey == announcementKey && row.Version != r.announcedVersion:
@@ -176,8 +175,8 @@
 	}
 }
 
-// mergedAnnouncement returns the announced orders still in force, of this and former holders,
-// together with those for the given VMs as far as they fit.
+// mergedAnnouncement returns, by VM, the latest send time of the announced orders still in force, of
+// this and former holders, and of orders for the given VMs as far as the row has room.
 func (r *Runner) mergedAnnouncement(vms []string) map[string]time.Duration {
 	now := r.now()
 	next := map[string]time.Duration{}
@@ -189,12 +188,12 @@
 		}
 	}
 	until := r.clock.latest(now) + orderWindow
-	room := maxAnnouncementBytes
+	remaining := maxAnnouncementBytes
 	for vm := range next {
-		room -= len(vm) + announcedOrderBytes
+		remaining -= len(vm) + announcedOrderBytes
 	}
 	for _, vm := range vms {
-		if room -= len(vm) + announcedOrderBytes; room < 0 {
+		if remaining -= len(vm) + announcedOrderBytes; remaining < 0 {
 			break // announced in a later step
 		}
 		next[vm] = until
@@ -202,7 +201,7 @@
 	return next
 }
 
-// activeWaves returns, by VM, the wave for which it is being drained or maintained.
+// activeWaves returns the ID of the wave for which a VM is being drained or maintained, by VM.
 func (r *Runner) activeWaves() map[string]int {
 	waves := map[string]int{}
 	for _, w := range r.openWaves() {
@@ -220,8 +219,8 @@
 	a := announcement{Term: r.claim.Term}
 	waves := r.activeWaves()
 	for _, vm := range slices.Sorted(maps.Keys(orders)) {
-		wave, ours := waves[vm]
-		if !ours && r.moves[vm] == nil {
+		wave, inWave := waves[vm]
+		if !inWave && r.moves[vm] == nil {
 			wave = r.formerWaves[vm]
 		}
 		a.Orders = append(a.Orders, announcedOrder{VM: vm, Until: orders[vm], Wave: wave})
@@ -238,7 +237,7 @@
 func (r *Runner) releaseOwnership(ctx context.Context, next string) error {
 	now := r.now()
 	if !r.formerOrdersKnown || now < r.noOrdersBefore {
-		// The former holder's orders are unknown: leave its announcement to the next holder.
+		// The former holder's orders are unknown: keep its announcement for the next holder.
 		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next})
 	}
 	orders := map[string]time.Duration{}
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -87,7 +87,7 @@
 	return at
 }
 
-// testFleet is a deployment of two pools and a spare one, whose demand the test sets.
+// testFleet is a deployment of two pools, whose demand the test sets, and a spare pool.
 type testFleet struct {
 	vms  vmService
 	rows *fake.Rows
@@ -148,7 +148,7 @@
 	return r
 }
 
-// tryOpen has an entry take over, whoever is the holder.
+// tryOpen has an entry take over from the current holder, if any.
 func (s *testFleet) tryOpen(entry string, since time.Time) (*Runner, error) {
 	rows, vms := s.rows.As(entry), platform.Machines(&s.vms)
 	if s.rowsOf != nil {
--- a/pkg/fleetops/large_test.go
+++ b/pkg/fleetops/large_test.go
@@ -19,8 +19,7 @@
 // largeFleet is the number of VMs in TestLargeFleet.
 const largeFleet = 12_000
 
-// Announcements and wave progress of a large fleet fit into table rows, including across a
-// handover.
+// Announcements and wave progress of a large fleet fit into table rows, also across a handover.
 func TestLargeFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -46,9 +45,9 @@
 		time.Sleep(35 * time.Second)
 		page, err := s.rows.As("second").ListRows(context.Background(), tableProgress, Partition, "1")
 		c.Assert(err, qt.IsNil)
-		var k waveProgress
-		c.Assert(msgpack.Unmarshal(page.Rows[0].Value, &k), qt.IsNil)
-		done, count := k.done(wave.vmListHash()), 0
+		var p waveProgress
+		c.Assert(msgpack.Unmarshal(page.Rows[0].Value, &p), qt.IsNil)
+		done, count := p.done(wave.vmListHash()), 0
 		for at, vm := range wave.VMs {
 			if done(vm, at) {
 				count++
@@ -58,7 +57,7 @@
 	})
 }
 
-// Progress stored by name is read, and a bitmap of another VM list is ignored.
+// Progress stored as VM names is read, and a bitmap of another VM list is ignored.
 func TestProgressOfEarlierVersion(t *testing.T) {
 	c := qt.New(t)
 	w := Wave{VMs: []string{"v1", "v2", "v3"}}
@@ -66,9 +65,9 @@
 		Done []string `msgpack:"d"`
 	}{[]string{"v2"}})
 	c.Assert(err, qt.IsNil)
-	var k waveProgress
-	c.Assert(msgpack.Unmarshal(raw, &k), qt.IsNil)
-	done := k.done(w.vmListHash())
+	var p waveProgress
+	c.Assert(msgpack.Unmarshal(raw, &p), qt.IsNil)
+	done := p.done(w.vmListHash())
 	c.Check(done("v2", 1), qt.IsTrue)
 	c.Check(done("v1", 0), qt.IsFalse)
 
--- a/pkg/fleetops/maintain.go
+++ b/pkg/fleetops/maintain.go
@@ -12,12 +12,12 @@
 type wave struct {
 	Wave
 	vms       []*VM
-	startedAt time.Duration // when this entry first saw the request; half the wave's time earlier if a former holder started it
+	startedAt time.Duration // when this entry first saw the request, or an estimate if a former holder started the wave
 
 	loaded        bool // the progress of former holders was read
 	changed       bool // the progress differs from what is stored
 	startReported bool // the operator was told that the wave started
-	completed     bool // all VMs are done and the operator was told
+	completed     bool // all VMs are done or gone and the operator was told
 }
 
 // acceptWaves adds newly requested waves, including those requested during the takeover.
@@ -38,7 +38,7 @@
 	}
 }
 
-// openWaves returns the waves that are not completed.
+// openWaves returns the waves that are not known to be completed.
 func (r *Runner) openWaves() (open []*wave) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -51,15 +51,15 @@
 }
 
 // loadedWaves returns the open waves whose progress was read.
-func (r *Runner) loadedWaves(ctx context.Context) (known []*wave) {
+func (r *Runner) loadedWaves(ctx context.Context) (loaded []*wave) {
 	for _, w := range r.openWaves() {
 		err := r.loadProgress(ctx, w)
 		r.logWaveFailure(ctx, w, err)
 		if err == nil && !w.completed {
-			known = append(known, w)
+			loaded = append(loaded, w)
 		}
 	}
-	return known
+	return loaded
 }
 
 // drainNext updates a wave's phases and starts draining its next VMs.
@@ -105,7 +105,7 @@
 	for _, v := range w.vms {
 		m := machines[v.Name]
 		unanswered := v.Phase == PhaseOrdered && v.confirmedAt == 0 && m.State == platform.MachineUp && m.Worker == v.Worker
-		if v.Phase == PhaseDraining || unanswered { // an unanswered order may be lost
+		if v.Phase == PhaseDraining || unanswered { // resend an unanswered order, which may be lost
 			due = append(due, vmOrder{vm: v.Name, pool: m.Pool, send: func(ctx context.Context) { r.sendMaintenance(ctx, w, v, m) }})
 		}
 	}
@@ -132,7 +132,7 @@
 	}
 }
 
-// vmSet returns the union of a VM list over all loads.
+// vmSet returns the union of one of the VM lists of all loads.
 func vmSet(loads map[string]shard.Load, list func(shard.Load) []string) map[string]bool {
 	vms := map[string]bool{}
 	for _, l := range loads {
--- a/pkg/fleetops/moves.go
+++ b/pkg/fleetops/moves.go
@@ -12,20 +12,19 @@
 	drainTimeout = 3 * time.Second
 	// moveTimeout is how long after its order a VM may take to come up in its new pool.
 	moveTimeout = 8 * time.Second
-	// loadReportLag is how long after a VM came up its new pool's reported load may not include
-	// it.
+	// loadReportLag is how long after a VM came up its new pool's load may be reported without it.
 	loadReportLag = 600 * time.Millisecond
 )
 
 // move is the execution state of a planned move.
 type move struct {
 	Move
-	plannedAt time.Duration
+	plannedAt time.Duration // on the entry's clock, as the other times
 	orderedAt time.Duration // 0 while the VM is being drained
 	upAt      time.Duration // when the VM was first seen up in its new pool
 }
 
-// planMoves adds the moves that pool sizing calls for.
+// planMoves adds the moves that bring the pools closer to their target sizes.
 func (r *Runner) planMoves(machines map[string]platform.Machine) {
 	for _, m := range r.policy.PlanMoves(r.poolStates(machines, r.lastLoads)) {
 		r.moves[m.VM] = &move{Move: m, plannedAt: r.now()}
@@ -33,7 +32,7 @@
 	}
 }
 
-// moveOrders returns the orders of moves that were not sent yet.
+// moveOrders returns the orders to send for planned moves.
 func (r *Runner) moveOrders(mayOrder bool) (due []vmOrder) {
 	if !mayOrder {
 		return nil
--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -16,8 +16,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// orderGapMachine plays random events on several holders of the fleet's work that follow each
-// other and sometimes overlap.
+// orderGapMachine plays random events on successive holders of the fleet operations, which may
+// overlap.
 type orderGapMachine struct {
 	t       *rapid.T
 	s       *testFleet
@@ -26,7 +26,7 @@
 	names   []string // of the entries, in the order of their takeovers
 
 	mu         sync.Mutex
-	thaws      map[string]time.Time  // when a frozen entry resumes
+	thaws      map[string]time.Time  // when a frozen entry resumes, by entry
 	rowFaults  map[string]fake.Fault // by entry, * for all
 	lostAnswer map[string]bool       // entries whose orders are not answered
 }
@@ -174,7 +174,7 @@
 	time.Sleep(time.Until(thaw))
 }
 
-// violations returns the orders that came too soon after another holder's, or with an older token.
+// violations returns the orders that came too soon after another holder's, or without a newer token.
 func (m *orderGapMachine) violations() (broken []string) {
 	m.s.vms.mu.Lock()
 	defer m.s.vms.mu.Unlock()
@@ -215,7 +215,7 @@
 	return page, err
 }
 
-// frozenVMs is the VM service as seen by such an entry.
+// frozenVMs is the VM service as seen by an entry that may freeze before a call.
 type frozenVMs struct {
 	platform.Machines
 	m     *orderGapMachine
@@ -239,18 +239,18 @@
 	return err
 }
 
-// Two holders' orders for one VM keep the minimum gap across takeovers, crashes, pauses, table
-// outages and delayed writes.
+// Two holders' orders for one VM keep the minimum gap across takeovers, crashes, frozen entries,
+// table outages and delayed writes.
 func TestOrderGap(t *testing.T) { prop.Check(t, orderGapProperty(nil)) }
 
-// The property detects clocks that differ, announcements that are lost or unconditional, and
-// holders that do not read them.
+// The property detects a table clock that differs between holders, announcements that are lost or
+// unconditional, and holders that do not read them.
 func TestOrderGapDetectsFaults(t *testing.T) {
-	lead := time.Duration(0)
-	for name, breaks := range map[string]func(rows platform.Rows) platform.Rows{
+	ahead := time.Duration(0)
+	for name, wrap := range map[string]func(rows platform.Rows) platform.Rows{
 		"the next holder's clock is ahead": func(rows platform.Rows) platform.Rows {
-			lead += 2 * time.Second
-			return clockAhead{Rows: rows, by: lead}
+			ahead += 2 * time.Second
+			return clockAhead{Rows: rows, by: ahead}
 		},
 		"announcements are dropped":              func(rows platform.Rows) platform.Rows { return droppedAnnouncements{rows} },
 		"announcements without preconditions":    func(rows platform.Rows) platform.Rows { return noPreconditions{rows} },
@@ -258,8 +258,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			found := prop.FindsFailure(t, orderGapProperty(func(m *orderGapMachine) {
-				whole := m.s.rowsOf
-				m.s.rowsOf = func(entry string, rows platform.Rows) platform.Rows { return breaks(whole(entry, rows)) }
+				rowsOf := m.s.rowsOf
+				m.s.rowsOf = func(entry string, rows platform.Rows) platform.Rows { return wrap(rowsOf(entry, rows)) }
 			}))
 			qt.Assert(t, found, qt.IsTrue)
 		})
@@ -272,38 +272,38 @@
 	by time.Duration
 }
 
-func (a clockAhead) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
-	page, err := a.Rows.ListRows(ctx, table, partition, from)
-	page.Now += a.by
+func (c clockAhead) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+	page, err := c.Rows.ListRows(ctx, table, partition, from)
+	page.Now += c.by
 	return page, err
 }
 
 // droppedAnnouncements does not store announcements.
 type droppedAnnouncements struct{ platform.Rows }
 
-func (f droppedAnnouncements) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
+func (d droppedAnnouncements) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
 	if len(txn.Put) == 1 && txn.Put[0].RowKey == announcementKey {
 		txn.Put = nil
 		txn.Expect = txn.Expect[:1]
 	}
-	return f.Rows.CommitRows(ctx, txn)
+	return d.Rows.CommitRows(ctx, txn)
 }
 
-// noPreconditions commits announcements whoever owns the work.
+// noPreconditions commits announcements even if another entry took over.
 type noPreconditions struct{ platform.Rows }
 
-func (u noPreconditions) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
+func (n noPreconditions) CommitRows(ctx context.Context, txn platform.RowTxn) (int64, error) {
 	if len(txn.Put) == 1 && txn.Put[0].RowKey == announcementKey {
 		txn.Expect = nil
 	}
-	return u.Rows.CommitRows(ctx, txn)
+	return n.Rows.CommitRows(ctx, txn)
 }
 
 // hiddenAnnouncements returns no announcements.
 type hiddenAnnouncements struct{ platform.Rows }
 
-func (b hiddenAnnouncements) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
-	page, err := b.Rows.ListRows(ctx, table, partition, from)
+func (h hiddenAnnouncements) ListRows(ctx context.Context, table, partition, from string) (platform.RowPage, error) {
+	page, err := h.Rows.ListRows(ctx, table, partition, from)
 	if table == announcementKey.Table {
 		page.Rows = nil
 	}
--- a/pkg/fleetops/orders.go
+++ b/pkg/fleetops/orders.go
@@ -12,12 +12,12 @@
 const (
 	// callTimeout limits a call to the VM service or the table service.
 	callTimeout = 1500 * time.Millisecond
-	// batchWindow is how long a drained VM waits for others to share one announcement.
+	// batchWindow is how long the order for a drained VM waits for others to share an announcement.
 	batchWindow = 15 * time.Millisecond
 )
 
 // mayOrder reports whether this entry is probably still the holder and knows former holders'
-// orders. It avoids draining VMs for a stale holder; the gap between orders does not depend on it.
+// orders. It saves a stale holder needless drains; the gap between orders does not depend on it.
 func (r *Runner) mayOrder(ctx context.Context) bool {
 	if !r.loadFormerOrders(ctx) || r.now() < r.noOrdersBefore {
 		return false
@@ -31,11 +31,11 @@
 	}
 	readCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	stands, err := r.claim.IsCurrent(readCtx, r.cfg.Rows, Partition)
+	current, err := r.claim.IsCurrent(readCtx, r.cfg.Rows, Partition)
 	if err != nil {
 		return false
 	}
-	if !stands {
+	if !current {
 		r.relinquish()
 		return false
 	}
--- a/pkg/fleetops/plan_test.go
+++ b/pkg/fleetops/plan_test.go
@@ -13,7 +13,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Runs the planning scripts in testdata: pool sizes and the order of a wave.
+// Runs the planning scripts in testdata: moves between pools and the VMs that a wave selects.
 func TestPlans(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -21,11 +21,11 @@
 			case "moves":
 				return planMoves(d.Input)
 			case "wave":
-				most := 0
-				d.ScanArgs(t, "max", &most)
+				maxDown := 0
+				d.ScanArgs(t, "max", &maxDown)
 				since := 0
 				d.MaybeScanArgs(t, "since", &since)
-				return planWave(d.Input, most, time.Duration(since)*time.Second)
+				return planWave(d.Input, maxDown, time.Duration(since)*time.Second)
 			default:
 				t.Fatalf("unknown command %q", d.Cmd)
 				return ""
@@ -34,7 +34,7 @@
 	})
 }
 
-// fields parses the "key=value" pairs after the first word of a line.
+// fields parses a line of a name followed by "key=value" pairs or single keys.
 func fields(line string) (name string, values map[string]string) {
 	words := strings.Fields(line)
 	values = map[string]string{}
@@ -75,8 +75,8 @@
 	return out.String()
 }
 
-func planWave(input string, most int, since time.Duration) string {
-	w := Wave{MaxDown: most, Within: 60 * time.Second}
+func planWave(input string, maxDown int, elapsed time.Duration) string {
+	w := Wave{MaxDown: maxDown, Within: 60 * time.Second}
 	light, recent, tight, former := map[string]bool{}, map[string]bool{}, map[string]bool{}, map[string]bool{}
 	var vms []*VM
 	machines := map[string]platform.Machine{}
@@ -97,7 +97,7 @@
 		}
 	}
 	var out strings.Builder
-	for _, v := range SelectVMs(w, vms, View{Machines: machines, Spare: "spare", Light: light, RecentlyOrdered: recent, SlowToDrain: tight, OrderedByFormer: former, Elapsed: since}) {
+	for _, v := range SelectVMs(w, vms, View{Machines: machines, Spare: "spare", Light: light, RecentlyOrdered: recent, SlowToDrain: tight, OrderedByFormer: former, Elapsed: elapsed}) {
 		fmt.Fprintf(&out, "%s\n", v.Name)
 	}
 	return out.String()
--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -18,25 +18,25 @@
 // waveProgress is the persisted progress of a wave: the VMs that are done or gone.
 type waveProgress struct {
 	DoneNames []string `msgpack:"d,omitempty"` // as stored by earlier versions
-	// DoneBits is a bitmap over the VMs of the request. List is the hash of that VM list, to detect
-	// that it changed.
+	// DoneBits is a bitmap over the VMs of the request. VMListHash is the hash of that VM list, to
+	// detect that it changed.
 	DoneBits   []byte `msgpack:"b,omitempty"`
 	VMListHash uint64 `msgpack:"l,omitempty"`
 }
 
 // done returns a function that reports whether a VM is done or gone, by its name and its index in
-// the request.
-func (p *waveProgress) done(list uint64) func(name string, at int) bool {
+// the request. listHash is the hash of the requested VM list.
+func (p *waveProgress) done(listHash uint64) func(name string, at int) bool {
 	names := make(map[string]bool, len(p.DoneNames))
 	for _, name := range p.DoneNames {
 		names[name] = true
 	}
 	return func(name string, at int) bool {
-		return names[name] || p.VMListHash == list && at/8 < len(p.DoneBits) && p.DoneBits[at/8]&(1<<(at%8)) != 0
+		return names[name] || p.VMListHash == listHash && at/8 < len(p.DoneBits) && p.DoneBits[at/8]&(1<<(at%8)) != 0
 	}
 }
 
-// vmListHash returns a hash of the VMs that the wave was requested for.
+// vmListHash returns a hash of the VM list of the request.
 func (w *Wave) vmListHash() uint64 {
 	h := xxhash.New()
 	for _, vm := range w.VMs {
@@ -49,7 +49,7 @@
 	return platform.RowKey{Table: tableProgress, Partition: Partition, Key: strconv.Itoa(id)}
 }
 
-// loadProgress reads once what former holders have done of a wave.
+// loadProgress reads once which VMs of a wave former holders have maintained.
 func (r *Runner) loadProgress(ctx context.Context, w *wave) error {
 	if w.loaded {
 		return nil
@@ -66,14 +66,14 @@
 			return errors.Wrap(err, "decode progress of wave")
 		}
 	}
-	done, begun := p.done(w.vmListHash()), false
+	done, started := p.done(w.vmListHash()), false
 	for at, v := range w.vms {
 		if done(v.Name, at) {
-			v.Phase, begun = PhaseDone, true
+			v.Phase, started = PhaseDone, true
 		}
 	}
-	if begun {
-		w.startedAt -= w.Within / 2 // started by a former holder at an unknown time
+	if started {
+		w.startedAt -= w.Within / 2 // a former holder started it at an unknown time
 	}
 	w.loaded, w.changed = true, true
 	return nil
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -17,14 +17,15 @@
 // stepInterval is the time between two steps.
 const stepInterval = 250 * time.Millisecond
 
-// Partition is the partition and shard name of this work. It is never the name of a pool.
+// Partition is the partition and shard name of the fleet operations. It is never a pool's name.
 const Partition = "~maintenance"
 
-// Drainer has the owner of a pool's shard move the tasks off a VM and keep new ones away for some
+// Drainer has the owner of a pool's shard move the tasks off a VM and start no others there for some
 // seconds. It reports whether the VM is drained.
 type Drainer func(ctx context.Context, pool, vm string) (drained bool)
 
-// Loader requests the load of a pool's shard. If grant is not nil, it is sent with the request.
+// Loader requests the load of a pool's shard; ok is false if its owner does not answer. If grant is
+// not nil, it is sent with the request.
 type Loader func(ctx context.Context, pool string, grant *quota.Grant) (l shard.Load, ok bool)
 
 // Config holds the settings and dependencies of a Runner.
@@ -38,19 +39,19 @@
 	Drain    Drainer
 	Load     Loader
 	Waves    func() []Wave // all maintenance requests known so far
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil for
-	// none.
+	// ZoneOut reports whether the operator has taken an availability zone out of use; nil means
+	// that none is.
 	ZoneOut func(zone string) bool
 	Report  func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
 
 	OrderGap        time.Duration // minimum time between orders of two holders for a VM
-	MaintenanceTime time.Duration // of one VM
+	MaintenanceTime time.Duration // how long the maintenance of a VM takes
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
-	OnGivenUp      func(error) // called once when ownership is lost
+	OnGivenUp      func(error) // called once when another entry is found to have taken over
 }
 
-// Runner maintains VMs and sizes pools while this entry is the holder.
+// Runner runs the fleet operations while this entry is the holder.
 type Runner struct {
 	cfg    Config
 	policy SizingPolicy
@@ -75,14 +76,15 @@
 	announcedVersion int64 // version of the announcement row as last read or written, 0 for none
 
 	mu           sync.Mutex
-	confirmedAt  time.Duration // when this entry was last known to be the owner
+	confirmedAt  time.Duration // when this entry was last known to be the holder
 	relinquished bool
 	catalog      *catalog.Catalog
 	waves        map[int]*wave            // by ID
 	lastOrder    map[string]time.Duration // when this holder last sent an order, by VM
 }
 
-// Open takes over the work if its owner row still has the version seen.
+// Open takes over the fleet operations if their owner row still has the version seen, and starts
+// the run loop.
 func Open(ctx context.Context, cfg Config, seen shard.ObservedOwner, cat *catalog.Catalog) (r *Runner, err error) {
 	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.BeforeTakeover)
 	if err != nil {
@@ -122,20 +124,20 @@
 // SetWorkers does nothing: the VM list comes from the VM service.
 func (r *Runner) SetWorkers([]platform.Worker) {}
 
-// Confirm records that this entry was the owner at the given time.
+// Confirm records that this entry was the holder at the given time of its clock.
 func (r *Runner) Confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmedAt = max(r.confirmedAt, at)
 }
 
-// Close stops the work without releasing the owner row.
+// Close stops the run loop without releasing the owner row.
 func (r *Runner) Close() {
 	r.cancel()
 	<-r.done
 }
 
-// Release stops the work and releases the owner row to the next entry, which may be empty.
+// Release stops the run loop and releases the owner row to the entry next, empty for any.
 func (r *Runner) Release(ctx context.Context, next string) {
 	r.Close()
 	err := r.releaseOwnership(ctx, next)
@@ -163,7 +165,7 @@
 		if ctx.Err() == nil {
 			r.log.Warn().Str("event", "machines_not_listed").Err(err).Send()
 		}
-		r.pollLoads(ctx) // quotas are still divided
+		r.pollLoads(ctx) // quotas are divided without the VM list
 		return
 	}
 	r.lastLoads = r.pollLoads(ctx)
@@ -216,6 +218,7 @@
 	return r.catalog.SparePool()
 }
 
+// relinquish stops the run loop after another entry took over.
 func (r *Runner) relinquish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/fleetops/sizing.go
+++ b/pkg/fleetops/sizing.go
@@ -13,8 +13,8 @@
 type SizingPolicy struct {
 	Headroom float64 // extra capacity, as a fraction of the demand
 	Reserve  int     // extra VMs on top of the headroom
-	// KeepSteps is for how many consecutive steps a pool must have surplus VMs before they are
-	// switched off.
+	// KeepSteps is the number of consecutive steps for which a pool must have surplus VMs before
+	// they are switched off.
 	KeepSteps int
 	// MaxDraining limits the VMs of one pool that are drained for a move at the same time; in a
 	// large pool the limit is the fraction DrainingShare of its VMs.
@@ -24,14 +24,14 @@
 	SwitchOffShare float64
 }
 
-// DefaultSizing favors jobs finishing in time over VM time. The fractions let large pools follow a
-// change of demand as fast as small ones.
+// DefaultSizing prefers jobs that finish in time to few running VMs. The fractions let large pools
+// follow a change of demand as fast as small ones.
 var DefaultSizing = SizingPolicy{
 	Headroom: 0.15, Reserve: 1, KeepSteps: 6, MaxDraining: 6, DrainingShare: 0.3, SwitchOffShare: 0.3,
 }
 
-// fullUtilization is the fraction of used CPU from which a pool counts as using all its VMs. Below
-// it, an owner at its own throughput limit would not use more VMs.
+// fullUtilization is the fraction of used CPU from which a pool counts as fully used. Below it, an
+// owner at its own throughput limit could not use more VMs.
 const fullUtilization = 0.85
 
 // maxDraining returns how many VMs of a pool may be drained for moves at the same time.
@@ -72,19 +72,19 @@
 }
 
 // demandInVMs returns the demand in VMs, by the scarcest resource.
-func demandInVMs(used, waiting, one platform.Resources) float64 {
+func demandInVMs(used, waiting, perVM platform.Resources) float64 {
 	part := func(u, w, c int) float64 {
 		if c == 0 {
 			return 0
 		}
 		return float64(u+w) / float64(c)
 	}
-	return max(part(used.CPU, waiting.CPU, one.CPU), part(used.MemoryMB, waiting.MemoryMB, one.MemoryMB), part(used.GPU, waiting.GPU, one.GPU))
+	return max(part(used.CPU, waiting.CPU, perVM.CPU), part(used.MemoryMB, waiting.MemoryMB, perVM.MemoryMB), part(used.GPU, waiting.GPU, perVM.GPU))
 }
 
 // PlanMoves returns the moves that bring pools closer to their target sizes. Pools with the
 // largest deficit come first; they get VMs from the spare pool, then from pools with a surplus. If
-// no pool is short, a lasting surplus moves to the spare pool.
+// no pool has a deficit, a lasting surplus moves to the spare pool.
 func (p SizingPolicy) PlanMoves(pools []*PoolState) (moves []Move) {
 	pl := movePlan{surplus: map[string]int{}}
 	var short []*PoolState
@@ -121,7 +121,7 @@
 	surplus map[string]int // by pool: VMs above the target size after the planned moves
 }
 
-// fillDeficits plans moves to the pools that are short, largest deficit first.
+// fillDeficits plans moves to the pools that are short of VMs, largest deficit first.
 func (pl *movePlan) fillDeficits(short, pools []*PoolState) {
 	slices.SortStableFunc(short, func(a, b *PoolState) int { return cmp.Compare(pl.surplus[a.Name], pl.surplus[b.Name]) })
 	donors := slices.Clone(pools)
--- a/pkg/fleetops/tableclock.go
+++ b/pkg/fleetops/tableclock.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// tableClock estimates the table service's monotonic clock from one answer: the time in the answer
-// lies between sending the request and receiving the answer.
+// tableClock bounds the table service's monotonic clock by one answer: the service read its clock
+// between the sending of the request and the receipt of the answer.
 type tableClock struct {
 	serverTime time.Duration // the service's time in the answer
 	sent       time.Duration // on the local clock
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -8,15 +8,15 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// maxPoolShare is the fraction of a pool that waves may drain or take down at once, so that the
-// rest has room for the tasks that move.
+// maxPoolShare is the fraction of a pool's VMs that a wave may drain or take down at once, so that
+// the others have capacity for the tasks.
 const maxPoolShare = 0.3
 
 // minConcurrent is the number of VMs of a small pool that may be drained or down at once
 // regardless of maxPoolShare.
 const minConcurrent = 2
 
-// maxListLag is how far the VM list may lag behind.
+// maxListLag is how long a change of a VM's state may take to appear in the VM list.
 const maxListLag = 1500 * time.Millisecond
 
 // maintenanceRound is about how long draining and maintaining a busy VM takes.
@@ -64,15 +64,15 @@
 }
 
 // urgent reports whether busy VMs have to be drained for the wave to end in time: half of its time
-// is over, or the rest is needed for the remaining rounds.
-func (w *Wave) urgent(vms int, since time.Duration) bool {
+// is over, or the maintenance of all VMs would take at least half of the time left.
+func (w *Wave) urgent(vms int, elapsed time.Duration) bool {
 	rounds := (vms + max(w.MaxDown, 1) - 1) / max(w.MaxDown, 1)
 	needs := time.Duration(rounds) * maintenanceRound
-	return since >= w.Within/2 || since+2*needs >= w.Within
+	return elapsed >= w.Within/2 || elapsed+2*needs >= w.Within
 }
 
 // nearDeadline reports whether a VM that is moved now would be maintained after the deadline.
-func (w *Wave) nearDeadline(since time.Duration) bool { return since+maintenanceRound >= w.Within }
+func (w *Wave) nearDeadline(elapsed time.Duration) bool { return elapsed+maintenanceRound >= w.Within }
 
 // How much the maintenance of a VM disrupts running tasks.
 const (
@@ -98,9 +98,9 @@
 	Spare           string                      // pool of switched-off VMs
 	Light           map[string]bool             // VMs with little work
 	SlowToDrain     map[string]bool             // VMs that take longest to drain
-	RecentlyOrdered map[string]bool             // VMs that a former holder may have ordered down very recently
-	OrderedByFormer map[string]bool             // VMs that a former holder ordered last and that may be done
-	Elapsed         time.Duration               // time since the wave was requested
+	RecentlyOrdered map[string]bool             // VMs whose orders must wait, since a former holder may have sent one recently
+	OrderedByFormer map[string]bool             // VMs that a former holder may have ordered, so that they may be done already
+	Elapsed         time.Duration               // time since the wave started
 }
 
 // waveCounts counts VMs for the limits on a wave.
@@ -113,28 +113,28 @@
 }
 
 func countVMs(vms []*VM, view View) waveCounts {
-	t := waveCounts{activeInPool: map[string]int{}, slowDrains: map[string]int{}, waiting: map[string]int{}, poolSize: map[string]int{}}
+	counts := waveCounts{activeInPool: map[string]int{}, slowDrains: map[string]int{}, waiting: map[string]int{}, poolSize: map[string]int{}}
 	for _, m := range view.Machines {
-		t.poolSize[m.Pool]++
+		counts.poolSize[m.Pool]++
 	}
 	for _, v := range vms {
 		m := view.Machines[v.Name]
 		switch v.Phase {
 		case PhaseDraining, PhaseOrdered:
-			t.active++
-			t.activeInPool[m.Pool]++
+			counts.active++
+			counts.activeInPool[m.Pool]++
 			if v.Phase == PhaseDraining && view.SlowToDrain[v.Name] {
-				t.slowDrains[m.Pool]++
+				counts.slowDrains[m.Pool]++
 			}
 		case PhaseWaiting:
-			t.waiting[m.Pool]++
+			counts.waiting[m.Pool]++
 			if m.State == platform.MachineMaintenance || view.RecentlyOrdered[v.Name] {
-				t.active++ // ordered by a former holder
-				t.activeInPool[m.Pool]++
+				counts.active++ // ordered by a former holder
+				counts.activeInPool[m.Pool]++
 			}
 		}
 	}
-	return t
+	return counts
 }
 
 // compareLast orders false before true.
@@ -155,7 +155,7 @@
 // need the whole wave.
 func SelectVMs(w Wave, vms []*VM, view View) (next []*VM) {
 	machines, spare, light := view.Machines, view.Spare, view.Light
-	t := countVMs(vms, view)
+	counts := countVMs(vms, view)
 	isUrgent := w.urgent(len(vms), view.Elapsed)
 	waiting := slices.DeleteFunc(slices.Clone(vms), func(v *VM) bool { return v.Phase != PhaseWaiting })
 	slices.SortStableFunc(waiting, func(a, b *VM) int {
@@ -163,27 +163,27 @@
 			cmp.Compare(disruption(machines[a.Name], spare, light), disruption(machines[b.Name], spare, light)),
 			compareLast(view.OrderedByFormer[a.Name], view.OrderedByFormer[b.Name]),
 			compareLast(!view.SlowToDrain[a.Name], !view.SlowToDrain[b.Name]),
-			cmp.Compare(t.waiting[machines[b.Name].Pool], t.waiting[machines[a.Name].Pool]),
+			cmp.Compare(counts.waiting[machines[b.Name].Pool], counts.waiting[machines[a.Name].Pool]),
 		)
 	})
 	for _, v := range waiting {
 		m, ok := machines[v.Name]
-		if t.active >= w.MaxDown {
+		if counts.active >= w.MaxDown {
 			break
 		}
 		if !ok || m.State != platform.MachineUp || view.RecentlyOrdered[v.Name] {
 			continue
 		}
-		if !isUrgent && disruption(m, spare, light) == disruptionHigh && (!view.SlowToDrain[v.Name] || t.slowDrains[m.Pool] > 0) {
+		if !isUrgent && disruption(m, spare, light) == disruptionHigh && (!view.SlowToDrain[v.Name] || counts.slowDrains[m.Pool] > 0) {
 			continue
 		}
-		if m.Pool != spare && t.activeInPool[m.Pool] >= max(minConcurrent, int(maxPoolShare*float64(t.poolSize[m.Pool]))) {
+		if m.Pool != spare && counts.activeInPool[m.Pool] >= max(minConcurrent, int(maxPoolShare*float64(counts.poolSize[m.Pool]))) {
 			continue
 		}
-		t.active++
-		t.activeInPool[m.Pool]++
+		counts.active++
+		counts.activeInPool[m.Pool]++
 		if view.SlowToDrain[v.Name] {
-			t.slowDrains[m.Pool]++
+			counts.slowDrains[m.Pool]++
 		}
 		next = append(next, v)
 	}
--- a/pkg/fleetops/wave_test.go
+++ b/pkg/fleetops/wave_test.go
@@ -42,7 +42,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{}}
-			for vm, pool := range map[string]string{"v1": "off", "v2": "a", "v3": "b"} { // neither pool wants more
+			for vm, pool := range map[string]string{"v1": "off", "v2": "a", "v3": "b"} { // no pool has demand
 				s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Pool: pool, State: platform.MachineUp, Worker: vm})
 			}
 			since := time.Now()
--- a/pkg/fleetops/zone_test.go
+++ b/pkg/fleetops/zone_test.go
@@ -33,7 +33,7 @@
 		for _, vm := range []string{"v1", "v3"} {
 			c.Check(ordered[vm].IsZero(), qt.IsTrue, qt.Commentf("%s was moved", vm))
 		}
-		c.Check(ordered["v4"].IsZero(), qt.IsFalse, qt.Commentf("the wave passed over v4"))
+		c.Check(ordered["v4"].IsZero(), qt.IsFalse, qt.Commentf("v4 was not maintained"))
 		r.Close()
 	})
 }
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// tasksPerChunk is the number of a step's tasks that one entry covers in progress of several
-	// rows.
+	// tasksPerChunk is the number of a step's tasks in one chunk of its progress. Progress that
+	// takes several rows is divided into chunks.
 	tasksPerChunk = 32
 	// maxProgressRows limits the rows of a job's progress, so that they fit into one transaction
 	// together with other pending rows.
 	maxProgressRows = 8
-	// formatVersioned marks progress that earlier versions cannot decode. They quarantine the job
-	// instead of rerunning tasks that are done.
+	// formatVersioned marks progress that earlier versions of the program cannot decode. They
+	// quarantine the job instead of rerunning tasks that are done.
 	formatVersioned = 2
 )
 
@@ -100,15 +100,15 @@
 	part, size := Progress{}, 0
 	var parts []Progress
 	for _, sp := range p.Steps {
-		for _, entry := range sp.split() {
-			raw, err := msgpack.Marshal(&entry)
+		for _, chunk := range sp.split() {
+			raw, err := msgpack.Marshal(&chunk)
 			if err != nil {
 				return nil, err
 			}
 			if size+len(raw) > limit-rowOverheadBytes && size > 0 {
 				parts, part, size = append(parts, part), Progress{}, 0
 			}
-			part.Steps, size = append(part.Steps, entry), size+len(raw)
+			part.Steps, size = append(part.Steps, chunk), size+len(raw)
 		}
 	}
 	parts = append(parts, part)
@@ -129,21 +129,21 @@
 // rowOverheadBytes is reserved in each row for everything besides its steps.
 const rowOverheadBytes = 64
 
-// split divides a step's progress into entries of tasksPerEntry tasks.
+// split divides a step's progress into chunks of tasksPerChunk tasks.
 func (sp *StepProgress) split() []StepProgress {
 	tasks := max(1, 8*len(sp.Done), 1+maxKey(sp.Failed), 1+maxKey(sp.Checkpoints), 1+maxKey(sp.Losses))
-	entries := make([]StepProgress, (tasks+tasksPerChunk-1)/tasksPerChunk)
-	for i := range entries {
-		entries[i].StepNumber, entries[i].GangFailed = sp.StepNumber, sp.GangFailed
+	chunks := make([]StepProgress, (tasks+tasksPerChunk-1)/tasksPerChunk)
+	for i := range chunks {
+		chunks[i].StepNumber, chunks[i].GangFailed = sp.StepNumber, sp.GangFailed
 		if from, to := i*tasksPerChunk/8, min((i+1)*tasksPerChunk/8, len(sp.Done)); from < to {
-			entries[i].Done = make([]byte, to)
-			copy(entries[i].Done[from:], sp.Done[from:to])
+			chunks[i].Done = make([]byte, to)
+			copy(chunks[i].Done[from:], sp.Done[from:to])
 		}
 	}
-	distribute(sp.Failed, entries, func(sp *StepProgress) *map[int][]int64 { return &sp.Failed })
-	distribute(sp.Checkpoints, entries, func(sp *StepProgress) *map[int]string { return &sp.Checkpoints })
-	distribute(sp.Losses, entries, func(sp *StepProgress) *map[int]blame.Losses { return &sp.Losses })
-	return entries
+	distribute(sp.Failed, chunks, func(sp *StepProgress) *map[int][]int64 { return &sp.Failed })
+	distribute(sp.Checkpoints, chunks, func(sp *StepProgress) *map[int]string { return &sp.Checkpoints })
+	distribute(sp.Losses, chunks, func(sp *StepProgress) *map[int]blame.Losses { return &sp.Losses })
+	return chunks
 }
 
 // maxKey returns the greatest key of a map, or -1 if the map is empty.
@@ -155,10 +155,10 @@
 	return greatest
 }
 
-// distribute copies per-task values into the entries that cover the tasks.
-func distribute[V any](all map[int]V, entries []StepProgress, field func(*StepProgress) *map[int]V) {
+// distribute copies per-task values into the chunks that contain the tasks.
+func distribute[V any](all map[int]V, chunks []StepProgress, field func(*StepProgress) *map[int]V) {
 	for task, v := range all {
-		m := field(&entries[task/tasksPerChunk])
+		m := field(&chunks[task/tasksPerChunk])
 		if *m == nil {
 			*m = map[int]V{}
 		}
@@ -166,8 +166,8 @@
 	}
 }
 
-// marshal encodes one row. It uses the unversioned format if earlier versions can decode the row
-// completely.
+// marshal encodes one row. It uses the unversioned format if earlier versions of the program can
+// decode the row completely.
 func (p *Progress) marshal() ([]byte, error) {
 	if len(p.Finished) == 0 && p.Rows == 0 {
 		return msgpack.Marshal(p)
@@ -195,7 +195,7 @@
 	return p, d.Decode(&p)
 }
 
-// Join appends the remaining rows to the first one. Rows beyond p.Parts are left over from larger
+// Join appends the remaining rows to the first one. Rows beyond p.Rows are left over from larger
 // progress: they are only counted, so that they are removed with the job.
 func (p *Progress) Join(further []Progress) error {
 	if len(further) < p.Rows-1 {
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -43,8 +43,8 @@
 	return reg.Job(j.ID), rows
 }
 
-// Progress of a job with the maximum number of tasks fits into its rows, and no completed task or
-// failed attempt is lost.
+// The progress of a job with the maximum number of tasks fits into its rows, and no completed task
+// or failed attempt is lost.
 func TestProgressOfWideJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{MaxAttempts: 3, Spec: Spec{Steps: []Step{{Count: maxTasks - 8}, {Count: 8, Gang: true}}}}
@@ -109,7 +109,7 @@
 	}
 }
 
-// oldProgress is the format of versions that do not know Over and Parts.
+// oldProgress is the format of versions that do not know Finished and Rows.
 type oldProgress struct {
 	State State          `msgpack:"s,omitempty"`
 	Steps []StepProgress `msgpack:"p,omitempty"`
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -9,7 +9,7 @@
 	t.Step.Job.lossesVersion++
 }
 
-// Verdict returns how the task may be started, given the workers that were lost while running it.
+// Verdict returns how the task may be started, given the worker losses attributed to it.
 func (t *Task) Verdict() blame.Verdict { return t.Losses.Verdict() }
 
 // Suspect reports whether the task is restricted in where it may start.
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -12,7 +12,7 @@
 // A step's verdict is the most restrictive one of its tasks, whichever has more losses.
 func TestStepVerdict(t *testing.T) {
 	soon, late := blame.Loss{Delivered: true}, blame.Loss{Delivered: true, Ran: time.Second}
-	proof := blame.Loss{Trial: true, Ended: true}
+	failedTrial := blame.Loss{Trial: true, Ended: true}
 	for _, tc := range []struct {
 		name          string
 		first, second blame.Losses
@@ -22,7 +22,7 @@
 		{"one soon after its start", nil, blame.Losses{soon}, blame.Watched},
 		{"as many later ones", blame.Losses{late, late}, blame.Losses{soon, soon}, blame.OnTrial},
 		{"more later ones", blame.Losses{late, late}, blame.Losses{soon}, blame.Watched},
-		{"one given up", blame.Losses{late, late, late}, blame.Losses{soon, soon, proof}, blame.Poison},
+		{"one given up", blame.Losses{late, late, late}, blame.Losses{soon, soon, failedTrial}, blame.Poison},
 	} {
 		for _, order := range [][2]blame.Losses{{tc.first, tc.second}, {tc.second, tc.first}} {
 			s := &StepRun{Tasks: []*Task{{Losses: order[0]}, {Losses: order[1]}}}
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -36,7 +36,7 @@
 	AddedAt        time.Duration // on the owner's clock; negative if accepted before that clock started
 	Restored       bool          // a former owner persisted it
 
-	lossesVersion   int // changes to the losses of its tasks
+	lossesVersion   int // number of changes to the losses of its tasks
 	lossesPersisted int // version of the losses that is persisted
 	progressRows    int // rows that its progress may occupy
 
@@ -80,8 +80,8 @@
 	Replaced        int           // attempts replaced as stragglers by this owner
 	PossibleWorkers int           // workers that may run it but have not reported since the takeover
 
-	lastAttempt int64
-	name        string
+	lastAttempt int64  // greatest attempt number so far
+	name        string // cached by Name
 }
 
 // Phase is the state of an attempt.
@@ -103,9 +103,9 @@
 	Phase      Phase
 	OrderedAt  time.Duration // on the owner's clock
 	ProgressAt time.Duration // when Percent last increased
-	Percent    int
-	Load       int
-	Checkpoint string
+	Percent    int           // of the task that is done
+	Load       int           // as last reported, see platform.RunningAttempt
+	Checkpoint string        // the latest one reported
 }
 
 // Name returns the name that workers identify the task by.
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -13,7 +13,7 @@
 	Steps []StepProgress `msgpack:"p,omitempty"`
 	// Finished contains the finished occurrences.
 	Finished rangeSet `msgpack:"v,omitempty"`
-	// Rows is the number of rows, 0 for one.
+	// Rows is the number of rows that the progress takes, 0 for one.
 	Rows int `msgpack:"n,omitempty"`
 	// Stopping is the resources of a final job's attempts that were still being stopped.
 	Stopping *platform.Resources `msgpack:"o,omitempty"`
--- a/pkg/jobs/registry.go
+++ b/pkg/jobs/registry.go
@@ -9,8 +9,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// attemptsPerTerm is the number range reserved for a task's attempts within one ownership term, so
-// that attempt numbers of a later term exceed all earlier ones.
+// attemptsPerTerm is the size of the range of attempt numbers that each ownership term reserves for
+// a task, so that numbers of a later term exceed all earlier ones.
 const attemptsPerTerm = 1 << 12
 
 // Registry holds the jobs of one pool. It is not safe for concurrent use.
@@ -18,7 +18,7 @@
 	term          int64
 	jobs          map[string]*Job
 	active        []*Job                        // not final, in order of acceptance
-	finalInActive int                           // jobs in active that became final since it was last compacted
+	finalInActive int                           // number of final jobs still in active
 	allocated     map[string]platform.Resources // by client account: resources that attempts use or may use
 }
 
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	// minHeadroom triggers a rebalance when a shard has less than this fraction of the headroom it
-	// should have. It limits how often shares move while an account is far below its limit.
+	// minHeadroom is the fraction of a shard's target headroom below which shares are rebalanced. It
+	// limits how often shares change while an account is far below its limit.
 	minHeadroom = 0.5
-	// minChange is the smallest change of a share, as a fraction of the limit, that is made for an
-	// account at its limit, unless it allows a task to start.
+	// minChange is the smallest change of a share, as a fraction of the limit, that triggers a
+	// rebalance for an account at its limit, unless it allows a task to start.
 	minChange = 0.02
-	// epsilon absorbs floating-point rounding errors.
+	// epsilon is the tolerance for floating-point rounding errors.
 	epsilon = 1e-9
 )
 
@@ -22,7 +22,7 @@
 	shards map[string]*status // by name
 }
 
-// status is what the allocator knows of one shard.
+// status is the allocator's state of one shard.
 type status struct {
 	lastSeq  int64 // of the last grant
 	ackedSeq int64 // of the last grant that the shard reported as persisted
@@ -54,7 +54,7 @@
 func (a *Allocator) HandleReport(shard string, r Report) {
 	st := a.status(shard)
 	if r.Term != a.term || r.Seq < st.ackedSeq {
-		return // from before this allocator's term, or out of date
+		return // of another allocator's term, or out of date
 	}
 	st.ackedSeq, st.enforced = r.Seq, r.Enforced
 	if r.Full {
@@ -65,7 +65,7 @@
 		return
 	}
 	for account, u := range st.usage {
-		st.usage[account] = Usage{Account: account, Share: u.Share} // idle unless reported
+		st.usage[account] = Usage{Account: account, Share: u.Share} // without work unless reported
 	}
 	for _, u := range r.Accounts {
 		st.usage[u.Account] = u
@@ -75,7 +75,7 @@
 	}
 }
 
-// dropAcked removes granted shares that are persisted, since reports include them.
+// dropAcked removes granted shares that the shard persisted, since its reports include them.
 func (st *status) dropAcked(acked int64) {
 	for account, all := range st.unacked {
 		all = slices.DeleteFunc(all, func(s grantedShare) bool { return s.seq <= acked })
@@ -87,8 +87,8 @@
 	}
 }
 
-// maxShare returns the greatest share of an account that the shard may have. What runs may exceed
-// the reported share: a former owner may have used one that was not persisted.
+// maxShare returns the greatest share of an account that the shard may have. Running work may exceed
+// the reported share: a former owner may have used a share that was not persisted.
 func (st *status) maxShare(account string) float64 {
 	u := st.usage[account]
 	most := max(u.Share, u.Running)
@@ -112,7 +112,7 @@
 
 // Plan returns the next grants, by shard. The accounts are those with a limit. Accounts removed
 // from the configuration are included while they have work, since tasks waiting in a shard without
-// a share would otherwise never start.
+// a share would otherwise never start. Until all shards are synchronized it raises no share.
 func (a *Allocator) Plan(shards, accounts []string) map[string]Grant {
 	grants := map[string]Grant{}
 	if !a.allSynced(shards) {
@@ -175,7 +175,8 @@
 	return Grant{Term: a.term, Seq: st.lastSeq, Full: true, Shares: st.unackedShares()}
 }
 
-// planAccount divides one account's limit. Shares are raised only by what no shard may hold.
+// planAccount divides one account's limit. It raises shares only by the part of the limit that no
+// shard may be using.
 func (a *Allocator) planAccount(account string, shards []string, set func(shard string, share float64)) {
 	usage := make([]Usage, len(shards))
 	held := make([]float64, len(shards))
@@ -210,8 +211,8 @@
 	}
 }
 
-// needsRebalance reports whether the held shares differ so much from the target that tasks may
-// soon wait.
+// needsRebalance reports whether the held shares differ so much from the target shares that tasks
+// may soon wait.
 func needsRebalance(usage []Usage, held, shares []float64) bool {
 	for i := range usage {
 		u := &usage[i]
--- a/pkg/quota/allocator_test.go
+++ b/pkg/quota/allocator_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// An account that was removed from the configuration while its tasks wait still gets its share
-// where it has demand.
+// An account that was removed from the configuration while its tasks wait still gets a share at
+// the shard with demand.
 func TestRemovedAccount(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(1)
--- a/pkg/quota/divide.go
+++ b/pkg/quota/divide.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Divide returns the share of an account's limit that each shard should have. If the limit covers
-// the total demand, each shard gets its demand and an equal part of the rest. Otherwise the limit
-// is divided by max-min fairness, without going below what runs, and remainders too small to start
-// a task are combined.
+// Divide returns the target share of an account's limit for each shard. If the limit covers the
+// total demand, each shard gets its demand and an equal part of the rest. Otherwise the limit is
+// divided by max-min fairness, with at least the running work for each shard, and remainders too
+// small to start a task are combined.
 func Divide(usage []Usage) []float64 {
 	n := float64(len(usage))
 	demand := 0.0
@@ -29,11 +29,11 @@
 
 func (u *Usage) demand() float64 { return max(u.Running, u.Demand) }
 
-// waterFill finds the highest common level for the shares, each capped by the shard's demand and
-// at least what runs there.
+// waterFill finds the highest common level for the shares that fits the limit. Each share is capped
+// by the shard's demand and is at least its running work.
 func waterFill(usage []Usage, shares []float64) {
 	low, high := 0.0, 1.0
-	const rounds = 40 // bisection steps, precise to less than a thousandth of a core
+	const rounds = 40 // of bisection, exact to less than a thousandth of a core
 	for range rounds {
 		mid := (low + high) / 2
 		if setLevel(usage, shares, mid) <= 1 {
@@ -54,8 +54,8 @@
 	return sum
 }
 
-// combineRemainders takes remainders that are too small to start a task and gives them to the
-// shards with least running work for which the sum is enough.
+// combineRemainders takes away remainders that are too small to start a task. It gives their sum to
+// the shards with the least running work, as far as it lets them start a task.
 func combineRemainders(usage []Usage, shares []float64) {
 	left := 1.0
 	var short []int
--- a/pkg/quota/divide_test.go
+++ b/pkg/quota/divide_test.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// Shares never exceed the limit unless more runs already, never fall below what runs, and leave no
-// shard waiting for what another has to spare.
+// Shares never sum to more than the limit unless more is running already, never fall below running
+// work, and leave no shard short while another has enough to spare.
 func TestDivideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var uses []Usage
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -11,13 +11,13 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// faults are injected into the model to check that it detects them.
+// faults selects faults to inject, to check that the model detects them.
 type faults struct {
 	ignoresUnacked     bool // the allocator does not count grants in flight
 	skipsSync          bool // a new allocator raises shares before all shards persisted its term
 	acceptsFormerTerm  bool // a shard accepts grants of former allocators
-	ignoresUnseen      bool // a new shard owner does not count tasks that it has not discovered
-	capsRunning        bool // a shard does not report what runs above its share
+	ignoresHidden      bool // a new shard owner does not count tasks that it has not discovered
+	capsRunning        bool // a shard does not report running work above its share
 	reportsUnpersisted bool // a shard reports a lower share before it is persisted
 	acceptsStaleSeq    bool // a shard accepts out-of-date grants
 	ignoresStopping    bool // tasks being stopped do not count
@@ -44,7 +44,7 @@
 type owner struct {
 	shares   *ShardShares
 	seen     int // running tasks that it started or discovered
-	hidden   int // tasks that it cannot rule out
+	hidden   int // running tasks that it has not discovered
 	stopping int // of seen: tasks being stopped
 }
 
@@ -82,7 +82,7 @@
 // takeOver has a new owner take over a shard. Running tasks are hidden from it until discovered.
 func (m *model) takeOver(pool string) {
 	o := &owner{shares: NewShardShares(m.rows[pool])}
-	if !m.f.ignoresUnseen {
+	if !m.f.ignoresHidden {
 		o.hidden = m.running[pool]
 	}
 	m.owners[pool] = o
@@ -98,7 +98,7 @@
 	m.allocators = append(m.allocators, a)
 }
 
-// counted returns what an owner counts as running, as a fraction of the limit.
+// counted returns the work that an owner counts as running, as a fraction of the limit.
 func (m *model) counted(o *owner) float64 {
 	n := o.seen + o.hidden
 	if m.f.ignoresStopping {
@@ -267,10 +267,10 @@
 	}
 }
 
-// recent returns the index of one of the last messages, which may have been delivered before.
+// recent draws the index of one of the last messages, which may have been delivered before.
 func recent[T any](t *rapid.T, all []message[T]) int {
-	const memory = 60
-	return rapid.IntRange(max(0, len(all)-memory), len(all)-1).Draw(t, "message")
+	const window = 60
+	return rapid.IntRange(max(0, len(all)-window), len(all)-1).Draw(t, "message")
 }
 
 func (m *model) step() {
@@ -320,8 +320,8 @@
 	}
 }
 
-// The total of what runs never exceeds the limit, across starts, ends, lost, late and repeated
-// messages, new owners and new allocators.
+// Running work never exceeds the limit, across starts, ends, lost, late and repeated messages, new
+// owners and new allocators.
 func TestNeverAbove(t *testing.T) { prop.Check(t, property(faults{})) }
 
 // The model detects each injected fault.
@@ -330,7 +330,7 @@
 		"grants in flight not counted":           {ignoresUnacked: true},
 		"new allocator does not synchronize":     {skipsSync: true},
 		"grants of former allocators accepted":   {acceptsFormerTerm: true},
-		"undiscovered tasks not counted":         {ignoresUnseen: true},
+		"undiscovered tasks not counted":         {ignoresHidden: true},
 		"what runs above a share not reported":   {capsRunning: true},
 		"lower shares reported before persisted": {reportsUnpersisted: true},
 		"out-of-date grants accepted":            {acceptsStaleSeq: true},
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -4,22 +4,22 @@
 type Grant struct {
 	Term   int64              `msgpack:"t"`           // ownership term of the allocator
 	Seq    int64              `msgpack:"s"`           // sequence number of the grant to this shard within the term
-	Full   bool               `msgpack:"f,omitempty"` // the shard is to report all its accounts
-	Shares map[string]float64 `msgpack:"a,omitempty"` // fractions of the limits, by account; others are unchanged
+	Full   bool               `msgpack:"f,omitempty"` // asks the shard to report all its accounts
+	Shares map[string]float64 `msgpack:"a,omitempty"` // fractions of the limits, by account; other shares are unchanged
 }
 
 // Row is the state that a shard persists in the table service.
 type Row struct {
 	Term     int64              `msgpack:"t"`
 	Seq      int64              `msgpack:"s"`
-	Enforced bool               `msgpack:"b"` // shares were granted; before, limits are not enforced
+	Enforced bool               `msgpack:"b"` // limits are enforced, which they are once shares were granted
 	Shares   map[string]float64 `msgpack:"a"`
 }
 
 // Usage is a shard's report on one account, in fractions of the account's limit.
 type Usage struct {
 	Account  string  `msgpack:"n"`
-	Running  float64 `msgpack:"r"` // used or possibly used by running tasks
+	Running  float64 `msgpack:"r"` // used or possibly used by running tasks, including those being stopped
 	Demand   float64 `msgpack:"w"` // Running plus waiting tasks
 	MinStart float64 `msgpack:"p"` // smallest increase of Running by starting a task, 0 if none waits
 	Share    float64 `msgpack:"h"` // the higher of the persisted and the granted share
--- a/pkg/quota/shard.go
+++ b/pkg/quota/shard.go
@@ -2,7 +2,7 @@
 
 import "maps"
 
-// ShardShares holds the shares of one shard. It is not safe for concurrent use.
+// ShardShares holds one shard's shares of the limits. It is not safe for concurrent use.
 type ShardShares struct {
 	persisted Row // stored in the table service
 	pending   Row // to be stored
@@ -14,8 +14,8 @@
 	return &ShardShares{persisted: persisted, pending: persisted}
 }
 
-// Apply applies a grant and reports whether the row changed. A share may fall below what runs; the
-// allocator counts running tasks until they end.
+// Apply applies a grant and reports whether the row changed. A share may fall below the running
+// work; the allocator counts running tasks until they end.
 func (s *ShardShares) Apply(g Grant) (changed bool) {
 	if g.Term < s.pending.Term || g.Term == s.pending.Term && g.Seq <= s.pending.Seq {
 		return false // of a former allocator, or out of date
@@ -43,8 +43,8 @@
 // Enforced reports whether limits are enforced here, which they are once shares were granted.
 func (s *ShardShares) Enforced() bool { return s.pending.Enforced }
 
-// Share returns the fraction of an account's limit that may run here. A raised share is used
-// before it is persisted: a new owner counts what runs, and the allocator the higher of that and
+// Share returns the fraction of an account's limit that may run here. A raised share is used before
+// it is persisted: a new owner counts the work that runs, and the allocator the higher of that and
 // the share.
 func (s *ShardShares) Share(account string) float64 { return s.pending.Shares[account] }
 
