--- a/pkg/catalog/account.go
+++ b/pkg/catalog/account.go
@@ -38,7 +38,7 @@
 // CheckAccounts validates the accounts of a configuration.
 func CheckAccounts(accounts []Account) (err error) {
 	defer func() { err = errors.Wrap(err, "accounts") }()
-	names, owners, none := map[string]bool{}, map[KeyHash]string{}, HashKey("")
+	names, owners, emptyKey := map[string]bool{}, map[KeyHash]string{}, HashKey("")
 	for i := range accounts {
 		a := &accounts[i]
 		switch {
@@ -53,7 +53,7 @@
 		}
 		names[a.Name] = true
 		for _, k := range a.Keys {
-			if k == none {
+			if k == emptyKey {
 				return errors.Errorf("account %s has an empty key", a.Name)
 			}
 			if other, ok := owners[k]; ok && other != a.Name {
--- a/pkg/catalog/catalog.go
+++ b/pkg/catalog/catalog.go
@@ -48,7 +48,7 @@
 	// KeysRequired reports that the deployment has client accounts, even if none is left: queues
 	// that are not public then require an account's key.
 	KeysRequired bool
-	// Accounts are the clients that may submit jobs.
+	// Accounts are the client accounts that may submit jobs.
 	Accounts []Account
 
 	byHost    map[string][]*Queue // longest prefix first
--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -86,14 +86,14 @@
 func (r *Runner) poolStates(machines map[string]platform.Machine, loads map[string]shard.Load) (pools []*PoolState) {
 	byName := r.loadedPools(machines, loads)
 	leaving := r.countMoves(byName, machines)
-	held := r.heldByWaves()
-	r.countMachines(byName, machines, held)
+	reserved := r.reservedByWaves()
+	r.countMachines(byName, machines, reserved)
 	pools = slices.SortedFunc(maps.Values(byName), func(a, b *PoolState) int { return cmp.Compare(a.Name, b.Name) })
 	for _, s := range pools {
 		if s.Spare {
 			slices.Sort(s.Movable)
 		} else {
-			s.Movable = r.movableVMs(s, machines, held, leaving[s.Name])
+			s.Movable = r.movableVMs(s, machines, reserved, leaving[s.Name])
 		}
 		s.SurplusSteps = r.countSurplus(s)
 	}
@@ -148,7 +148,7 @@
 
 // countMachines adds the VMs that will soon run tasks without a move by this holder to the supply of
 // their pools, and lists the movable VMs of the spare pool.
-func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, held map[string]Phase) {
+func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, reserved map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
 		if s == nil || m.State == platform.MachineDown || r.moves[vm] != nil || r.cfg.ZoneOut(m.Zone) {
@@ -157,20 +157,20 @@
 		if m.State == platform.MachineMoving {
 			s.Supply++ // ordered by a former holder
 		}
-		if held[vm] == PhaseOrdered {
+		if reserved[vm] == PhaseOrdered {
 			s.Supply++ // back up shortly
 		}
-		if s.Spare && m.State == platform.MachineUp && held[vm] == "" && r.mayOrderFor(vm) {
+		if s.Spare && m.State == platform.MachineUp && reserved[vm] == "" && r.mayOrderFor(vm) {
 			s.Movable = append(s.Movable, vm)
 		}
 	}
 }
 
 // movableVMs returns the VMs that may leave a pool now, those without tasks first.
-func (r *Runner) movableVMs(s *PoolState, machines map[string]platform.Machine, held map[string]Phase, leaving int) (movable []string) {
+func (r *Runner) movableVMs(s *PoolState, machines map[string]platform.Machine, reserved map[string]Phase, leaving int) (movable []string) {
 	for _, vm := range s.Load.Light {
 		m, ok := machines[vm]
-		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || held[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneOut(m.Zone) {
+		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || reserved[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneOut(m.Zone) {
 			continue
 		}
 		if leaving+len(movable) >= r.policy.maxDraining(s.Supply) {
@@ -195,20 +195,20 @@
 	return r.surplus[s.Name]
 }
 
-// heldByWaves returns the phase of each VM that must not be moved because of a wave: those being
+// reservedByWaves returns the phase of each VM that must not be moved because of a wave: those being
 // drained or maintained, and those still waiting shortly before the wave's deadline.
-func (r *Runner) heldByWaves() map[string]Phase {
-	held := map[string]Phase{}
+func (r *Runner) reservedByWaves() map[string]Phase {
+	reserved := map[string]Phase{}
 	for _, w := range r.openWaves() {
-		closing := w.nearDeadline(r.now() - w.startedAt)
+		nearDeadline := w.nearDeadline(r.now() - w.startedAt)
 		for _, v := range w.vms {
 			switch {
 			case v.Phase == PhaseDraining, v.Phase == PhaseOrdered:
-				held[v.Name] = v.Phase
-			case v.Phase == PhaseWaiting && closing && held[v.Name] == "":
-				held[v.Name] = v.Phase
+				reserved[v.Name] = v.Phase
+			case v.Phase == PhaseWaiting && nearDeadline && reserved[v.Name] == "":
+				reserved[v.Name] = v.Phase
 			}
 		}
 	}
-	return held
+	return reserved
 }
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -241,11 +241,11 @@
 		time.Sleep(1500 * time.Millisecond)
 		s.setNeed("a", 0)
 		s.setNeed("b", 3)
-		taken := time.Now()
+		takenOver := time.Now()
 		second := s.open(c, "second", since)
 		time.Sleep(10 * time.Second)
 		for vm, at := range s.vms.firstOrders("second") {
-			c.Check(at.Sub(taken) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%s ordered %v after the takeover", vm, at.Sub(taken)))
+			c.Check(at.Sub(takenOver) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%s ordered %v after the takeover", vm, at.Sub(takenOver)))
 		}
 		c.Check(s.vms.firstOrders("second"), qt.Not(qt.HasLen), 0)
 		second.Close()
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -137,8 +137,8 @@
 	return counts
 }
 
-// compareLast orders false before true.
-func compareLast(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -161,8 +161,8 @@
 	slices.SortStableFunc(waiting, func(a, b *VM) int {
 		return cmp.Or(
 			cmp.Compare(disruption(machines[a.Name], spare, light), disruption(machines[b.Name], spare, light)),
-			compareLast(view.OrderedByFormer[a.Name], view.OrderedByFormer[b.Name]),
-			compareLast(!view.SlowToDrain[a.Name], !view.SlowToDrain[b.Name]),
+			compareBools(view.OrderedByFormer[a.Name], view.OrderedByFormer[b.Name]),
+			compareBools(!view.SlowToDrain[a.Name], !view.SlowToDrain[b.Name]),
 			cmp.Compare(counts.waiting[machines[b.Name].Pool], counts.waiting[machines[a.Name].Pool]),
 		)
 	})
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -216,11 +216,11 @@
 func needsRebalance(usage []Usage, held, shares []float64) bool {
 	for i := range usage {
 		u := &usage[i]
-		room := shares[i] - u.demand()
+		headroom := shares[i] - u.demand()
 		switch {
 		case u.MinStart > 0 && held[i] < u.Running+u.MinStart && shares[i] >= u.Running+u.MinStart:
 			return true
-		case room > 0 && held[i]-u.demand() < minHeadroom*room:
+		case headroom > 0 && held[i]-u.demand() < minHeadroom*headroom:
 			return true
 		case math.Abs(shares[i]-held[i]) > minChange && held[i] < u.demand():
 			return true
--- a/pkg/quota/allocator_test.go
+++ b/pkg/quota/allocator_test.go
@@ -7,7 +7,7 @@
 )
 
 // converge exchanges grants and reports until the shares no longer change.
-func converge(a *Allocator, shards map[string]*ShardShares, wanted map[string]float64, accounts []string) {
+func converge(a *Allocator, shards map[string]*ShardShares, demand map[string]float64, accounts []string) {
 	names := []string{"p0", "p1"}
 	for range 10 {
 		grants := a.Plan(names, accounts)
@@ -19,7 +19,7 @@
 			}
 			r := s.Report()
 			r.Full = true
-			r.Accounts = []Usage{{Account: "a", Demand: wanted[name], MinStart: wanted[name] / 2, Share: s.MaxShare("a")}}
+			r.Accounts = []Usage{{Account: "a", Demand: demand[name], MinStart: demand[name] / 2, Share: s.MaxShare("a")}}
 			a.HandleReport(name, r)
 		}
 	}
--- a/pkg/quota/divide_test.go
+++ b/pkg/quota/divide_test.go
@@ -14,7 +14,7 @@
 // the resulting shares.
 func TestDivide(t *testing.T) {
 	datadriven.RunTest(t, "testdata/divide", func(t *testing.T, d *datadriven.TestData) string {
-		var uses []Usage
+		var usage []Usage
 		for _, line := range strings.Split(strings.TrimSpace(d.Input), "\n") {
 			var v [3]float64
 			for i, f := range strings.Fields(line) {
@@ -24,10 +24,10 @@
 				}
 				v[i] = x
 			}
-			uses = append(uses, Usage{Running: v[0], Demand: v[1], MinStart: v[2]})
+			usage = append(usage, Usage{Running: v[0], Demand: v[1], MinStart: v[2]})
 		}
 		var out strings.Builder
-		for _, share := range Divide(uses) {
+		for _, share := range Divide(usage) {
 			fmt.Fprintf(&out, "%.3f\n", share)
 		}
 		return out.String()
@@ -38,7 +38,7 @@
 // work, and leave no shard short while another has enough to spare.
 func TestDivideProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var uses []Usage
+		var usage []Usage
 		running := 0.0
 		for range rapid.IntRange(1, 8).Draw(t, "shards") {
 			u := Usage{Running: rapid.Float64Range(0, 0.6).Draw(t, "running")}
@@ -47,11 +47,11 @@
 				u.Demand = u.Running + u.MinStart*float64(rapid.IntRange(1, 20).Draw(t, "tasks"))
 			}
 			running += u.Running
-			uses = append(uses, u)
+			usage = append(usage, u)
 		}
 		sum, spare, short := 0.0, 0.0, 0.0
-		for i, share := range Divide(uses) {
-			u := &uses[i]
+		for i, share := range Divide(usage) {
+			u := &usage[i]
 			sum += share
 			if share < u.Running-epsilon {
 				t.Fatalf("shard %d gets %f, but %f runs there", i, share, u.Running)
@@ -62,10 +62,10 @@
 			}
 		}
 		if sum > max(1, running)+epsilon {
-			t.Fatalf("shares sum to %f while %f runs: %+v", sum, running, uses)
+			t.Fatalf("shares sum to %f while %f runs: %+v", sum, running, usage)
 		}
 		if short > 0 && spare > 1/short+epsilon {
-			t.Fatalf("a shard has %f to spare while another cannot start a task of %f: %+v", spare, 1/short, uses)
+			t.Fatalf("a shard has %f to spare while another cannot start a task of %f: %+v", spare, 1/short, usage)
 		}
 	})
 }
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -176,9 +176,9 @@
 	o := m.owners[pool]
 	r := o.shares.Report()
 	r.Full = true
-	wanted := m.counted(o)
+	demand := m.counted(o)
 	if rapid.Bool().Draw(m.t, "waits") {
-		wanted += 0.8
+		demand += 0.8
 	}
 	share := o.shares.MaxShare("a")
 	if m.f.reportsUnpersisted {
@@ -188,7 +188,7 @@
 	if m.f.capsRunning {
 		running = min(running, share)
 	}
-	r.Accounts = []Usage{{Account: "a", Running: running, Demand: wanted, MinStart: taskSize, Share: share}}
+	r.Accounts = []Usage{{Account: "a", Running: running, Demand: demand, MinStart: taskSize, Share: share}}
 	m.reports = append(m.reports, message[Report]{pool: pool, allocator: allocator, body: r})
 }
 
