--- a/pkg/fleet/phases.go
+++ b/pkg/fleet/phases.go
@@ -45,10 +45,10 @@
 	if !d.drainWanted(vm) {
 		evidence := fmt.Sprintf("wave %q is %s", vm.Wave, d.Table.Waves[vm.Wave].Value.State)
 		vm.Phase, vm.Wave = schema.PhaseActive, ""
-		d.edit(ActionUngrant, name, vm, "the drain is no longer wanted", evidence)
+		d.edit(ActionCancelDrain, name, vm, "the drain is no longer wanted", evidence)
 		return
 	}
-	if o.Status == nil && d.badFor(o, d.limits.RepairAfter) {
+	if o.Status == nil && d.unhealthyFor(o, d.limits.RepairAfter) {
 		d.markDown(name, vm, "it failed while it drained")
 		return
 	}
@@ -70,8 +70,8 @@
 	d.edit(ActionReboot, name, vm, "drained in wave "+vm.Wave, evidence)
 }
 
-// DrainBlocker describes what a draining VM waits for, or returns "" if nothing is in flight to it
-// for certain. version is that of the row that closed the VM.
+// DrainBlocker describes what a draining VM waits for, or returns "" if certainly no request is in
+// flight to it. version is that of the row that set the VM draining.
 func DrainBlocker(version int, o Observation) string {
 	if len(o.Entries) == 0 {
 		return "no entry has been asked yet"
--- a/pkg/fleet/wave.go
+++ b/pkg/fleet/wave.go
@@ -26,7 +26,7 @@
 
 // IsMaintained reports whether a VM needs no maintenance by a wave: this wave, or another one
 // since this one started, maintained it. Without the second case, overlapping waves would
-// overwrite each other's marks and never end.
+// overwrite each other's MaintainedBy and never end.
 func IsMaintained(name string, w schema.Wave, vm schema.VM) bool {
 	return vm.MaintainedBy == name || w.StartedAtMs > 0 && vm.MaintainedAtMs >= w.StartedAtMs
 }
@@ -52,7 +52,7 @@
 	return p
 }
 
-// advanceWaves starts requested waves, selects VMs of running waves and ends completed ones.
+// advanceWaves starts requested waves, starts draining VMs of running waves and ends completed ones.
 func (d *decider) advanceWaves() {
 	for _, name := range d.Table.Waves.Names() {
 		wave := d.Table.Waves[name].Value
@@ -69,7 +69,7 @@
 			wave.FinishedAtMs = int(d.Now.UnixMilli())
 			d.editWave(name, wave, "every VM has returned", fmt.Sprintf("%d maintained, %d down", progress.Done, progress.Down))
 		default:
-			d.grant(name, wave, progress)
+			d.startDrains(name, wave, progress)
 		}
 	}
 }
@@ -84,8 +84,8 @@
 	})
 }
 
-// grant starts draining VMs as far as the pools' budgets and the wave's limit allow.
-func (d *decider) grant(name string, wave schema.Wave, progress Progress) {
+// startDrains starts draining VMs as far as the pools' budgets and the wave's limit allow.
+func (d *decider) startDrains(name string, wave schema.Wave, progress Progress) {
 	current := progress.Current
 	for _, vmName := range d.candidates(func(vm schema.VM) bool {
 		return InScope(wave, vm.Pool) && !IsMaintained(name, wave, vm)
@@ -104,7 +104,7 @@
 			d.unavailable[vm.Pool]++
 		}
 		vm.Phase, vm.Wave = schema.PhaseDraining, name
-		d.edit(ActionGrant, vmName, vm, "its turn in wave "+name, evidence)
+		d.edit(ActionStartDrain, vmName, vm, "its turn in wave "+name, evidence)
 		current++
 	}
 }
--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -8,13 +8,13 @@
 	"sync"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
 const (
-	// forecastHorizon is about how long a move takes until the VM runs tasks in its new pool.
+	// forecastHorizon is about the time from planning a move until the VM runs tasks in its new pool.
 	forecastHorizon = 2 * time.Second
 	// slopeSmoothing is the weight of the newest sample in the exponential average of the slope.
 	slopeSmoothing = 0.25
@@ -27,14 +27,14 @@
 	slope  float64       // thousandths of a core per second, smoothed
 }
 
-// loads requests the load of each pool from its shard's owner and passes on quota grants. Pools
+// pollLoads sends quota grants to the owners of the pools' shards and collects their loads. Pools
 // whose owner does not answer are left out.
-func (r *Runner) loads(ctx context.Context) map[string]shard.Load {
+func (r *Runner) pollLoads(ctx context.Context) map[string]shard.Load {
 	r.mu.Lock()
 	cat := r.catalog
 	r.mu.Unlock()
 	pools := cat.ActivePools()
-	grants := r.limits.Plan(pools, cat.LimitedAccounts())
+	grants := r.quotas.Plan(pools, cat.LimitedAccounts())
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	loads := map[string]shard.Load{}
@@ -51,13 +51,13 @@
 	}
 	wg.Wait()
 	for pool, l := range loads {
-		r.limits.HandleReport(pool, l.Accounts)
+		r.quotas.HandleReport(pool, l.Accounts)
 	}
 	return loads
 }
 
 // grantFor returns the quota grant to send to a pool's shard, or nil.
-func (r *Runner) grantFor(pool string, grants map[string]allowance.Grant) *allowance.Grant {
+func (r *Runner) grantFor(pool string, grants map[string]quota.Grant) *quota.Grant {
 	g, ok := grants[pool]
 	if !ok {
 		return nil
@@ -86,22 +86,22 @@
 func (r *Runner) poolStates(machines map[string]platform.Machine, loads map[string]shard.Load) (pools []*PoolState) {
 	byName := r.loadedPools(machines, loads)
 	leaving := r.countMoves(byName, machines)
-	held := r.heldByWaves()
-	r.countMachines(byName, machines, held)
+	reserved := r.reservedByWaves()
+	r.countMachines(byName, machines, reserved)
 	pools = slices.SortedFunc(maps.Values(byName), func(a, b *PoolState) int { return cmp.Compare(a.Name, b.Name) })
 	for _, s := range pools {
 		if s.Spare {
 			slices.Sort(s.Movable)
 		} else {
-			s.Movable = r.movableVMs(s, machines, held, leaving[s.Name])
+			s.Movable = r.movableVMs(s, machines, reserved, leaving[s.Name])
 		}
 		s.SurplusSteps = r.countSurplus(s)
 	}
 	return pools
 }
 
-// loadedPools returns the pools whose load is known, with their current workers, and the spare
-// pool.
+// loadedPools returns the state of the pools whose load is known, with their workers as supply, and
+// of the spare pool.
 func (r *Runner) loadedPools(machines map[string]platform.Machine, loads map[string]shard.Load) map[string]*PoolState {
 	pools := map[string]*PoolState{}
 	for name, l := range loads {
@@ -131,8 +131,8 @@
 	return c
 }
 
-// countMoves adds VMs in transit to the supply of their new pools. It returns the number of VMs
-// leaving each pool.
+// countMoves adds the VMs of this holder's moves to the supply of their new pools. It returns the
+// number of VMs leaving each pool.
 func (r *Runner) countMoves(pools map[string]*PoolState, machines map[string]platform.Machine) (leaving map[string]int) {
 	leaving = map[string]int{}
 	for vm, m := range r.moves {
@@ -146,9 +146,9 @@
 	return leaving
 }
 
-// countMachines adds VMs that will soon run tasks without a move of ours to the supply of their
-// pools, and lists the movable VMs of the spare pool.
-func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, held map[string]Phase) {
+// countMachines adds the VMs that will soon run tasks without a move by this holder to the supply of
+// their pools, and lists the movable VMs of the spare pool.
+func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, reserved map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
 		if s == nil || m.State == platform.MachineDown || r.moves[vm] != nil || r.cfg.ZoneOut(m.Zone) {
@@ -157,20 +157,20 @@
 		if m.State == platform.MachineMoving {
 			s.Supply++ // ordered by a former holder
 		}
-		if held[vm] == PhaseOrdered {
-			s.Supply++ // it returns shortly
+		if reserved[vm] == PhaseOrdered {
+			s.Supply++ // back up shortly
 		}
-		if s.Spare && m.State == platform.MachineUp && held[vm] == "" && r.mayOrderFor(vm) {
+		if s.Spare && m.State == platform.MachineUp && reserved[vm] == "" && r.mayOrderFor(vm) {
 			s.Movable = append(s.Movable, vm)
 		}
 	}
 }
 
 // movableVMs returns the VMs that may leave a pool now, those without tasks first.
-func (r *Runner) movableVMs(s *PoolState, machines map[string]platform.Machine, held map[string]Phase, leaving int) (movable []string) {
+func (r *Runner) movableVMs(s *PoolState, machines map[string]platform.Machine, reserved map[string]Phase, leaving int) (movable []string) {
 	for _, vm := range s.Load.Light {
 		m, ok := machines[vm]
-		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || held[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneOut(m.Zone) {
+		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || reserved[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneOut(m.Zone) {
 			continue
 		}
 		if leaving+len(movable) >= r.policy.maxDraining(s.Supply) {
@@ -181,7 +181,8 @@
 	return movable
 }
 
-// countSurplus returns for how many consecutive steps a pool had more VMs than its target size.
+// countSurplus returns the number of consecutive steps in which a pool had more VMs than its target
+// size.
 func (r *Runner) countSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
@@ -194,20 +195,20 @@
 	return r.surplus[s.Name]
 }
 
-// heldByWaves returns the phase of each VM that must not be moved because of a wave: those being
+// reservedByWaves returns the phase of each VM that must not be moved because of a wave: those being
 // drained or maintained, and those still waiting shortly before the wave's deadline.
-func (r *Runner) heldByWaves() map[string]Phase {
-	held := map[string]Phase{}
+func (r *Runner) reservedByWaves() map[string]Phase {
+	reserved := map[string]Phase{}
 	for _, w := range r.openWaves() {
-		closing := w.closing(r.now() - w.startedAt)
+		nearDeadline := w.nearDeadline(r.now() - w.startedAt)
 		for _, v := range w.vms {
 			switch {
 			case v.Phase == PhaseDraining, v.Phase == PhaseOrdered:
-				held[v.Name] = v.Phase
-			case v.Phase == PhaseWaiting && closing && held[v.Name] == "":
-				held[v.Name] = v.Phase
+				reserved[v.Name] = v.Phase
+			case v.Phase == PhaseWaiting && nearDeadline && reserved[v.Name] == "":
+				reserved[v.Name] = v.Phase
 			}
 		}
 	}
-	return held
+	return reserved
 }
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -10,11 +10,11 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/rs/zerolog"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/elapsed"
 	"github.com/gannetwell/gannetwell/pkg/platform"
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
@@ -87,7 +87,7 @@
 	return at
 }
 
-// testFleet is a deployment of two pools and a spare one, whose demand the test sets.
+// testFleet is a deployment of two pools, whose demand the test sets, and a spare pool.
 type testFleet struct {
 	vms  vmService
 	rows *fake.Rows
@@ -148,7 +148,7 @@
 	return r
 }
 
-// tryOpen has an entry take over, whoever is the holder.
+// tryOpen has an entry take over from the current holder, if any.
 func (s *testFleet) tryOpen(entry string, since time.Time) (*Runner, error) {
 	rows, vms := s.rows.As(entry), platform.Machines(&s.vms)
 	if s.rowsOf != nil {
@@ -161,12 +161,12 @@
 	cat := catalog.New(catalog.Catalog{Pools: []catalog.Pool{{Name: "a"}, {Name: "b"}, {Name: "off", Spare: true}}})
 	return Open(context.Background(), Config{
 		Self: shard.Identity{Entry: entry}, Log: zerolog.Nop(), Clock: elapsed.New(elapsed.WithOrigin(since)), Rows: rows, Machines: vms,
-		Drain: func(context.Context, string, string) bool { return true }, Load: func(ctx context.Context, pool string, _ *allowance.Grant) (shard.Load, bool) {
+		Drain: func(context.Context, string, string) bool { return true }, Load: func(ctx context.Context, pool string, _ *quota.Grant) (shard.Load, bool) {
 			return s.load(ctx, pool)
 		},
 		Report: func(int, bool) (platform.Row, error) { return platform.Row{}, nil },
 		Waves:  s.requested, ZoneOut: s.evacuated,
-		OrderGap: orderGap, Sending: func() {}, OnOver: func(error) {},
+		OrderGap: orderGap, BeforeTakeover: func() {}, OnGivenUp: func(error) {},
 	}, shard.ObservedOwner{Version: seen.Version}, cat)
 }
 
@@ -241,11 +241,11 @@
 		time.Sleep(1500 * time.Millisecond)
 		s.setNeed("a", 0)
 		s.setNeed("b", 3)
-		taken := time.Now()
+		takenOver := time.Now()
 		second := s.open(c, "second", since)
 		time.Sleep(10 * time.Second)
 		for vm, at := range s.vms.firstOrders("second") {
-			c.Check(at.Sub(taken) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%s ordered %v after the takeover", vm, at.Sub(taken)))
+			c.Check(at.Sub(takenOver) < 3200*time.Millisecond, qt.IsTrue, qt.Commentf("%s ordered %v after the takeover", vm, at.Sub(takenOver)))
 		}
 		c.Check(s.vms.firstOrders("second"), qt.Not(qt.HasLen), 0)
 		second.Close()
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -7,25 +7,26 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/elapsed"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
 // stepInterval is the time between two steps.
 const stepInterval = 250 * time.Millisecond
 
-// Partition is the partition and shard name of this work. It is never the name of a pool.
+// Partition is the partition and shard name of the fleet operations. It is never a pool's name.
 const Partition = "~maintenance"
 
-// Drainer has the owner of a pool's shard move the tasks off a VM and keep new ones away for some
+// Drainer has the owner of a pool's shard move the tasks off a VM and start no others there for some
 // seconds. It reports whether the VM is drained.
 type Drainer func(ctx context.Context, pool, vm string) (drained bool)
 
-// Loader requests the load of a pool's shard. If grant is not nil, it is sent with the request.
-type Loader func(ctx context.Context, pool string, grant *allowance.Grant) (l shard.Load, ok bool)
+// Loader requests the load of a pool's shard; ok is false if its owner does not answer. If grant is
+// not nil, it is sent with the request.
+type Loader func(ctx context.Context, pool string, grant *quota.Grant) (l shard.Load, ok bool)
 
 // Config holds the settings and dependencies of a Runner.
 type Config struct {
@@ -38,19 +39,19 @@
 	Drain    Drainer
 	Load     Loader
 	Waves    func() []Wave // all maintenance requests known so far
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil for
-	// none.
+	// ZoneOut reports whether the operator has taken an availability zone out of use; nil means
+	// that none is.
 	ZoneOut func(zone string) bool
 	Report  func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
 
 	OrderGap        time.Duration // minimum time between orders of two holders for a VM
-	MaintenanceTime time.Duration // of one VM
+	MaintenanceTime time.Duration // how long the maintenance of a VM takes
 
-	Sending func()      // called before the takeover's transaction is sent
-	OnOver  func(error) // called once when ownership is lost
+	BeforeTakeover func()      // called before the takeover's transaction is sent
+	OnGivenUp      func(error) // called once when another entry is found to have taken over
 }
 
-// Runner maintains VMs and sizes pools while this entry is the holder.
+// Runner runs the fleet operations while this entry is the holder.
 type Runner struct {
 	cfg    Config
 	policy SizingPolicy
@@ -60,31 +61,32 @@
 	done   chan struct{}
 
 	// Used by the run loop only.
-	clock          tableClock
-	formerKnown    bool                     // the former holders' announcement was read
-	noOrdersBefore time.Duration            // set if that announcement was malformed
-	formerOrders   map[string]time.Duration // by VM: until when former holders may have sent orders, on the table service's clock
-	formerWaves    map[string]int           // by VM: the wave of those orders, 0 for a move
-	lastLoads      map[string]shard.Load    // by pool
-	trends         map[string]trend         // of demand, by pool
-	limits         *allowance.Allocator     // divides account quotas among shards
-	surplus        map[string]int           // consecutive steps with surplus VMs, by pool
-	moves          map[string]*move         // by VM
-	announced      map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
+	clock             tableClock
+	formerOrdersKnown bool                     // the former holders' announcement was read
+	noOrdersBefore    time.Duration            // set if that announcement was malformed
+	formerOrders      map[string]time.Duration // by VM: until when former holders may have sent orders, on the table service's clock
+	formerWaves       map[string]int           // by VM: the wave of those orders, 0 for a move
+	lastLoads         map[string]shard.Load    // by pool
+	trends            map[string]trend         // of demand, by pool
+	quotas            *quota.Allocator         // divides account quotas among shards
+	surplus           map[string]int           // consecutive steps with surplus VMs, by pool
+	moves             map[string]*move         // by VM
+	announced         map[string]time.Duration // by VM: until when orders may be sent, as persisted, on the table service's clock
 
 	announcedVersion int64 // version of the announcement row as last read or written, 0 for none
 
 	mu           sync.Mutex
-	confirmedAt  time.Duration // when this entry was last known to be the owner
+	confirmedAt  time.Duration // when this entry was last known to be the holder
 	relinquished bool
 	catalog      *catalog.Catalog
 	waves        map[int]*wave            // by ID
 	lastOrder    map[string]time.Duration // when this holder last sent an order, by VM
 }
 
-// Open takes over the work if its owner row still has the version seen.
+// Open takes over the fleet operations if their owner row still has the version seen, and starts
+// the run loop.
 func Open(ctx context.Context, cfg Config, seen shard.ObservedOwner, cat *catalog.Catalog) (r *Runner, err error) {
-	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.Sending)
+	c, err := shard.TakeOver(ctx, cfg.Rows, cfg.Clock, Partition, cfg.Self, seen, nil, cfg.BeforeTakeover)
 	if err != nil {
 		return nil, err
 	}
@@ -94,9 +96,9 @@
 	now := cfg.Clock.Now()
 	r = &Runner{
 		cfg: cfg, claim: c, log: cfg.Log.With().Str("pool", Partition).Int64("term", c.Term).Logger(),
-		limits: allowance.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
+		quotas: quota.NewAllocator(c.Term), done: make(chan struct{}), confirmedAt: now, catalog: cat, waves: map[int]*wave{},
 		policy: DefaultSizing, moves: map[string]*move{}, surplus: map[string]int{}, trends: map[string]trend{},
-		formerKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
+		formerOrdersKnown: c.Term == 1, formerOrders: map[string]time.Duration{}, formerWaves: map[string]int{}, lastOrder: map[string]time.Duration{}, announced: map[string]time.Duration{},
 	}
 	r.loadFormerOrders(ctx)
 	runCtx, cancel := context.WithCancel(context.Background())
@@ -122,20 +124,20 @@
 // SetWorkers does nothing: the VM list comes from the VM service.
 func (r *Runner) SetWorkers([]platform.Worker) {}
 
-// Confirm records that this entry was the owner at the given time.
+// Confirm records that this entry was the holder at the given time of its clock.
 func (r *Runner) Confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.confirmedAt = max(r.confirmedAt, at)
 }
 
-// Close stops the work without releasing the owner row.
+// Close stops the run loop without releasing the owner row.
 func (r *Runner) Close() {
 	r.cancel()
 	<-r.done
 }
 
-// Release stops the work and releases the owner row to the next entry, which may be empty.
+// Release stops the run loop and releases the owner row to the entry next, empty for any.
 func (r *Runner) Release(ctx context.Context, next string) {
 	r.Close()
 	err := r.releaseOwnership(ctx, next)
@@ -163,10 +165,10 @@
 		if ctx.Err() == nil {
 			r.log.Warn().Str("event", "machines_not_listed").Err(err).Send()
 		}
-		r.loads(ctx) // quotas are still divided
+		r.pollLoads(ctx) // quotas are divided without the VM list
 		return
 	}
-	r.lastLoads = r.loads(ctx)
+	r.lastLoads = r.pollLoads(ctx)
 	r.acceptWaves()
 	mayOrder := r.mayOrder(ctx)
 	// Waves go first, so that a VM that just became idle is maintained rather than moved.
@@ -216,6 +218,7 @@
 	return r.catalog.SparePool()
 }
 
+// relinquish stops the run loop after another entry took over.
 func (r *Runner) relinquish() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,5 +228,5 @@
 	r.relinquished = true
 	r.log.Warn().Str("event", "maintenance_given_up").Send()
 	r.cancel()
-	go r.cfg.OnOver(nil)
+	go r.cfg.OnGivenUp(nil)
 }
--- a/pkg/fleetops/wave_test.go
+++ b/pkg/fleetops/wave_test.go
@@ -37,12 +37,12 @@
 
 // A VM that is down by a former holder's order is not maintained again, even if that holder stored
 // no progress. A VM that is down for another reason is maintained once it is up.
-func TestMaintainedByFormer(t *testing.T) {
+func TestMaintainedByFormerHolder(t *testing.T) {
 	for _, announced := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			s := &testFleet{rows: fake.NewRows(4*time.Millisecond, time.Second), need: map[string]int{}}
-			for vm, pool := range map[string]string{"v1": "off", "v2": "a", "v3": "b"} { // neither pool wants more
+			for vm, pool := range map[string]string{"v1": "off", "v2": "a", "v3": "b"} { // no pool has demand
 				s.vms.list = append(s.vms.list, platform.Machine{VM: vm, Pool: pool, State: platform.MachineUp, Worker: vm})
 			}
 			since := time.Now()
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -43,8 +43,8 @@
 	return reg.Job(j.ID), rows
 }
 
-// Progress of a job with the maximum number of tasks fits into its rows, and no completed task or
-// failed attempt is lost.
+// The progress of a job with the maximum number of tasks fits into its rows, and no completed task
+// or failed attempt is lost.
 func TestProgressOfWideJob(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Record{MaxAttempts: 3, Spec: Spec{Steps: []Step{{Count: maxTasks - 8}, {Count: 8, Gang: true}}}}
@@ -86,7 +86,7 @@
 
 // Incomplete progress is rejected.
 func TestMissingRowIsRejected(t *testing.T) {
-	p := Progress{Parts: 3}
+	p := Progress{Rows: 3}
 	qt.Check(t, p.Join([]Progress{{}}), qt.IsNotNil)
 	qt.Check(t, p.Join([]Progress{{}, {}}), qt.IsNil)
 }
@@ -96,9 +96,9 @@
 func TestStaleRowsAreCounted(t *testing.T) {
 	c := qt.New(t)
 	stale := Progress{Steps: []StepProgress{{Done: []byte{1}}}}
-	for _, p := range []Progress{{State: StateCompleted}, {Parts: 2}, {}} {
+	for _, p := range []Progress{{State: StateCompleted}, {Rows: 2}, {}} {
 		further := []Progress{stale, stale, stale}
-		if p.Parts > 1 {
+		if p.Rows > 1 {
 			further[0] = Progress{}
 		}
 		c.Assert(p.Join(further), qt.IsNil)
@@ -109,7 +109,7 @@
 	}
 }
 
-// oldProgress is the format of versions that do not know Over and Parts.
+// oldProgress is the format of versions that do not know Finished and Rows.
 type oldProgress struct {
 	State State          `msgpack:"s,omitempty"`
 	Steps []StepProgress `msgpack:"p,omitempty"`
@@ -120,12 +120,12 @@
 func TestEarlierVersionRejectsNewProgress(t *testing.T) {
 	c := qt.New(t)
 	var old oldProgress
-	for _, p := range []Progress{{Over: rangeSet{0, 3}}, {Parts: 2}} {
+	for _, p := range []Progress{{Finished: rangeSet{0, 3}}, {Rows: 2}} {
 		raw, err := p.marshal()
 		c.Assert(err, qt.IsNil)
 		c.Check(msgpack.Unmarshal(raw, &old), qt.IsNotNil)
 	}
-	plain := Progress{State: StateCompleted, Steps: []StepProgress{{At: 1, Done: []byte{3}}}}
+	plain := Progress{State: StateCompleted, Steps: []StepProgress{{StepNumber: 1, Done: []byte{3}}}}
 	raw, err := plain.marshal()
 	c.Assert(err, qt.IsNil)
 	c.Assert(msgpack.Unmarshal(raw, &old), qt.IsNil)
@@ -186,7 +186,7 @@
 }
 
 // Memory does not grow with the number of scheduled occurrences.
-func TestManyOccurrencesStayCheap(t *testing.T) {
+func TestManyOccurrencesMemory(t *testing.T) {
 	c := qt.New(t)
 	r := Record{MaxAttempts: 3, Spec: Spec{Times: 10_000_000, Interval: time.Second, Steps: []Step{{Count: 1}}}}
 	allocated := testing.AllocsPerRun(1, func() {
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/losses.go
@@ -6,10 +6,10 @@
 // the task is started on trial.
 func (t *Task) SetLosses(ls blame.Losses) {
 	t.Losses = ls
-	t.Step.Job.evidenceVersion++
+	t.Step.Job.lossesVersion++
 }
 
-// Verdict returns how the task may be started, given the workers that were lost while running it.
+// Verdict returns how the task may be started, given the worker losses attributed to it.
 func (t *Task) Verdict() blame.Verdict { return t.Losses.Verdict() }
 
 // Suspect reports whether the task is restricted in where it may start.
@@ -25,11 +25,11 @@
 	return worst
 }
 
-// EvidenceVersion counts the changes to the losses of the job's tasks.
-func (j *Job) EvidenceVersion() int { return j.evidenceVersion }
+// LossesVersion counts the changes to the losses of the job's tasks.
+func (j *Job) LossesVersion() int { return j.lossesVersion }
 
-// MarkEvidencePersisted records that the losses are persisted up to version n.
-func (j *Job) MarkEvidencePersisted(n int) { j.evidencePersisted = max(j.evidencePersisted, n) }
+// MarkLossesPersisted records that the losses are persisted up to version n.
+func (j *Job) MarkLossesPersisted(n int) { j.lossesPersisted = max(j.lossesPersisted, n) }
 
-// EvidencePersisted reports whether the losses are persisted at least up to version n.
-func (j *Job) EvidencePersisted(n int) bool { return j.evidencePersisted >= n }
+// LossesPersisted reports whether the losses are persisted at least up to version n.
+func (j *Job) LossesPersisted(n int) bool { return j.lossesPersisted >= n }
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/gannetwell/gannetwell/pkg/allowance"
 	"github.com/gannetwell/gannetwell/pkg/catalog"
 	"github.com/gannetwell/gannetwell/pkg/fleetops"
 	"github.com/gannetwell/gannetwell/pkg/ownership"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quota"
 	"github.com/gannetwell/gannetwell/pkg/schema"
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
@@ -74,7 +74,7 @@
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
-		Sending: events.Committing, OnOver: events.Relinquished,
+		BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
 	}, seen, cat)
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -114,7 +114,7 @@
 	if len(raw) == 0 {
 		return false
 	}
-	var g allowance.Grant
+	var g quota.Grant
 	if err := msgpack.Unmarshal(raw, &g); err != nil {
 		n.log.Error().Str("event", "grant_malformed").Err(err).Send()
 		return false
@@ -125,7 +125,7 @@
 
 // loadOf asks the owner of a pool's shard for its load, and passes it the shares of the accounts'
 // limits in g unless it is nil.
-func (n *Node) loadOf(ctx context.Context, pool string, g *allowance.Grant) (l shard.Load, ok bool) {
+func (n *Node) loadOf(ctx context.Context, pool string, g *quota.Grant) (l shard.Load, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	q := &schema.Call{Kind: schema.CallKindLoad, Pool: pool}
--- a/pkg/allowance/allocator_test.go
+++ b/pkg/quota/allocator_test.go
@@ -1,4 +1,4 @@
-package allowance
+package quota
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 )
 
 // converge exchanges grants and reports until the shares no longer change.
-func converge(a *Allocator, shards map[string]*ShardShares, wanted map[string]float64, accounts []string) {
+func converge(a *Allocator, shards map[string]*ShardShares, demand map[string]float64, accounts []string) {
 	names := []string{"p0", "p1"}
 	for range 10 {
 		grants := a.Plan(names, accounts)
@@ -19,14 +19,14 @@
 			}
 			r := s.Report()
 			r.Full = true
-			r.Accounts = []Usage{{Account: "a", Demand: wanted[name], MinStart: wanted[name] / 2, Share: s.MaxShare("a")}}
+			r.Accounts = []Usage{{Account: "a", Demand: demand[name], MinStart: demand[name] / 2, Share: s.MaxShare("a")}}
 			a.HandleReport(name, r)
 		}
 	}
 }
 
-// An account that was removed from the configuration while its tasks wait still gets its share
-// where it has demand.
+// An account that was removed from the configuration while its tasks wait still gets a share at
+// the shard with demand.
 func TestRemovedAccount(t *testing.T) {
 	c := qt.New(t)
 	a := NewAllocator(1)
