--- a/pkg/schema/types.go
+++ b/pkg/schema/types.go
@@ -4,9 +4,9 @@
 
 import "encoding/json"
 
-// Account is one operator; the bearer token itself is kept nowhere.
+// Account is one operator; only a hash of the bearer token is stored.
 type Account struct {
-	// Name is the actor in the audit trail.
+	// Name is the operator's name, which the audit trail has as the actor.
 	Name string `json:"name" msgpack:"name"`
 
 	// Role corresponds to the JSON schema field "role".
@@ -16,19 +16,20 @@
 	TokenSha256 string `json:"token_sha256" msgpack:"token_sha256"`
 }
 
-// Call is a question over a link that carries many at once.
+// Call is a request to another entry; a connection carries many calls at once.
 type Call struct {
-	// Account is the client account that asks, empty for a caller without one.
+	// Account is the client account that makes the request, empty for a caller
+	// without one.
 	Account string `json:"account" msgpack:"account"`
 
-	// CatalogVersion is the version that the sender has, 0 for none.
+	// CatalogVersion is the version of the sender's configuration, 0 for none.
 	CatalogVersion int `json:"catalog_version" msgpack:"catalog_version"`
 
-	// Grant is the encoded shares of client accounts' limits that go with a question
-	// about load.
+	// Grant is the encoded shares of client accounts' limits, sent with calls for the
+	// load.
 	Grant []byte `json:"grant" msgpack:"grant"`
 
-	// ID pairs the reply with the call on its link.
+	// ID matches the reply to the call on its connection.
 	ID int `json:"id" msgpack:"id"`
 
 	// Job is the job's ID.
@@ -37,17 +38,18 @@
 	// Kind corresponds to the JSON schema field "kind".
 	Kind CallKind `json:"kind" msgpack:"kind"`
 
-	// Operator tells that an operator asks, who may see the jobs of all accounts.
+	// Operator reports whether an operator makes the request, who may see the jobs of
+	// all accounts.
 	Operator bool `json:"operator" msgpack:"operator"`
 
-	// OwnerRow is the row of the sender as the shard's owner, of the version
-	// owners_version; empty but for stand_down.
+	// OwnerRow is the encoded owner row that makes the sender the shard's owner, with
+	// version owners_version; empty except for stand_down.
 	OwnerRow []byte `json:"owner_row" msgpack:"owner_row"`
 
 	// OwnersVersion is the highest version of an owner row that the sender has seen.
 	OwnersVersion int `json:"owners_version" msgpack:"owners_version"`
 
-	// Pool names the shard.
+	// Pool identifies the shard.
 	Pool string `json:"pool" msgpack:"pool"`
 
 	// Queue is the job's queue.
@@ -56,7 +58,7 @@
 	// Record is the encoded job record of a submission.
 	Record []byte `json:"record" msgpack:"record"`
 
-	// Vm is the VM that is to be empty.
+	// VM is the VM to drain.
 	VM string `json:"vm" msgpack:"vm"`
 }
 
@@ -83,48 +85,48 @@
 
 // CallReply answers a Call.
 type CallReply struct {
-	// Catalog is the encoded configuration, when it was asked for.
+	// Catalog is the encoded configuration, if the call asked for it.
 	Catalog []byte `json:"catalog" msgpack:"catalog"`
 
-	// CatalogVersion is the version that the sender has, 0 for none.
+	// CatalogVersion is the version of the sender's configuration, 0 for none.
 	CatalogVersion int `json:"catalog_version" msgpack:"catalog_version"`
 
-	// Claiming tells whether the sender is taking a shard over and does not know the
-	// outcome.
+	// Claiming reports whether the sender is taking over a shard and does not know
+	// the outcome yet.
 	Claiming bool `json:"claiming" msgpack:"claiming"`
 
-	// ID is that of the call.
+	// ID is the ID of the call.
 	ID int `json:"id" msgpack:"id"`
 
-	// Load is the encoded load of a shard, when it was asked for.
+	// Load is the encoded load of the shard, if the call asked for it.
 	Load []byte `json:"load" msgpack:"load"`
 
 	// Outcome corresponds to the JSON schema field "outcome".
 	Outcome CallOutcome `json:"outcome" msgpack:"outcome"`
 
-	// Owners are the owner rows that are newer than those the caller has seen.
+	// Owners are the owner rows newer than the call's owners_version.
 	Owners []OwnerNews `json:"owners" msgpack:"owners"`
 
 	// OwnersVersion is the highest version of an owner row that the sender has seen.
 	OwnersVersion int `json:"owners_version" msgpack:"owners_version"`
 
-	// ReachesStore tells whether the table service answers the sender.
+	// ReachesStore reports whether the table service answers the sender.
 	ReachesStore bool `json:"reaches_store" msgpack:"reaches_store"`
 
-	// Start tells incarnations of the sender apart.
+	// Start distinguishes successive processes of the sending entry.
 	Start int `json:"start" msgpack:"start"`
 
 	// State is the job's state.
 	State string `json:"state" msgpack:"state"`
 
-	// Stopping tells whether the sender is in a planned stop.
+	// Stopping reports whether the sender is in a planned stop.
 	Stopping bool `json:"stopping" msgpack:"stopping"`
 
-	// Waiting counts jobs that have not begun.
+	// Waiting is the number of the queue's jobs that have not started.
 	Waiting int `json:"waiting" msgpack:"waiting"`
 }
 
-// CallerListener takes callers' requests.
+// CallerListener accepts callers' requests.
 type CallerListener struct {
 	// Address is the host:port to listen at.
 	Address string `json:"address" msgpack:"address"`
@@ -155,21 +157,22 @@
 const ClassInteractive Class = "interactive"
 const ClassLive Class = "live"
 
-// ControlSettings pace the entry's control work.
+// ControlSettings are the intervals and the lease of the entry's control loop and
+// table replication.
 type ControlSettings struct {
-	// HeadIntervalMs is the time between two reads of the table's head by a zone's
-	// reader, in milliseconds.
+	// HeadIntervalMs is the time between two reads of the table's head by an entry
+	// that reads it for its zone, in milliseconds.
 	HeadIntervalMs int `json:"head_interval_ms" msgpack:"head_interval_ms"`
 
-	// LeaseMs is how long the lease of the control work lasts without renewal, in
+	// LeaseMs is how long the control loop's lease lasts without renewal, in
 	// milliseconds.
 	LeaseMs int `json:"lease_ms" msgpack:"lease_ms"`
 
 	// StepIntervalMs is the time between two control decisions, in milliseconds.
 	StepIntervalMs int `json:"step_interval_ms" msgpack:"step_interval_ms"`
 
-	// SyncIntervalMs is the time between two exchanges with a peer, one peer in turn,
-	// in milliseconds; changes are told at once.
+	// SyncIntervalMs is the time between two periodic exchanges, each with the next
+	// peer in turn, in milliseconds; changes are sent at once.
 	SyncIntervalMs int `json:"sync_interval_ms" msgpack:"sync_interval_ms"`
 }
 
@@ -200,7 +203,7 @@
 	// Waves are the maintenance waves by name.
 	Waves map[string]Wave `json:"waves" msgpack:"waves"`
 
-	// Weights are the rows of weights by name; the row named fleet is the one in use.
+	// Weights are the weights rows by name; only the row named fleet is used.
 	Weights map[string]Weights `json:"weights" msgpack:"weights"`
 
 	// Zones are the availability zones by name.
@@ -209,78 +212,85 @@
 
 // Entry is one accepted edit in the table's log; the log is also the audit trail.
 type Entry struct {
-	// Actor is the operator or the part of the system that made the edit.
+	// Actor is the operator or the component that made the edit.
 	Actor string `json:"actor" msgpack:"actor"`
 
-	// AtMs is when the edit was made by its maker's clock, in Unix milliseconds.
+	// AtMs is when the edit was made, by the clock of the process that made it, in
+	// Unix milliseconds.
 	AtMs int `json:"at_ms" msgpack:"at_ms"`
 
 	// Changes are the rows that changed.
 	Changes []Change `json:"changes" msgpack:"changes"`
 
-	// EditID identifies the edit over all tries of writing it.
+	// EditID identifies the edit across all attempts to write it.
 	EditID string `json:"edit_id" msgpack:"edit_id"`
 
-	// Evidence says what the reason rests on.
+	// Evidence is what the reason is based on.
 	Evidence string `json:"evidence" msgpack:"evidence"`
 
-	// Reason says why.
+	// Reason is why the edit was made.
 	Reason string `json:"reason" msgpack:"reason"`
 
 	// Revision counts accepted edits from 1.
 	Revision int `json:"revision" msgpack:"revision"`
 }
 
-// GatewaySettings are the entry's own limits towards callers and backend servers.
+// GatewaySettings are the entry's policies and limits for requests between callers
+// and backend servers.
 type GatewaySettings struct {
-	// BodyTimeoutMs bounds the reading of a body that is read whole, in milliseconds.
+	// BodyTimeoutMs is the time limit for reading a request body that is buffered, in
+	// milliseconds.
 	BodyTimeoutMs int `json:"body_timeout_ms" msgpack:"body_timeout_ms"`
 
-	// BufferBodyBytes is the largest request body that is read whole before it is
-	// handed on, in bytes.
+	// BufferBodyBytes is the largest request body that is buffered whole before it is
+	// forwarded, in bytes; larger ones are streamed.
 	BufferBodyBytes int `json:"buffer_body_bytes" msgpack:"buffer_body_bytes"`
 
-	// BufferTotalBytes caps the memory of all request bodies that are read whole, in
-	// bytes; more are refused.
+	// BufferTotalBytes caps the memory of all buffered request bodies, in bytes;
+	// requests beyond it are refused.
 	BufferTotalBytes int `json:"buffer_total_bytes" msgpack:"buffer_total_bytes"`
 
-	// CallerRequestsPerS caps the requests a second from one caller's address; 0 sets
-	// no limit.
+	// CallerRequestsPerS caps the requests per second from one caller's address; 0
+	// sets no limit.
 	CallerRequestsPerS float64 `json:"caller_requests_per_s" msgpack:"caller_requests_per_s"`
 
-	// HeaderTimeoutMs bounds the reading of a request's header in milliseconds.
+	// HeaderTimeoutMs is the time limit for reading a request's header, in
+	// milliseconds.
 	HeaderTimeoutMs int `json:"header_timeout_ms" msgpack:"header_timeout_ms"`
 
-	// Hedging asks a second server when a safe request's answer is later than 95% of
-	// them, within a share of the traffic.
+	// Hedging sends a safe request to a second server when its response takes longer
+	// than 95% of responses, within a share of the traffic.
 	Hedging bool `json:"hedging" msgpack:"hedging"`
 
-	// IdleTimeoutMs closes a caller's idle connection, in milliseconds.
+	// IdleTimeoutMs is how long a caller's connection may be idle before it is
+	// closed, in milliseconds.
 	IdleTimeoutMs int `json:"idle_timeout_ms" msgpack:"idle_timeout_ms"`
 
-	// Limits adapts how much each backend server is given and queues by class when
-	// all are full; without it only max_in_flight of services holds.
+	// Limits enables an adaptive concurrency limit for each backend server, and
+	// queueing by class when all are at their limit; without it only the services'
+	// max_in_flight applies.
 	Limits bool `json:"limits" msgpack:"limits"`
 
-	// MaxConnections caps the callers' connections; more wait to be accepted.
+	// MaxConnections caps the callers' connections; further ones wait to be accepted.
 	MaxConnections int `json:"max_connections" msgpack:"max_connections"`
 
 	// MaxHeaderBytes caps a request's header in bytes.
 	MaxHeaderBytes int `json:"max_header_bytes" msgpack:"max_header_bytes"`
 
-	// Policy chooses among backend servers.
+	// Policy is how a backend server is chosen for a request: p2c, the power of two
+	// choices, or round-robin.
 	Policy GatewaySettingsPolicy `json:"policy" msgpack:"policy"`
 
 	// ProbeIntervalMs is the time between two probes of a backend server, in
 	// milliseconds.
 	ProbeIntervalMs int `json:"probe_interval_ms" msgpack:"probe_interval_ms"`
 
-	// Retries lets requests that may be repeated go to another server after a
-	// failure: within a share of the traffic, always, or never.
+	// Retries is when requests that may be repeated are retried on another server
+	// after a failure: within a share of the traffic (budget), always, or never.
 	Retries GatewaySettingsRetries `json:"retries" msgpack:"retries"`
 
-	// StopNoticeMs is how long a stopping entry goes on taking requests, so that the
-	// balancer sees that it is not ready, in milliseconds.
+	// StopNoticeMs is how long a stopping entry still accepts requests, so that the
+	// load balancer sees that it is not ready, in milliseconds.
 	StopNoticeMs int `json:"stop_notice_ms" msgpack:"stop_notice_ms"`
 }
 
@@ -300,13 +310,14 @@
 	// Accelerators is the number of accelerators for one task.
 	Accelerators int `json:"accelerators" msgpack:"accelerators"`
 
-	// Checkpointable tells that a task can be stopped and go on elsewhere.
+	// Checkpointable reports whether a task can be stopped and resumed on another
+	// worker.
 	Checkpointable bool `json:"checkpointable" msgpack:"checkpointable"`
 
 	// Class corresponds to the JSON schema field "class".
 	Class JobClass `json:"class" msgpack:"class"`
 
-	// Count is how many tasks the job has.
+	// Count is the number of the job's tasks.
 	Count int `json:"count" msgpack:"count"`
 
 	// Cpus is the number of processors declared for one task.
@@ -344,10 +355,11 @@
 const KindWeights Kind = "weights"
 const KindZone Kind = "zone"
 
-// MachinesSettings name the service that lists, moves and restarts VMs.
+// MachinesSettings are the address and the limits of the VM service, which lists,
+// moves and restarts VMs.
 type MachinesSettings struct {
-	// ActionsPerS is how many moves and restarts a second all entries together may
-	// order.
+	// ActionsPerS is the number of moves and restarts per second that all entries
+	// together may order.
 	ActionsPerS float64 `json:"actions_per_s" msgpack:"actions_per_s"`
 
 	// Address is the host:port of the VM service.
@@ -366,9 +378,9 @@
 	TLS *TLS `json:"tls" msgpack:"tls"`
 }
 
-// OwnerNews is an owner row passed on between entries.
+// OwnerNews is an owner row that one entry forwards to another.
 type OwnerNews struct {
-	// Pool names the shard.
+	// Pool identifies the shard.
 	Pool string `json:"pool" msgpack:"pool"`
 
 	// Row is the encoded owner row.
@@ -378,32 +390,33 @@
 	Version int `json:"version" msgpack:"version"`
 }
 
-// PeerHello opens a link and proves the peer.
+// PeerHello opens a connection between entries and authenticates its sender.
 type PeerHello struct {
 	// Nonce is a fresh random value of the sender.
 	Nonce string `json:"nonce" msgpack:"nonce"`
 
-	// Proof is the HMAC-SHA256 of the other side's nonce under the shared secret, in
-	// hex; empty before one is known.
+	// Proof is the HMAC-SHA256 of the sender's role and both nonces under the shared
+	// secret, in hex; empty while the other side's nonce is not known.
 	Proof string `json:"proof" msgpack:"proof"`
 
 	// Protocol is the version of the peer protocol.
 	Protocol int `json:"protocol" msgpack:"protocol"`
 }
 
-// PeerListener takes links from the other entries.
+// PeerListener accepts connections from the other entries.
 type PeerListener struct {
 	// Address is the host:port to listen at.
 	Address string `json:"address" msgpack:"address"`
 
-	// Advertise is the host:port at which other entries reach this one; empty is the
+	// Advertise is the host:port at which other entries reach this one; empty for the
 	// listening address.
 	Advertise string `json:"advertise" msgpack:"advertise"`
 
-	// Secret is shared by all entries of a deployment and proves a peer on each link.
+	// Secret is shared by all entries of a deployment and authenticates the peer on
+	// each connection.
 	Secret string `json:"secret" msgpack:"secret"`
 
-	// Seeds are peer addresses to try beside those on the platform's VM list.
+	// Seeds are peer addresses to connect to besides those on the platform's VM list.
 	Seeds []string `json:"seeds" msgpack:"seeds"`
 
 	// TLS corresponds to the JSON schema field "tls".
@@ -412,26 +425,26 @@
 
 // PeerReply answers a PeerRequest.
 type PeerReply struct {
-	// Entries are log entries after the asker's revision, in order.
+	// Entries are log entries after the requester's revision, in order.
 	Entries []Entry `json:"entries" msgpack:"entries"`
 
 	// From corresponds to the JSON schema field "from".
 	From PeerState `json:"from" msgpack:"from"`
 
-	// InFlight answers each asked VM in the order of asking.
+	// InFlight has the count for each VM in the request's drains, in the same order.
 	InFlight []VMInFlight `json:"in_flight" msgpack:"in_flight"`
 
 	// Snapshot corresponds to the JSON schema field "snapshot".
 	Snapshot *PeerSnapshot `json:"snapshot" msgpack:"snapshot"`
 }
 
-// PeerRequest is a question from one entry to another.
+// PeerRequest sends an entry's state and log entries to another entry and asks for
+// its own.
 type PeerRequest struct {
-	// Drains are the VMs whose requests in flight the sender asks for.
+	// Drains are the VMs for which the sender asks how many requests are in flight.
 	Drains []string `json:"drains" msgpack:"drains"`
 
-	// Entries are log entries that the sender believes the other side lacks, in
-	// order.
+	// Entries are log entries that the receiver is believed to lack, in order.
 	Entries []Entry `json:"entries" msgpack:"entries"`
 
 	// From corresponds to the JSON schema field "from".
@@ -453,7 +466,7 @@
 	Version int `json:"version" msgpack:"version"`
 }
 
-// PeerSnapshot is a whole table, sent when the asker is too far behind for log
+// PeerSnapshot is a whole table, sent when the requester is too far behind for log
 // entries.
 type PeerSnapshot struct {
 	// Revision is the table's revision.
@@ -463,25 +476,26 @@
 	Rows []PeerRow `json:"rows" msgpack:"rows"`
 }
 
-// PeerState is what one entry says of itself.
+// PeerState is the state that an entry reports of itself.
 type PeerState struct {
 	// Address is the entry's peer address.
 	Address string `json:"address" msgpack:"address"`
 
-	// Ended tells that the entry has nothing in flight and takes nothing more: its
-	// last word.
+	// Ended reports whether the entry has no request in flight and accepts no more;
+	// it is set in the last state that an entry sends.
 	Ended bool `json:"ended" msgpack:"ended"`
 
-	// Incarnation tells apart processes with one name; a later one is higher.
+	// Incarnation distinguishes successive processes of one entry; a later one is
+	// higher.
 	Incarnation int `json:"incarnation" msgpack:"incarnation"`
 
 	// Name is the entry's name.
 	Name string `json:"name" msgpack:"name"`
 
-	// Revision is the table revision in force at the entry.
+	// Revision is the entry's table revision.
 	Revision int `json:"revision" msgpack:"revision"`
 
-	// Stopping tells that the entry is in a planned stop.
+	// Stopping reports whether the entry is in a planned stop.
 	Stopping bool `json:"stopping" msgpack:"stopping"`
 
 	// Zone is the entry's availability zone.
@@ -496,12 +510,12 @@
 const PhaseDraining Phase = "draining"
 const PhaseRebooting Phase = "rebooting"
 
-// PlatformSettings tell how to reach the platform.
+// PlatformSettings are the platform's address and the timeout of calls to it.
 type PlatformSettings struct {
-	// TimeoutMs bounds one call in milliseconds.
+	// TimeoutMs is the timeout of one call, in milliseconds.
 	TimeoutMs int `json:"timeout_ms" msgpack:"timeout_ms"`
 
-	// URL is the base of the platform's HTTP interface.
+	// URL is the base URL of the platform's HTTP API.
 	URL string `json:"url" msgpack:"url"`
 }
 
@@ -514,7 +528,7 @@
 	// Service is the name of the service that the pool's VMs serve.
 	Service string `json:"service" msgpack:"service"`
 
-	// Size is how many VMs the pool should have.
+	// Size is the number of VMs that the pool should have.
 	Size int `json:"size" msgpack:"size"`
 }
 
@@ -539,8 +553,8 @@
 	// Class corresponds to the JSON schema field "class".
 	Class Class `json:"class" msgpack:"class"`
 
-	// DeadlineMs bounds the whole exchange in milliseconds; for a live route, only
-	// the wait for the answer's first byte.
+	// DeadlineMs is the time limit for the whole exchange, in milliseconds; for a
+	// live route, only for the first byte of the response.
 	DeadlineMs int `json:"deadline_ms" msgpack:"deadline_ms"`
 
 	// MaxBodyBytes is the largest request body in bytes; for a live route, which
@@ -550,22 +564,23 @@
 	// MaxInFlight caps the requests of this route in flight at one entry.
 	MaxInFlight int `json:"max_in_flight" msgpack:"max_in_flight"`
 
-	// Method is the HTTP method that the route takes; empty takes all.
+	// Method is the HTTP method that the route matches; empty matches all.
 	Method string `json:"method" msgpack:"method"`
 
-	// PathPrefix selects requests; the longest one that matches wins.
+	// PathPrefix is the path prefix that the route matches; the longest match is
+	// used.
 	PathPrefix string `json:"path_prefix" msgpack:"path_prefix"`
 
 	// Repeat corresponds to the JSON schema field "repeat".
 	Repeat Repeat `json:"repeat" msgpack:"repeat"`
 
-	// Service is the name of the service that answers.
+	// Service is the name of the service that handles the requests.
 	Service string `json:"service" msgpack:"service"`
 }
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
-	// HealthPath is the path of the backend server's own health report.
+	// HealthPath is the path at which the backend server reports its own health.
 	HealthPath string `json:"health_path" msgpack:"health_path"`
 
 	// MaxInFlight caps the requests that one entry has in flight to one backend
@@ -573,20 +588,21 @@
 	MaxInFlight int `json:"max_in_flight" msgpack:"max_in_flight"`
 }
 
-// ServiceSettings are what one entry of the job service is told at its start.
+// ServiceSettings are the settings of one entry of the job service, read at its
+// start.
 type ServiceSettings struct {
 	// Address is the IP address at which other entries reach this one.
 	Address string `json:"address" msgpack:"address"`
 
-	// Advice is the host:port of the service that says which workers may run a step;
-	// empty when there is none.
+	// Advice is the host:port of the advice service, which permits steps to run on
+	// workers; empty if there is none.
 	Advice string `json:"advice" msgpack:"advice"`
 
-	// Callers is the host:port at which callers hand in jobs.
+	// Callers is the host:port at which callers submit jobs.
 	Callers string `json:"callers" msgpack:"callers"`
 
-	// CPUShare is the share of a processor that the process gets; entries with more
-	// own more.
+	// CPUShare is the share of a processor that the process gets, 1 for a whole one;
+	// entries with a larger share own more shards.
 	CpuShare float64 `json:"cpu_share" msgpack:"cpu_share"`
 
 	// LogLevel is the least severe level that is logged.
@@ -595,17 +611,18 @@
 	// Machines corresponds to the JSON schema field "machines".
 	Machines MachinesSettings `json:"machines" msgpack:"machines"`
 
-	// MemoryMb is the most memory the process may use, in MB.
+	// MemoryMb is the memory limit of the process, in MB.
 	MemoryMb int `json:"memory_mb" msgpack:"memory_mb"`
 
 	// Name identifies the entry; it stays when the process restarts.
 	Name string `json:"name" msgpack:"name"`
 
-	// Ports are the first and the last port that entries may use between themselves.
+	// Ports are the first and the last port of the range for connections between
+	// entries.
 	Ports []int `json:"ports" msgpack:"ports"`
 
-	// Readiness is the host:port at which the balancer asks whether the entry takes
-	// calls.
+	// Readiness is the host:port at which the load balancer checks whether the entry
+	// accepts requests.
 	Readiness string `json:"readiness" msgpack:"readiness"`
 
 	// Store corresponds to the JSON schema field "store".
@@ -625,7 +642,7 @@
 const ServiceSettingsLogLevelInfo ServiceSettingsLogLevel = "info"
 const ServiceSettingsLogLevelWarn ServiceSettingsLogLevel = "warn"
 
-// Settings are what one entry daemon is told at its start.
+// Settings are the settings of one entry daemon, read at its start.
 type Settings struct {
 	// Callers corresponds to the JSON schema field "callers".
 	Callers CallerListener `json:"callers" msgpack:"callers"`
@@ -662,23 +679,24 @@
 const SettingsLogLevelInfo SettingsLogLevel = "info"
 const SettingsLogLevelWarn SettingsLogLevel = "warn"
 
-// StoreSettings name the table service and its limits.
+// StoreSettings are the address and the limits of the table service.
 type StoreSettings struct {
 	// Address is the host:port of the table service.
 	Address string `json:"address" msgpack:"address"`
 
-	// PartitionWritesPerS is how many transactions a second one partition takes.
+	// PartitionWritesPerS is the number of transactions per second that one partition
+	// accepts.
 	PartitionWritesPerS float64 `json:"partition_writes_per_s" msgpack:"partition_writes_per_s"`
 
-	// RowBytes is the longest value that a row may have, in bytes.
+	// RowBytes is the maximum size of a row's value, in bytes.
 	RowBytes int `json:"row_bytes" msgpack:"row_bytes"`
 }
 
-// TLS names the files of a listener's certificate; they are read again when they
+// TLS names the files of a listener's certificate; they are reloaded when they
 // change.
 type TLS struct {
-	// CAFile is the PEM file of the authorities that peers' certificates must come
-	// from; only for the peer listener.
+	// CAFile is the PEM file of the authorities that must have issued peers'
+	// certificates; only for the peer listener.
 	CAFile string `json:"ca_file" msgpack:"ca_file"`
 
 	// CertFile is the PEM file of the certificate chain.
@@ -699,38 +717,39 @@
 	// QuotaMemoryMb is the memory the team may use, in MB.
 	QuotaMemoryMb int `json:"quota_memory_mb" msgpack:"quota_memory_mb"`
 
-	// RequestsPerS caps the requests a second that one entry takes from the team, by
-	// the header Gannetwell-Team; 0 sets no limit.
+	// RequestsPerS caps the requests per second that one entry accepts from the team,
+	// identified by the header Gannetwell-Team; 0 sets no limit.
 	RequestsPerS float64 `json:"requests_per_s" msgpack:"requests_per_s"`
 
-	// Weight is the team's share where teams compete.
+	// Weight is the team's relative share when teams compete.
 	Weight float64 `json:"weight" msgpack:"weight"`
 }
 
-// TimingSettings are the bounds that the deployment has been promised.
+// TimingSettings are the timing bounds that the platform guarantees to the
+// deployment.
 type TimingSettings struct {
-	// DataRackFactor is how many times longer a task takes away from the rack of its
-	// data.
+	// DataRackFactor is how many times longer a task takes outside the rack that
+	// holds its data.
 	DataRackFactor float64 `json:"data_rack_factor" msgpack:"data_rack_factor"`
 
-	// DrainMs is how long a worker that is leaving may still get tasks, in
+	// DrainMs is how long a draining worker may still be given tasks, in
 	// milliseconds.
 	DrainMs int `json:"drain_ms" msgpack:"drain_ms"`
 
-	// EarlyMs is how long before its time a scheduled task may start, in
+	// EarlyMs is how long before its scheduled time a task may start, in
 	// milliseconds.
 	EarlyMs int `json:"early_ms" msgpack:"early_ms"`
 
-	// GraceS is the time in seconds between the signal to stop and the end of the
-	// process.
+	// GraceS is the grace period between the stop signal and the end of the process,
+	// in seconds.
 	GraceS float64 `json:"grace_s" msgpack:"grace_s"`
 
-	// HarmMs is how long a serving task may miss its target before it counts, in
-	// milliseconds.
+	// HarmMs is how long a serving task may miss its target before the miss is
+	// counted, in milliseconds.
 	HarmMs int `json:"harm_ms" msgpack:"harm_ms"`
 
-	// LeaseMs is how long orders to one VM must not come from another entry after the
-	// last, in milliseconds.
+	// LeaseMs is the time after an order to a VM during which no other entry may send
+	// orders to that VM, in milliseconds.
 	LeaseMs int `json:"lease_ms" msgpack:"lease_ms"`
 
 	// MaintenanceS is how long a VM's maintenance takes, in seconds.
@@ -742,20 +761,20 @@
 	// MoveS is how long a VM's move between pools takes, in seconds.
 	MoveS float64 `json:"move_s" msgpack:"move_s"`
 
-	// NoticeMs is how long a long-running task may be away before it counts as
+	// NoticeMs is how long a long-running task may be down before it counts as
 	// missing, in milliseconds.
 	NoticeMs int `json:"notice_ms" msgpack:"notice_ms"`
 
-	// RetentionS is how long a finished job can be asked for, in seconds.
+	// RetentionS is how long the state of a finished job can be queried, in seconds.
 	RetentionS float64 `json:"retention_s" msgpack:"retention_s"`
 
-	// StopMs is the longest time a task takes to end after it was told to, in
-	// milliseconds.
+	// StopMs is the maximum time that a task takes to end after it was told to stop,
+	// in milliseconds.
 	StopMs int `json:"stop_ms" msgpack:"stop_ms"`
 }
 
-// VM is one worker; the columns from phase on are written by control, not by
-// operators.
+// VM is one worker; the columns from phase on are written by the control loop, not
+// by operators.
 type VM struct {
 	// Address is the host:port at which the VM's backend server takes requests.
 	Address string `json:"address" msgpack:"address"`
@@ -770,8 +789,8 @@
 	// operation once.
 	Operation string `json:"operation" msgpack:"operation"`
 
-	// OperationBoot is the VM's count of boots that the operation starts from; the
-	// platform refuses the operation at any other.
+	// OperationBoot is the VM's boot count when the operation starts; the platform
+	// refuses the operation at any other count.
 	OperationBoot int `json:"operation_boot" msgpack:"operation_boot"`
 
 	// Phase corresponds to the JSON schema field "phase".
@@ -780,17 +799,18 @@
 	// PhaseSinceMs is when the phase began, in Unix milliseconds.
 	PhaseSinceMs int `json:"phase_since_ms" msgpack:"phase_since_ms"`
 
-	// Pool is the name of the one pool that has the VM; empty is the shared buffer.
+	// Pool is the name of the one pool that the VM belongs to; empty for the shared
+	// buffer of spare VMs.
 	Pool string `json:"pool" msgpack:"pool"`
 
 	// Rack is the name of the VM's rack row.
 	Rack string `json:"rack" msgpack:"rack"`
 
-	// Wave is the name of the wave that the VM is in now.
+	// Wave is the name of the wave that the VM currently takes part in.
 	Wave string `json:"wave" msgpack:"wave"`
 }
 
-// VMInFlight is how many requests an entry has in flight to a VM.
+// VMInFlight is the number of requests that an entry has in flight to a VM.
 type VMInFlight struct {
 	// Count is the number of requests.
 	Count int `json:"count" msgpack:"count"`
@@ -801,18 +821,18 @@
 
 // Wave maintains every VM of some pools once.
 type Wave struct {
-	// FinishedAtMs is when the last VM returned, in Unix milliseconds.
+	// FinishedAtMs is when the last VM returned to service, in Unix milliseconds.
 	FinishedAtMs int `json:"finished_at_ms" msgpack:"finished_at_ms"`
 
-	// MaxParallel caps the VMs in maintenance at once over all pools; 0 leaves it to
-	// the budgets.
+	// MaxParallel caps the VMs in maintenance at once over all pools; 0 sets no limit
+	// besides the availability budgets.
 	MaxParallel int `json:"max_parallel" msgpack:"max_parallel"`
 
-	// Pools are the names of the pools to maintain; none means all of them and the
-	// buffer.
+	// Pools are the names of the pools to maintain; empty for all pools and the
+	// shared buffer.
 	Pools []string `json:"pools" msgpack:"pools"`
 
-	// StartedAtMs is when control took the wave up, in Unix milliseconds.
+	// StartedAtMs is when the control loop started the wave, in Unix milliseconds.
 	StartedAtMs int `json:"started_at_ms" msgpack:"started_at_ms"`
 
 	// State corresponds to the JSON schema field "state".
@@ -827,16 +847,16 @@
 const WaveStatePlanned WaveState = "planned"
 const WaveStateRunning WaveState = "running"
 
-// Weights weigh the three measures against each other when control ranks what to
-// do.
+// Weights are the relative weights of three costs by which the control loop ranks
+// possible actions.
 type Weights struct {
-	// BufferCost weighs spare capacity.
+	// BufferCost is the weight of spare capacity.
 	BufferCost float64 `json:"buffer_cost" msgpack:"buffer_cost"`
 
-	// Moves weighs changes of place of VMs and jobs.
+	// Moves is the weight of moves of VMs and jobs.
 	Moves float64 `json:"moves" msgpack:"moves"`
 
-	// RollOutTime weighs how long a wave takes.
+	// RollOutTime is the weight of a wave's duration.
 	RollOutTime float64 `json:"roll_out_time" msgpack:"roll_out_time"`
 }
 
--- a/schema/embed.go
+++ b/schema/embed.go
@@ -1,7 +1,8 @@
-// Package schema embeds the JSON Schemas of settings, table rows and messages.
+// Package schema embeds the JSON Schemas of settings, table rows, messages between entries and the
+// operators' API.
 //
-// The Go types in pkg/schema are generated from the same files, so that what
-// is checked and what is decoded cannot drift apart.
+// The Go types in pkg/schema and service/api are generated from the same files, so validation and
+// decoding use the same definitions.
 package schema
 
 import "embed"
--- a/service/api/types.go
+++ b/service/api/types.go
@@ -4,61 +4,60 @@
 
 import "encoding/json"
 
-// AccountInPool tells what an account has in one pool, in parts of its limit.
+// AccountInPool is an account's usage in one pool, in fractions of its limit.
 type AccountInPool struct {
-	// Bound tells that the shard keeps to shares of limits.
+	// Bound reports whether the shard enforces its accounts' shares.
 	Bound bool `json:"bound"`
 
-	// Pool names the shard.
+	// Pool identifies the shard.
 	Pool string `json:"pool"`
 
-	// Running is what runs or may run.
+	// Running is the usage of tasks that run or may be running.
 	Running float64 `json:"running"`
 
-	// Share is what may run there.
+	// Share is the fraction of the limit that may run in the pool.
 	Share float64 `json:"share"`
 
-	// Wanted is that and what waits.
+	// Wanted is Running plus the demand of waiting tasks.
 	Wanted float64 `json:"wanted"`
 }
 
-// AccountStatus tells what a client account has been promised and what it has
-// running.
+// AccountStatus is the limits and the usage of a client account.
 type AccountStatus struct {
-	// CPU is its limit in thousandths of a core, 0 for none.
+	// CPU is the account's limit in thousandths of a core, 0 for no limit.
 	Cpu int `json:"cpu"`
 
-	// GPU is its limit of accelerators, 0 for none.
+	// GPU is the account's limit on accelerators, 0 for no limit.
 	Gpu int `json:"gpu"`
 
-	// Keys are fingerprints of its keys.
+	// Keys are the fingerprints of the account's keys.
 	Keys []string `json:"keys"`
 
-	// MemoryMb is its limit in MB, 0 for none.
+	// MemoryMb is the account's memory limit in MB, 0 for no limit.
 	MemoryMb int `json:"memory_mb"`
 
-	// Name is the account's, which stays when its keys change.
+	// Name is the account's name, which stays when its keys change.
 	Name string `json:"name"`
 
-	// Pools tells of the shards that have answered.
+	// Pools is the usage in each pool whose shard owner has answered.
 	Pools []AccountInPool `json:"pools"`
 
-	// Weight is how many jobs a second it has been promised.
+	// Weight is the promised rate in jobs per second.
 	Weight float64 `json:"weight"`
 }
 
-// Accounts is the answer to GET /v1/accounts.
+// Accounts is the response to GET /v1/accounts.
 type Accounts struct {
-	// Accounts are all client accounts, by name.
+	// Accounts are all client accounts, sorted by name.
 	Accounts []AccountStatus `json:"accounts"`
 
-	// CatalogVersion is the version of the configuration at the entry that was asked.
+	// CatalogVersion is the version of the configuration at the responding entry.
 	CatalogVersion int `json:"catalog_version"`
 }
 
-// Audit is the answer to GET /v1/audit, the newest entry first.
+// Audit is the response to GET /v1/audit, newest entry first.
 type Audit struct {
-	// Complete tells that the whole trail was searched or the limit was reached.
+	// Complete reports whether the whole trail was searched or the limit was reached.
 	Complete bool `json:"complete"`
 
 	// Entries are the edits that match.
@@ -73,7 +72,7 @@
 	// Before is the row before, null for none.
 	Before json.RawMessage `json:"before"`
 
-	// Kind is the kind of row.
+	// Kind is the row's kind.
 	Kind string `json:"kind"`
 
 	// Name is the row's name.
@@ -82,109 +81,111 @@
 
 // AuditEntry is one accepted edit.
 type AuditEntry struct {
-	// Actor is who or what made it.
+	// Actor is the operator or the component that made the edit.
 	Actor string `json:"actor"`
 
-	// AtMs is when, in Unix milliseconds.
+	// AtMs is when the edit was made, in Unix milliseconds.
 	AtMs int `json:"at_ms"`
 
-	// Changes are the rows.
+	// Changes are the rows that changed.
 	Changes []AuditChange `json:"changes"`
 
 	// EditID identifies the edit.
 	EditID string `json:"edit_id"`
 
-	// Evidence says what the reason rests on.
+	// Evidence is what the reason is based on.
 	Evidence string `json:"evidence"`
 
-	// Reason says why.
+	// Reason is why the edit was made.
 	Reason string `json:"reason"`
 
-	// Revision is the table's revision with the edit.
+	// Revision is the table revision that the edit produced.
 	Revision int `json:"revision"`
 }
 
-// Conflict is a row that changed after it was seen.
+// Conflict is a row that changed after the version that the edit is based on.
 type Conflict struct {
-	// Kind is the kind of row.
+	// Kind is the row's kind.
 	Kind string `json:"kind"`
 
 	// Name is the row's name.
 	Name string `json:"name"`
 
-	// Seen is the version that the edit was made on.
+	// Seen is the row's version that the edit is based on.
 	Seen int `json:"seen"`
 
-	// Theirs is the row now.
+	// Theirs is the current row.
 	Theirs json.RawMessage `json:"theirs"`
 
-	// Version is the row's version now.
+	// Version is the row's current version.
 	Version int `json:"version"`
 
-	// Yours is the row that the edit asked for.
+	// Yours is the row as the edit would have set it.
 	Yours json.RawMessage `json:"yours"`
 }
 
 // EditRequest is the body of POST /v1/edits.
 type EditRequest struct {
-	// Changes are made together or not at all.
+	// Changes are the row changes, applied all or none.
 	Changes []RowChange `json:"changes"`
 
-	// ID is chosen by the client; the same edit may be sent again with the same ID.
+	// ID is chosen by the client, which may retry the same edit with the same ID.
 	ID string `json:"id"`
 
-	// Reason is kept in the audit trail.
+	// Reason is why the edit is made; it is kept in the audit trail.
 	Reason string `json:"reason"`
 }
 
-// EditResult is the answer to an accepted edit.
+// EditResult is the response to an accepted edit.
 type EditResult struct {
 	// EditID is the edit's ID.
 	EditID string `json:"edit_id"`
 
-	// Revision is the table's revision with the edit.
+	// Revision is the table revision that the edit produced.
 	Revision int `json:"revision"`
 }
 
-// EntryStatus is what is known of one entry.
+// EntryStatus is the last known state of one entry.
 type EntryStatus struct {
 	// Address is the entry's peer address.
 	Address string `json:"address"`
 
-	// HeardMsAgo is the age of this word in milliseconds, -1 for never.
+	// HeardMsAgo is the age of this state in milliseconds, -1 if the entry was never
+	// heard from.
 	HeardMsAgo int `json:"heard_ms_ago"`
 
-	// Incarnation tells apart processes with one name.
+	// Incarnation distinguishes successive processes of one entry.
 	Incarnation int `json:"incarnation"`
 
-	// Name is the entry's name, empty until it was heard.
+	// Name is the entry's name, empty until the entry was first heard from.
 	Name string `json:"name"`
 
-	// Reached tells that the last exchange with it succeeded.
+	// Reached reports whether the last exchange with the entry succeeded.
 	Reached bool `json:"reached"`
 
-	// Revision is the table revision in force there.
+	// Revision is the entry's table revision.
 	Revision int `json:"revision"`
 
-	// Stopping tells that it is in a planned stop.
+	// Stopping reports whether the entry is in a planned stop.
 	Stopping bool `json:"stopping"`
 
 	// Zone is the entry's availability zone.
 	Zone string `json:"zone"`
 }
 
-// Error is the body of every answer that is not a success.
+// Error is the body of every response that is not a success.
 type Error struct {
 	// Code corresponds to the JSON schema field "code".
 	Code ErrorCode `json:"code"`
 
-	// Conflicts are the rows that changed after they were seen.
+	// Conflicts are the rows that changed after the versions that the edit is based
+	// on.
 	Conflicts []Conflict `json:"conflicts"`
 
 	// Message says what went wrong.
 	Message string `json:"message"`
 
-	// Problems are the faults of a rejected edit.
+	// Problems are the validation errors of a rejected edit.
 	Problems []Problem `json:"problems"`
 }
 
@@ -200,39 +201,39 @@
 const ErrorCodeUnauthorized ErrorCode = "unauthorized"
 const ErrorCodeUnknown ErrorCode = "unknown"
 
-// Explanation is the answer to GET /v1/explain/KIND/NAME.
+// Explanation is the response to GET /v1/explain/KIND/NAME.
 type Explanation struct {
-	// Sentences tell where the thing is, why, and what it waits for.
+	// Sentences explain where the named object is, why, and what it waits for.
 	Sentences []string `json:"sentences"`
 }
 
-// JobStatus is the answer to GET /v1/jobs/QUEUE/ID.
+// JobStatus is the response to GET /v1/jobs/QUEUE/ID.
 type JobStatus struct {
-	// ID is the job's.
+	// ID is the job's ID.
 	ID string `json:"id"`
 
-	// Outcome is ok, not_found, or refused when it could not be found out.
+	// Outcome is ok, not_found, or refused if the state could not be determined.
 	Outcome string `json:"outcome"`
 
 	// Owner is the entry that owns the pool's shard.
 	Owner string `json:"owner"`
 
-	// Pool runs the queue's tasks.
+	// Pool is the pool that runs the queue's tasks.
 	Pool string `json:"pool"`
 
-	// Queue took the job.
+	// Queue is the job's queue.
 	Queue string `json:"queue"`
 
-	// State is what callers are told, empty unless the outcome is ok.
+	// State is the job's state as callers see it, empty unless the outcome is ok.
 	State string `json:"state"`
 }
 
-// Problem is one fault of a row.
+// Problem is one validation error of a row.
 type Problem struct {
-	// Column is the faulty column, empty for the row.
+	// Column is the invalid column, empty if the error concerns the whole row.
 	Column string `json:"column"`
 
-	// Kind is the kind of row.
+	// Kind is the row's kind.
 	Kind string `json:"kind"`
 
 	// Message says what is wrong.
@@ -244,91 +245,91 @@
 
 // Row is one row of the table.
 type Row struct {
-	// Kind is the kind of row.
+	// Kind is the row's kind.
 	Kind string `json:"kind"`
 
 	// Name is the row's name.
 	Name string `json:"name"`
 
-	// Value is the row.
+	// Value is the row as JSON.
 	Value json.RawMessage `json:"value"`
 
 	// Version is the revision that last changed the row.
 	Version int `json:"version"`
 }
 
-// RowChange asks for a row to have a value.
+// RowChange sets or removes one row.
 type RowChange struct {
-	// Kind is the kind of row.
+	// Kind is the row's kind.
 	Kind string `json:"kind"`
 
 	// Name is the row's name.
 	Name string `json:"name"`
 
-	// Seen is the version that the operator saw, 0 for no row.
+	// Seen is the row's version that the change is based on, 0 if there was no row.
 	Seen int `json:"seen"`
 
-	// Value is the row; null removes it.
+	// Value is the new row as JSON; null removes the row.
 	Value json.RawMessage `json:"value"`
 }
 
-// Rows is the answer to GET /v1/rows.
+// Rows is the response to GET /v1/rows.
 type Rows struct {
 	// Revision is the table's revision.
 	Revision int `json:"revision"`
 
-	// Rows are the rows asked for.
+	// Rows are the requested rows.
 	Rows []Row `json:"rows"`
 }
 
-// ShardStatus tells who owns the jobs and workers of a pool, and how busy they
-// are.
+// ShardStatus is the owner and the load of a shard: the jobs and workers of a
+// pool.
 type ShardStatus struct {
-	// CPU is what the workers have, in thousandths of a core.
+	// CPU is the capacity of those workers, in thousandths of a core.
 	Cpu int `json:"cpu"`
 
-	// CPUUsed is taken by tasks, in thousandths of a core.
+	// CPUUsed is used by tasks, in thousandths of a core.
 	CpuUsed int `json:"cpu_used"`
 
-	// CPUWaiting is asked for by tasks that could start if there were room, in
-	// thousandths of a core.
+	// CPUWaiting is requested by tasks that wait only for capacity, in thousandths of
+	// a core.
 	CpuWaiting int `json:"cpu_waiting"`
 
-	// Loaded tells that the owner has said how busy the shard is; the figures are 0
-	// otherwise.
+	// Loaded reports whether the owner has reported the load; if not, the figures
+	// below are 0.
 	Loaded bool `json:"loaded"`
 
 	// Owner is the entry that owns it, empty for none.
 	Owner string `json:"owner"`
 
-	// Pool names the shard.
+	// Pool identifies the shard.
 	Pool string `json:"pool"`
 
-	// TasksWaiting could start if there were room.
+	// TasksWaiting is the number of tasks that wait only for capacity.
 	TasksWaiting int `json:"tasks_waiting"`
 
-	// Term counts the takeovers.
+	// Term is the ownership term, incremented by each takeover.
 	Term int `json:"term"`
 
-	// Workers may get tasks.
+	// Workers is the number of workers that may be given tasks.
 	Workers int `json:"workers"`
 }
 
-// Shards is the answer to GET /v1/shards.
+// Shards is the response to GET /v1/shards.
 type Shards struct {
-	// Shards are all shards, by pool.
+	// Shards are all shards, sorted by pool.
 	Shards []ShardStatus `json:"shards"`
 }
 
-// Status is the answer to GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
-	// Active is the number of requests in flight here.
+	// Active is the number of requests in flight at this entry.
 	Active int `json:"active"`
 
-	// Entries are this entry, first, and its peers.
+	// Entries are this entry, listed first, and its peers.
 	Entries []EntryStatus `json:"entries"`
 
-	// Ready tells that this entry takes requests.
+	// Ready reports whether this entry accepts requests.
 	Ready bool `json:"ready"`
 
 	// StoreError is the last error of the table service, empty when it answers.
@@ -338,26 +339,28 @@
 	VMListAgeMs int `json:"vm_list_age_ms"`
 }
 
-// ZoneStatus tells of an availability zone that the operator has taken out of use.
+// ZoneStatus is the state of an availability zone that the operator has taken out
+// of use.
 type ZoneStatus struct {
-	// Complete tells that the owners of all pools have answered.
+	// Complete reports whether the owners of all pools have answered.
 	Complete bool `json:"complete"`
 
-	// OutForS is for how long the entry that was asked has known of it, in seconds.
+	// OutForS is how long the responding entry has known that the zone is out of use,
+	// in seconds.
 	OutForS float64 `json:"out_for_s"`
 
-	// Tasks run there still.
+	// Tasks is the number of tasks that still run in the zone.
 	Tasks int `json:"tasks"`
 
-	// Workers are there that get no tasks.
+	// Workers is the number of workers in the zone, which are given no tasks.
 	Workers int `json:"workers"`
 
-	// Zone names it.
+	// Zone is the zone's name.
 	Zone string `json:"zone"`
 }
 
-// Zones is the answer to GET /v1/zones.
+// Zones is the response to GET /v1/zones.
 type Zones struct {
-	// Zones are those out of use, by name.
+	// Zones are the zones out of use, sorted by name.
 	Zones []ZoneStatus `json:"zones"`
 }
