--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -40,23 +40,23 @@
 // early reports whether the worker was lost right after the start, or during a trial.
 func (l Loss) early() bool { return l.Trial || l.Ran < earlyLossWindow }
 
-// Verdict tells where a task may be started.
-type Verdict string
+// Restriction tells where a task may be started.
+type Restriction string
 
 // The verdicts.
 const (
-	Clear   Verdict = "clear"    // on any worker
-	Watched Verdict = "watched"  // on a worker without another watched task
-	OnTrial Verdict = "on_trial" // on a worker where nothing else starts
-	Held    Verdict = "held"     // nowhere until it is known whether the lost workers have ended
-	Poison  Verdict = "guilty"   // nowhere; its job fails
+	Clear   Restriction = "clear"    // on any worker
+	Watched Restriction = "watched"  // on a worker without another watched task
+	OnTrial Restriction = "on_trial" // on a worker where nothing else starts
+	Held    Restriction = "held"     // nowhere until it is known whether the lost workers have ended
+	Poison  Restriction = "guilty"   // nowhere; its job fails
 )
 
 // severity lists the verdicts from the least to the most restrictive.
-var severity = []Verdict{Clear, Watched, OnTrial, Held, Poison}
+var severity = []Restriction{Clear, Watched, OnTrial, Held, Poison}
 
 // Worse returns the more restrictive of two verdicts.
-func Worse(a, b Verdict) Verdict {
+func Worse(a, b Restriction) Restriction {
 	if slices.Index(severity, b) > slices.Index(severity, a) {
 		return b
 	}
@@ -67,7 +67,7 @@
 type Losses []Loss
 
 // Verdict returns where the task may be started.
-func (ls Losses) Verdict() Verdict {
+func (ls Losses) Verdict() Restriction {
 	n, sure, firm, strong, proven := 0, 0, 0, 0, false
 	for _, l := range ls {
 		if l.Provisional {
--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -16,7 +16,7 @@
 	for _, tc := range []struct {
 		name   string
 		losses Losses
-		want   Verdict
+		want   Restriction
 	}{
 		{"none", nil, Clear},
 		{"one", Losses{shared}, Watched},
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -10,14 +10,14 @@
 }
 
 // Verdict returns how the task may be started, given the workers that were lost while running it.
-func (t *Task) Verdict() blame.Verdict { return t.Losses.Verdict() }
+func (t *Task) Verdict() blame.Restriction { return t.Losses.Verdict() }
 
 // Suspect reports whether the task is restricted in where it may start.
 func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Verdict() != blame.Clear }
 
 // Verdict returns how the step's tasks may be started together: the most restrictive verdict of
 // its tasks.
-func (s *StepRun) Verdict() blame.Verdict {
+func (s *StepRun) Verdict() blame.Restriction {
 	worst := blame.Clear
 	for _, t := range s.Tasks {
 		worst = blame.Worse(worst, t.Verdict())
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -16,7 +16,7 @@
 	for _, tc := range []struct {
 		name          string
 		first, second blame.Losses
-		want          blame.Verdict
+		want          blame.Restriction
 	}{
 		{"none", nil, nil, blame.Clear},
 		{"one soon after its start", nil, blame.Losses{soon}, blame.Watched},
