--- a/pkg/blame/bench_test.go
+++ b/pkg/blame/bench_test.go
@@ -15,7 +15,7 @@
 	for i := range b.N {
 		for k, counted := range Counted(attempts) {
 			if counted {
-				_ = Losses{}.With(Loss{Attempt: int64(i), Boot: "boot", Ran: attempts[k].Ran}).Verdict()
+				_ = Losses{}.With(Loss{Attempt: int64(i), Boot: "boot", Ran: attempts[k].Ran}).Restriction()
 			}
 		}
 	}
@@ -27,7 +27,7 @@
 	var ls Losses
 	b.ReportAllocs()
 	for range b.N {
-		if ls.Verdict() != Clear {
+		if ls.Restriction() != Clear {
 			b.Fatal("not clear")
 		}
 	}
--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -66,8 +66,8 @@
 // Losses are the losses counted against a task.
 type Losses []Loss
 
-// Verdict returns where the task may be started.
-func (ls Losses) Verdict() Restriction {
+// Restriction returns where the task may be started.
+func (ls Losses) Restriction() Restriction {
 	n, sure, firm, strong, proven := 0, 0, 0, 0, false
 	for _, l := range ls {
 		if l.Provisional {
--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -39,7 +39,7 @@
 		{"four, the last on trial", Losses{late, late, late, trial}, Poison},
 		{"provisional only", Losses{provisional, provisional}, Clear},
 	} {
-		qt.Check(t, tc.losses.Verdict(), qt.Equals, tc.want, qt.Commentf(tc.name))
+		qt.Check(t, tc.losses.Restriction(), qt.Equals, tc.want, qt.Commentf(tc.name))
 	}
 }
 
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -10,7 +10,7 @@
 }
 
 // Verdict returns how the task may be started, given the workers that were lost while running it.
-func (t *Task) Verdict() blame.Restriction { return t.Losses.Verdict() }
+func (t *Task) Verdict() blame.Restriction { return t.Losses.Restriction() }
 
 // Suspect reports whether the task is restricted in where it may start.
 func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Verdict() != blame.Clear }
