--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -55,8 +55,8 @@
 // severity lists the verdicts from the least to the most restrictive.
 var severity = []Restriction{Clear, Watched, OnTrial, Held, Poison}
 
-// Worse returns the more restrictive of two verdicts.
-func Worse(a, b Restriction) Restriction {
+// Stricter returns the more restrictive of two verdicts.
+func Stricter(a, b Restriction) Restriction {
 	if slices.Index(severity, b) > slices.Index(severity, a) {
 		return b
 	}
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -20,7 +20,7 @@
 func (s *StepRun) Verdict() blame.Restriction {
 	worst := blame.Clear
 	for _, t := range s.Tasks {
-		worst = blame.Worse(worst, t.Verdict())
+		worst = blame.Stricter(worst, t.Verdict())
 	}
 	return worst
 }
