--- a/pkg/blame/bench_test.go
+++ b/pkg/blame/bench_test.go
@@ -27,7 +27,7 @@
 	var ls Losses
 	b.ReportAllocs()
 	for range b.N {
-		if ls.Restriction() != Clear {
+		if ls.Restriction() != Unrestricted {
 			b.Fatal("not clear")
 		}
 	}
--- a/pkg/blame/loss_test.go
+++ b/pkg/blame/loss_test.go
@@ -18,7 +18,7 @@
 		losses Losses
 		want   Restriction
 	}{
-		{"none", nil, Clear},
+		{"none", nil, Unrestricted},
 		{"one", Losses{shared}, Watched},
 		{"two", Losses{shared, shared}, OnTrial},
 		{"the third on trial", Losses{shared, shared, trial}, Poison},
@@ -32,12 +32,12 @@
 		{"a trial after starts that may not have arrived", Losses{undelivered, shared, trial}, OnTrial},
 		{"three that may not have arrived", Losses{undelivered, undelivered, undelivered}, OnTrial},
 		{"four that may not have arrived", Losses{undelivered, undelivered, undelivered, undelivered}, Held},
-		{"one long after its start", Losses{late}, Clear},
+		{"one long after its start", Losses{late}, Unrestricted},
 		{"two long after their starts", Losses{late, late}, Watched},
 		{"one soon, one long after its start", Losses{late, shared}, Watched},
 		{"three long after their starts", Losses{late, late, late}, OnTrial},
 		{"four, the last on trial", Losses{late, late, late, trial}, Poison},
-		{"provisional only", Losses{provisional, provisional}, Clear},
+		{"provisional only", Losses{provisional, provisional}, Unrestricted},
 	} {
 		qt.Check(t, tc.losses.Restriction(), qt.Equals, tc.want, qt.Commentf(tc.name))
 	}
--- a/pkg/jobs/evidence.go
+++ b/pkg/jobs/evidence.go
@@ -13,12 +13,12 @@
 func (t *Task) Verdict() blame.Restriction { return t.Losses.Restriction() }
 
 // Suspect reports whether the task is restricted in where it may start.
-func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Verdict() != blame.Clear }
+func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Verdict() != blame.Unrestricted }
 
 // Verdict returns how the step's tasks may be started together: the most restrictive verdict of
 // its tasks.
 func (s *StepRun) Verdict() blame.Restriction {
-	worst := blame.Clear
+	worst := blame.Unrestricted
 	for _, t := range s.Tasks {
 		worst = blame.Stricter(worst, t.Verdict())
 	}
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -18,7 +18,7 @@
 		first, second blame.Losses
 		want          blame.Restriction
 	}{
-		{"none", nil, nil, blame.Clear},
+		{"none", nil, nil, blame.Unrestricted},
 		{"one soon after its start", nil, blame.Losses{soon}, blame.Watched},
 		{"as many later ones", blame.Losses{late, late}, blame.Losses{soon, soon}, blame.OnTrial},
 		{"more later ones", blame.Losses{late, late}, blame.Losses{soon}, blame.Watched},
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -174,7 +174,7 @@
 		one := c
 		one.Tasks = []*jobs.Task{t}
 		switch t.Verdict() {
-		case blame.Clear:
+		case blame.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
 		case blame.Watched:
 			one.Watched = true
