--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -46,14 +46,14 @@
 // The verdicts.
 const (
 	Unrestricted Restriction = "clear"    // on any worker
-	Watched      Restriction = "watched"  // on a worker without another watched task
+	Separate     Restriction = "watched"  // on a worker without another watched task
 	OnTrial      Restriction = "on_trial" // on a worker where nothing else starts
 	Held         Restriction = "held"     // nowhere until it is known whether the lost workers have ended
 	Poison       Restriction = "guilty"   // nowhere; its job fails
 )
 
 // severity lists the verdicts from the least to the most restrictive.
-var severity = []Restriction{Unrestricted, Watched, OnTrial, Held, Poison}
+var severity = []Restriction{Unrestricted, Separate, OnTrial, Held, Poison}
 
 // Stricter returns the more restrictive of two verdicts.
 func Stricter(a, b Restriction) Restriction {
@@ -93,7 +93,7 @@
 	case strong >= trialThreshold || n > trialThreshold:
 		return OnTrial
 	case strong > 0 || n >= trialThreshold:
-		return Watched
+		return Separate
 	default:
 		return Unrestricted
 	}
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -19,9 +19,9 @@
 		want          blame.Restriction
 	}{
 		{"none", nil, nil, blame.Unrestricted},
-		{"one soon after its start", nil, blame.Losses{soon}, blame.Watched},
+		{"one soon after its start", nil, blame.Losses{soon}, blame.Separate},
 		{"as many later ones", blame.Losses{late, late}, blame.Losses{soon, soon}, blame.OnTrial},
-		{"more later ones", blame.Losses{late, late}, blame.Losses{soon}, blame.Watched},
+		{"more later ones", blame.Losses{late, late}, blame.Losses{soon}, blame.Separate},
 		{"one given up", blame.Losses{late, late, late}, blame.Losses{soon, soon, proof}, blame.Poison},
 	} {
 		for _, order := range [][2]blame.Losses{{tc.first, tc.second}, {tc.second, tc.first}} {
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -176,7 +176,7 @@
 		switch t.Verdict() {
 		case blame.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
-		case blame.Watched:
+		case blame.Separate:
 			one.Watched = true
 			free = append(free, one)
 		case blame.OnTrial:
