--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -47,13 +47,13 @@
 const (
 	Unrestricted Restriction = "clear"    // on any worker
 	Separate     Restriction = "watched"  // on a worker without another watched task
-	OnTrial      Restriction = "on_trial" // on a worker where nothing else starts
+	TrialOnly    Restriction = "on_trial" // on a worker where nothing else starts
 	Held         Restriction = "held"     // nowhere until it is known whether the lost workers have ended
 	Poison       Restriction = "guilty"   // nowhere; its job fails
 )
 
 // severity lists the verdicts from the least to the most restrictive.
-var severity = []Restriction{Unrestricted, Separate, OnTrial, Held, Poison}
+var severity = []Restriction{Unrestricted, Separate, TrialOnly, Held, Poison}
 
 // Stricter returns the more restrictive of two verdicts.
 func Stricter(a, b Restriction) Restriction {
@@ -91,7 +91,7 @@
 	case n >= maxLosses:
 		return Held
 	case strong >= trialThreshold || n > trialThreshold:
-		return OnTrial
+		return TrialOnly
 	case strong > 0 || n >= trialThreshold:
 		return Separate
 	default:
--- a/pkg/jobs/evidence_test.go
+++ b/pkg/jobs/evidence_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"none", nil, nil, blame.Unrestricted},
 		{"one soon after its start", nil, blame.Losses{soon}, blame.Separate},
-		{"as many later ones", blame.Losses{late, late}, blame.Losses{soon, soon}, blame.OnTrial},
+		{"as many later ones", blame.Losses{late, late}, blame.Losses{soon, soon}, blame.TrialOnly},
 		{"more later ones", blame.Losses{late, late}, blame.Losses{soon}, blame.Separate},
 		{"one given up", blame.Losses{late, late, late}, blame.Losses{soon, soon, proof}, blame.Poison},
 	} {
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -160,7 +160,7 @@
 func splitByVerdict(c placement.Candidate) (free, onTrial []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
-		case blame.OnTrial:
+		case blame.TrialOnly:
 			return nil, []placement.Candidate{c}
 		case blame.Held, blame.Poison:
 			return nil, nil
@@ -179,7 +179,7 @@
 		case blame.Separate:
 			one.Watched = true
 			free = append(free, one)
-		case blame.OnTrial:
+		case blame.TrialOnly:
 			onTrial = append(onTrial, one)
 		case blame.Held: // until its workers answer or are known to have ended
 		case blame.Poison: // given up once its last worker is known to be lost
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -165,6 +165,6 @@
 	if step.Spec.Gang {
 		verdict = step.Verdict()
 	}
-	wanted := verdict == blame.OnTrial && !step.Job.State.Final()
+	wanted := verdict == blame.TrialOnly && !step.Job.State.Final()
 	return started || !wanted || !s.usable(now) || now-s.trial.since > trialStartTimeout
 }
