--- a/pkg/blame/loss.go
+++ b/pkg/blame/loss.go
@@ -48,12 +48,12 @@
 	Unrestricted Restriction = "clear"    // on any worker
 	Separate     Restriction = "watched"  // on a worker without another watched task
 	TrialOnly    Restriction = "on_trial" // on a worker where nothing else starts
-	Held         Restriction = "held"     // nowhere until it is known whether the lost workers have ended
+	Blocked      Restriction = "held"     // nowhere until it is known whether the lost workers have ended
 	Poison       Restriction = "guilty"   // nowhere; its job fails
 )
 
 // severity lists the verdicts from the least to the most restrictive.
-var severity = []Restriction{Unrestricted, Separate, TrialOnly, Held, Poison}
+var severity = []Restriction{Unrestricted, Separate, TrialOnly, Blocked, Poison}
 
 // Stricter returns the more restrictive of two verdicts.
 func Stricter(a, b Restriction) Restriction {
@@ -89,7 +89,7 @@
 	case proven && n > trialThreshold && firm >= minDelivered || sure >= maxLosses:
 		return Poison
 	case n >= maxLosses:
-		return Held
+		return Blocked
 	case strong >= trialThreshold || n > trialThreshold:
 		return TrialOnly
 	case strong > 0 || n >= trialThreshold:
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -162,7 +162,7 @@
 		switch c.Step.Verdict() {
 		case blame.TrialOnly:
 			return nil, []placement.Candidate{c}
-		case blame.Held, blame.Poison:
+		case blame.Blocked, blame.Poison:
 			return nil, nil
 		default:
 			return []placement.Candidate{c}, nil
@@ -181,7 +181,7 @@
 			free = append(free, one)
 		case blame.TrialOnly:
 			onTrial = append(onTrial, one)
-		case blame.Held: // until its workers answer or are known to have ended
+		case blame.Blocked: // until its workers answer or are known to have ended
 		case blame.Poison: // given up once its last worker is known to be lost
 		}
 	}
