--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -239,7 +239,7 @@
 	now := r.now()
 	if !r.formerKnown || now < r.noOrdersBefore {
 		// The former holder's orders are unknown: leave its announcement to the next holder.
-		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next})
+		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Handover{Entry: next})
 	}
 	orders := map[string]time.Duration{}
 	for vm, until := range r.mergedAnnouncement(nil) {
@@ -256,5 +256,5 @@
 	if err != nil {
 		return err
 	}
-	return r.claim.ReleaseWith(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next}, txn)
+	return r.claim.ReleaseWith(ctx, r.cfg.Rows, Partition, shard.Handover{Entry: next}, txn)
 }
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -38,19 +38,19 @@
 	earlierGrace  time.Duration // the same for owners before the predecessor
 }
 
-// Successor is what an owner that releases its shard passes on.
-type Successor struct {
+// Handover is what an owner that releases its shard passes on.
+type Handover struct {
 	Entry       string        // entry that should take over, empty for any
 	FormerGrace time.Duration // how long an earlier owner may still act
 }
 
 // Release clears the owner row, so that another entry can take over at once.
-func (c Claim) Release(ctx context.Context, rows platform.Rows, pool string, to Successor) (err error) {
+func (c Claim) Release(ctx context.Context, rows platform.Rows, pool string, to Handover) (err error) {
 	return c.ReleaseWith(ctx, rows, pool, to, platform.RowTxn{})
 }
 
 // ReleaseWith clears the owner row as part of txn.
-func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Successor, txn platform.RowTxn) (err error) {
+func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Handover, txn platform.RowTxn) (err error) {
 	defer func() { err = errors.Wrapf(err, "release shard %s", pool) }()
 	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, FormerGrace: to.FormerGrace})
 	if err != nil {
