--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -9,7 +9,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 const (
@@ -142,7 +142,7 @@
 	}
 	distribute(sp.Failed, entries, func(sp *StepProgress) *map[int][]int64 { return &sp.Failed })
 	distribute(sp.Checkpoints, entries, func(sp *StepProgress) *map[int]string { return &sp.Checkpoints })
-	distribute(sp.Losses, entries, func(sp *StepProgress) *map[int]blame.Losses { return &sp.Losses })
+	distribute(sp.Losses, entries, func(sp *StepProgress) *map[int]quarantine.Losses { return &sp.Losses })
 	return entries
 }
 
--- a/pkg/jobs/encode_test.go
+++ b/pkg/jobs/encode_test.go
@@ -9,8 +9,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"pgregory.net/rapid"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // rowLimit is the maximum row length in these tests, in bytes.
@@ -61,7 +61,7 @@
 			case i%every == 1:
 				task.Failed = []int64{1<<40 + int64(i), 1<<40 + int64(i) + 1}
 				for n := range losses {
-					task.Losses = append(task.Losses, blame.Loss{Attempt: 1 << 40, Boot: fmt.Sprintf("i-%010d@1764742223000", n), Ran: time.Hour, Ended: true, Delivered: true})
+					task.Losses = append(task.Losses, quarantine.Loss{Attempt: 1 << 40, Boot: fmt.Sprintf("i-%010d@1764742223000", n), Ran: time.Hour, Ended: true, Delivered: true})
 				}
 			default:
 				task.Checkpoint = string(make([]byte, checkpoint))
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // State is the state of a job as reported to clients.
@@ -74,11 +74,11 @@
 	Failed          []int64 // numbers of failed attempts
 	Checkpoint      string
 	Attempts        []*Attempt
-	Duration        time.Duration // of the successful attempt
-	WantsCopy       bool          // a speculative copy is to be started
-	Losses          blame.Losses  // worker losses attributed to it, until it is cleared
-	Replaced        int           // attempts replaced as stragglers by this owner
-	PossibleWorkers int           // workers that may run it but have not reported since the takeover
+	Duration        time.Duration     // of the successful attempt
+	WantsCopy       bool              // a speculative copy is to be started
+	Losses          quarantine.Losses // worker losses attributed to it, until it is cleared
+	Replaced        int               // attempts replaced as stragglers by this owner
+	PossibleWorkers int               // workers that may run it but have not reported since the takeover
 
 	lastAttempt int64
 	name        string
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // Progress is the persisted execution state of a job.
@@ -27,7 +27,7 @@
 	Checkpoints map[int]string  `msgpack:"c,omitempty"` // by task index
 	GangFailed  []int64         `msgpack:"g,omitempty"` // attempt numbers of failed gang runs
 
-	Losses map[int]blame.Losses `msgpack:"l,omitempty"` // by task index
+	Losses map[int]quarantine.Losses `msgpack:"l,omitempty"` // by task index
 }
 
 // Progress returns the state to persist for the job.
@@ -76,7 +76,7 @@
 		}
 		if len(t.Losses) > 0 {
 			if sp.Losses == nil {
-				sp.Losses = map[int]blame.Losses{}
+				sp.Losses = map[int]quarantine.Losses{}
 			}
 			sp.Losses[i] = t.Losses
 			ok = true
--- a/pkg/blame/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"testing"
--- a/pkg/blame/doc.go
+++ b/pkg/quarantine/doc.go
@@ -1,4 +1,4 @@
-// Package blame decides which tasks are suspected of crashing the workers they run on.
+// Package quarantine decides which tasks are suspected of crashing the workers they run on.
 //
 // A crashing task takes down every worker that starts it, and with the worker up to a dozen
 // attempts of other tasks. The loss is counted against each of them; the way they are started
@@ -12,4 +12,4 @@
 // Losses long after the start of an attempt weigh less. Package jobs keeps the losses of each
 // task, package shard records them and acts on the verdicts. A boot is one incarnation of a
 // worker process. The package does no I/O and reads no clock.
-package blame
+package quarantine
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/pause"
 	"github.com/gannetwell/gannetwell/pkg/placement"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // missedObjectiveFactor is the multiple of its objective after which a job no longer counts
@@ -160,9 +160,9 @@
 func splitByVerdict(c placement.Candidate) (free, onTrial []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
-		case blame.TrialOnly:
+		case quarantine.TrialOnly:
 			return nil, []placement.Candidate{c}
-		case blame.Blocked, blame.Poison:
+		case quarantine.Blocked, quarantine.Poison:
 			return nil, nil
 		default:
 			return []placement.Candidate{c}, nil
@@ -174,15 +174,15 @@
 		one := c
 		one.Tasks = []*jobs.Task{t}
 		switch t.Verdict() {
-		case blame.Unrestricted:
+		case quarantine.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
-		case blame.Separate:
+		case quarantine.Separate:
 			one.Watched = true
 			free = append(free, one)
-		case blame.TrialOnly:
+		case quarantine.TrialOnly:
 			onTrial = append(onTrial, one)
-		case blame.Blocked: // until its workers answer or are known to have ended
-		case blame.Poison: // given up once its last worker is known to be lost
+		case quarantine.Blocked: // until its workers answer or are known to have ended
+		case quarantine.Poison: // given up once its last worker is known to be lost
 		}
 	}
 	if len(clean.Tasks) > 0 {
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // deferredStart is a start that waits until its provisional loss is stored.
@@ -21,11 +21,11 @@
 func (o *Owner) recordProvisionalLoss(s *session, r *workerAttempt) bool {
 	t := r.Task
 	maybeLost := o.unheardLoss && t.Step.Job.Restored
-	mustWait := maybeLost || t.Verdict() == blame.TrialOnly || t.Losses.HasEarly()
+	mustWait := maybeLost || t.Verdict() == quarantine.TrialOnly || t.Losses.HasEarly()
 	if !maybeLost && !t.Suspect() || o.commitsFailing && !mustWait {
 		return false
 	}
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
+	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
 	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.EvidenceVersion()})
@@ -82,7 +82,7 @@
 			continue
 		}
 		// The attempt is unknown; a negative number can't clash with one.
-		t.SetLosses(t.Losses.With(blame.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Ended: s.ended}))
+		t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Ended: s.ended}))
 		o.suspects[t] = struct{}{}
 		o.persist(t.Step.Job, false)
 	}
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // lossCountedAfter is the number of consecutive unanswered calls after which a worker's loss is
@@ -26,14 +26,14 @@
 	}
 	s.lossCounted = true
 	var sent []*workerAttempt
-	var attempts []blame.Attempt
+	var attempts []quarantine.Attempt
 	for _, r := range sortedByKey(s.attempts) {
 		if r.sent() {
 			sent = append(sent, r)
-			attempts = append(attempts, blame.Attempt{Ran: s.ranFor(r, now), Trial: s.isOnTrial(r)})
+			attempts = append(attempts, quarantine.Attempt{Ran: s.ranFor(r, now), Trial: s.isOnTrial(r)})
 		}
 	}
-	for i, counted := range blame.Counted(attempts) {
+	for i, counted := range quarantine.Counted(attempts) {
 		if counted {
 			o.countLoss(s, sent[i], attempts[i])
 		}
@@ -47,9 +47,9 @@
 	return s.draining || s.cordonedUntil > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
 
-func (o *Owner) countLoss(s *session, r *workerAttempt, a blame.Attempt) {
+func (o *Owner) countLoss(s *session, r *workerAttempt, a quarantine.Attempt) {
 	t := r.Task
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.confirmedAt > 0 || r.connLost}))
+	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.confirmedAt > 0 || r.connLost}))
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
 		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
@@ -104,7 +104,7 @@
 // failIfPoison fails the job of a task that is known to crash its workers.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != blame.Poison || !o.book.FailJobOf(t) {
+	if t.Verdict() != quarantine.Poison || !o.book.FailJobOf(t) {
 		return
 	}
 	boots := zerolog.Arr()
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/placement"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 const (
@@ -165,6 +165,6 @@
 	if step.Spec.Gang {
 		verdict = step.Verdict()
 	}
-	wanted := verdict == blame.TrialOnly && !step.Job.State.Final()
+	wanted := verdict == quarantine.TrialOnly && !step.Job.State.Final()
 	return started || !wanted || !s.usable(now) || now-s.trial.since > trialStartTimeout
 }
