--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -56,7 +56,7 @@
 func (l workload) simulate(o ordering) []result {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	got := make([]result, l.accounts)
-	book := jobs.NewRegistry(1)
+	registry := jobs.NewRegistry(1)
 	var hosts []*Host
 	for i := range l.hosts {
 		c := platform.Resources{CPU: 32000}
@@ -82,7 +82,7 @@
 			number++
 			// Jobs beyond the guaranteed rate are drawn at random.
 			excess := a == 0 && rnd.Float64() > 1/l.overload
-			book.Add(fmt.Sprintf("%016x", number), jobs.Record{
+			registry.Add(fmt.Sprintf("%016x", number), jobs.Record{
 				Account: fmt.Sprint(a), Excess: excess, MaxAttempts: 1,
 				Spec: jobs.Spec{Steps: []jobs.Step{{Count: 8, Needs: platform.Resources{CPU: 3000}}}},
 			}, now)
@@ -93,7 +93,7 @@
 				return false
 			}
 			j := e.a.Task.Step.Job
-			book.EndAttempt(e.a.Task, e.a, e.a.Number, platform.EndDone, "")
+			registry.EndAttempt(e.a.Task, e.a, e.a.Number, platform.EndDone, "")
 			running[j.Account]--
 			e.host.unplace(e.a.Task.Step)
 			if j.State.Final() {
@@ -107,9 +107,9 @@
 			return true
 		})
 		var cs []Candidate
-		for _, j := range book.Active() {
+		for _, j := range registry.Active() {
 			s := j.Steps[0]
-			c := Candidate{Step: s, Deadline: j.AddedAt + objective, Expiry: j.AddedAt + 3*objective, RemainingWork: taskTime, Excess: j.Excess && now-j.AddedAt < 10*time.Second}
+			c := Candidate{Step: s, Deadline: j.AddedAt + objective, Expiry: j.AddedAt + 3*objective, RemainingPath: taskTime, Excess: j.Excess && now-j.AddedAt < 10*time.Second}
 			for _, t := range s.Tasks {
 				if t.Idle() {
 					c.Tasks = append(c.Tasks, t)
@@ -121,7 +121,7 @@
 		}
 		o(cs, now, running)
 		for _, st := range Plan(cs, hosts, 1<<20) {
-			ends = append(ends, end{at: now + taskTime, a: book.StartAttempt(st.Task, st.Host.Boot, now), host: st.Host})
+			ends = append(ends, end{at: now + taskTime, a: registry.StartAttempt(st.Task, st.Host.Boot, now), host: st.Host})
 			running[st.Task.Step.Job.Account]++
 		}
 	}
--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -19,7 +19,7 @@
 	Free     platform.Resources
 	Penalty  float64 // subtracted from the score; 0 for a healthy worker
 
-	WatchedTasks int // watched tasks here that are not cleared yet
+	SuspectedTasks int // watched tasks here that are not cleared yet
 
 	longRunning int                   // number of long-running tasks here
 	perStep     map[*jobs.StepRun]int // number of tasks here, by step
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -34,9 +34,9 @@
 	Deadline      time.Duration          // when its job should be done, on the clock of now
 	Allowed       func(boot string) bool // hosts on which the advice service allows the step, nil for any
 	Expiry        time.Duration          // when a result of its job is hardly of use any more, 0 for never
-	RemainingWork time.Duration          // estimated duration of the steps of its job still to be done
+	RemainingPath time.Duration          // estimated duration of the steps of its job still to be done
 	Budget        *Budget                // of its client account, nil for no limit
-	Watched       bool                   // its single task is watched and must not share a worker with another watched one
+	Separate      bool                   // its single task is watched and must not share a worker with another watched one
 	Excess        bool                   // its job is beyond the guaranteed rate of its account
 }
 
@@ -54,7 +54,7 @@
 			cmp.Compare(b.servingRank(), a.servingRank()),
 			cmp.Compare(a.excessRank(), b.excessRank()),
 			cmp.Compare(a.latenessRank(now), b.latenessRank(now)),
-			cmp.Compare(a.Deadline-a.RemainingWork, b.Deadline-b.RemainingWork),
+			cmp.Compare(a.Deadline-a.RemainingPath, b.Deadline-b.RemainingPath),
 		)
 	})
 }
@@ -79,7 +79,7 @@
 // latenessRank puts jobs that will probably be late after those that can be done in time, and those
 // that will be done after their expiry last.
 func (c *Candidate) latenessRank(now time.Duration) int {
-	switch end := now + c.RemainingWork + c.RemainingWork/marginDivisor + minMargin; {
+	switch end := now + c.RemainingPath + c.RemainingPath/marginDivisor + minMargin; {
 	case c.Expiry != 0 && end > c.Expiry:
 		return 2
 	case end > c.Deadline:
@@ -107,7 +107,7 @@
 		}
 		more, roomLeft := planStep(c, hosts, limit-len(starts))
 		starts = append(starts, more...)
-		if !roomLeft && c.Allowed == nil && !c.Watched && c.Step.Spec.MaxPerWorker == 0 {
+		if !roomLeft && c.Allowed == nil && !c.Separate && c.Step.Spec.MaxPerWorker == 0 {
 			full[fitKeyOf(c.Step.Spec)] = true
 		}
 	}
@@ -146,8 +146,8 @@
 			return starts, true
 		}
 		h.place(c.Step)
-		if c.Watched {
-			h.WatchedTasks++
+		if c.Separate {
+			h.SuspectedTasks++
 		}
 		starts = append(starts, Start{Task: t, Host: h})
 		last = h
@@ -175,7 +175,7 @@
 	s := c.Step
 	var top float64
 	for _, h := range hosts {
-		if c.Watched && h.WatchedTasks > 0 {
+		if c.Separate && h.SuspectedTasks > 0 {
 			continue
 		}
 		if !h.canStart(s) || c.Allowed != nil && !c.Allowed(h.Boot) || runsAt(t, h.Boot) {
--- a/pkg/placement/plan_test.go
+++ b/pkg/placement/plan_test.go
@@ -61,7 +61,7 @@
 	}
 	s := newJob(st).Steps[0]
 	if st.Count == 1 && rapid.Bool().Draw(t, "watched") {
-		return Candidate{Step: s, Tasks: s.Tasks, Watched: true}
+		return Candidate{Step: s, Tasks: s.Tasks, Separate: true}
 	}
 	if rapid.Bool().Draw(t, "copies") {
 		s.Tasks[0].Attempts = []*jobs.Attempt{{Task: s.Tasks[0], Boot: "w0"}}
@@ -89,8 +89,8 @@
 				break
 			}
 			h.place(c.Step)
-			if c.Watched {
-				h.WatchedTasks++
+			if c.Separate {
+				h.SuspectedTasks++
 			}
 			starts = append(starts, Start{Task: t, Host: h})
 		}
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -26,7 +26,7 @@
 	}
 	b := d.budgets[account]
 	if b == nil {
-		b = placement.NewBudget(limit, 1, d.o.book.Allocated(account))
+		b = placement.NewBudget(limit, 1, d.o.registry.Allocated(account))
 		d.budgets[account] = b
 	}
 	return b.TakeUpTo(s.Spec, n)
@@ -42,7 +42,7 @@
 	use := func(account string) *allowance.Usage {
 		u := uses[account]
 		if u == nil {
-			running := placement.MaxFraction(o.book.Allocated(account).Add(unbooked[account]), o.limitOf(account))
+			running := placement.MaxFraction(o.registry.Allocated(account).Add(unbooked[account]), o.limitOf(account))
 			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
@@ -50,12 +50,12 @@
 	}
 	limited := func(account string) bool { return o.limitOf(account) != (platform.Resources{}) }
 	// Tasks that wait for the takeover to complete are counted in unbookedUsage.
-	o.eachStartable(false, func(s *jobs.StepRun, idle []*jobs.Task) {
+	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
 		if account := s.Job.Account; limited(account) {
-			addWaiting(use(account), s.Spec, len(idle), o.limitOf(account))
+			addWaiting(use(account), s.Spec, len(startable), o.limitOf(account))
 		}
 	})
-	o.book.EachAllocated(func(account string) {
+	o.registry.EachAllocated(func(account string) {
 		if limited(account) {
 			use(account)
 		}
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -95,12 +95,12 @@
 		}
 	}
 	if o.formerAnyTask {
-		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
+		o.registry.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
 		return sum
 	}
 	for _, s := range o.sessions {
 		for _, name := range s.former.names {
-			if t := o.book.Task(name); t != nil {
+			if t := o.registry.Task(name); t != nil {
 				add(t.Step.Job.Account, t.Step.Spec.Needs)
 			}
 		}
@@ -127,7 +127,7 @@
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
 	if limit != (platform.Resources{}) && b.o.accounts.shares.Enforced() {
-		running := b.o.book.Allocated(account).Add(b.unbooked[account])
+		running := b.o.registry.Allocated(account).Add(b.unbooked[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
 	b.byName[account] = budget
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -192,7 +192,7 @@
 // failUnstorable fails a job whose progress can't be stored: no state of it could be reported, and
 // its finished tasks would run again after the next takeover.
 func (o *Owner) failUnstorable(j *jobs.Job, cause error) {
-	if !o.book.Fail(j) {
+	if !o.registry.Fail(j) {
 		return
 	}
 	o.cfg.Metrics.Job("not_kept")
@@ -200,21 +200,21 @@
 	o.jobEnded(j)
 }
 
-// putUnheard stores that a worker of a former owner was lost before it reported to a later one, for
+// putUnreportedLoss stores that a worker of a former owner was lost before it reported to a later one, for
 // as long as a restored job is active.
-func (o *Owner) putUnheard(b *batch) error {
-	if !o.unheardLoss {
+func (o *Owner) putUnreportedLoss(b *batch) error {
+	if !o.unreportedLoss {
 		return nil
 	}
-	if !slices.ContainsFunc(o.book.Active(), func(j *jobs.Job) bool { return j.Restored }) {
-		o.unheardLoss = false
-		b.txn.Remove = append(b.txn.Remove, unheardRowKey(o.cfg.Pool))
+	if !slices.ContainsFunc(o.registry.Active(), func(j *jobs.Job) bool { return j.Restored }) {
+		o.unreportedLoss = false
+		b.txn.Remove = append(b.txn.Remove, unreportedLossRowKey(o.cfg.Pool))
 		return nil
 	}
-	raw, err := encode(unheardRow{Term: o.claim.Term})
+	raw, err := encode(unreportedLossRow{Term: o.claim.Term})
 	if err != nil {
 		return err
 	}
-	b.put(unheardRowKey(o.cfg.Pool), raw)
+	b.put(unreportedLossRowKey(o.cfg.Pool), raw)
 	return nil
 }
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -31,7 +31,7 @@
 		o.mu.Unlock()
 		return schema.CallOutcomeNotOwner
 	}
-	if j := o.book.Job(id); j != nil {
+	if j := o.registry.Job(id); j != nil {
 		o.mu.Unlock()
 		return o.answerDuplicate(id, &j.Record, &r)
 	}
@@ -126,7 +126,7 @@
 		o.mu.Unlock()
 		return schema.CallOutcomeOk
 	}
-	if o.book.Cancel(j) {
+	if o.registry.Cancel(j) {
 		o.log.Info().Str("event", "job_cancelled").Str("job", id).Send()
 		o.cfg.Metrics.Job("cancelled")
 		o.jobEnded(j)
@@ -159,7 +159,7 @@
 	if o.closed {
 		return nil, schema.CallOutcomeNotOwner
 	}
-	if j := o.book.Job(id); j != nil && by.maySee(&j.Record) {
+	if j := o.registry.Job(id); j != nil && by.maySee(&j.Record) {
 		return j, schema.CallOutcomeOk
 	}
 	if s := o.pending[id]; s != nil && by.maySee(&s.record) {
@@ -178,7 +178,7 @@
 	if o.closed {
 		return 0, schema.CallOutcomeNotOwner
 	}
-	return o.book.CountQueued(queue), schema.CallOutcomeOk
+	return o.registry.CountQueued(queue), schema.CallOutcomeOk
 }
 
 // answerWaiters answers the calls that wait for the final state of a job; the lock is held.
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -88,11 +88,11 @@
 func (o *Owner) commitBatch(ctx context.Context, b *batch) (version int64, err error) {
 	inDoubt := false
 	for {
-		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitPace.hedgeDelay(), o.observeCommit)
+		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitLatency.hedgeDelay(), o.observeCommit)
 		var conflict platform.ErrConflict
 		switch {
 		case t.err == nil:
-			o.setTroubled(false, nil)
+			o.setCommitsFailing(false, nil)
 			o.Confirm(t.sentAt)
 			return t.version, nil
 		case errors.As(t.err, &conflict):
@@ -100,13 +100,13 @@
 		case platform.IsRefused(t.err):
 			return 0, t.err // the content is refused at every try, so no earlier one was carried out
 		case platform.IsNotDone(t.err):
-			o.setTroubled(true, t.err)
+			o.setCommitsFailing(true, t.err)
 			if !inDoubt {
 				return 0, t.err
 			}
 		default:
 			inDoubt = true
-			o.setTroubled(true, t.err)
+			o.setCommitsFailing(true, t.err)
 		}
 		select {
 		case <-ctx.Done():
@@ -120,7 +120,7 @@
 func (o *Owner) observeCommit(took time.Duration, err error) {
 	o.cfg.Metrics.Commit(took, err)
 	if err == nil {
-		o.commitPace.observe(took)
+		o.commitLatency.observe(took)
 	}
 }
 
@@ -135,7 +135,7 @@
 			return 0, errors.Wrap(err, "decode commit row")
 		}
 		if row.Entry == o.cfg.Self.Entry && row.Start == o.cfg.Self.Start && row.Term == o.claim.Term && row.Seq == b.seq {
-			o.setTroubled(false, nil)
+			o.setCommitsFailing(false, nil)
 			return r.Version, nil
 		}
 		return 0, ErrNotOwner{Owner: OwnerRow{Entry: row.Entry, Start: row.Start, Term: row.Term}}
@@ -143,15 +143,15 @@
 	return 0, conflict
 }
 
-// setTroubled records whether the table service fails transactions.
-func (o *Owner) setTroubled(on bool, cause error) {
+// setCommitsFailing records whether the table service fails transactions.
+func (o *Owner) setCommitsFailing(on bool, cause error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.setTroubledLocked(on, cause)
+	o.setCommitsFailingLocked(on, cause)
 }
 
-// setTroubledLocked does what setTroubled does; the lock is held.
-func (o *Owner) setTroubledLocked(on bool, cause error) {
+// setCommitsFailingLocked does what setCommitsFailing does; the lock is held.
+func (o *Owner) setCommitsFailingLocked(on bool, cause error) {
 	if on == o.commitsFailing {
 		return
 	}
--- a/pkg/shard/estimate.go
+++ b/pkg/shard/estimate.go
@@ -48,7 +48,7 @@
 // recordDuration records the duration of a completed task.
 func (o *Owner) recordDuration(a *workerAttempt, now time.Duration) {
 	step := a.Task.Step
-	if step.Spec.LongRunning || a.confirmedAt == 0 || a.Checkpoint != "" {
+	if step.Spec.LongRunning || a.startConfirmedAt == 0 || a.Checkpoint != "" {
 		return
 	}
 	ds := o.durations[step.Job.Queue]
@@ -56,7 +56,7 @@
 		ds = &durationStats{}
 		o.durations[step.Job.Queue] = ds
 	}
-	a.Task.Duration = now - a.confirmedAt
+	a.Task.Duration = now - a.startConfirmedAt
 	ds.add(a.Task.Duration, step.Spec.Estimate)
 }
 
--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -36,12 +36,12 @@
 		}
 		return nil
 	}
-	t := o.book.Task(r.Task)
+	t := o.registry.Task(r.Task)
 	wanted := t != nil && o.canAdopt(t) && s.attempts[r.Task] == nil // one attempt of a task at a time is held at a worker
 	o.log.Info().Str("event", "attempt_found").Str("task", r.Task).Int64("attempt", r.Attempt).
 		Str("boot", s.ref.Boot).Bool("adopted", wanted).Send()
 	if wanted {
-		a := &workerAttempt{Attempt: o.book.Adopt(t, r.Attempt, s.ref.Boot, now), confirmedAt: now}
+		a := &workerAttempt{Attempt: o.registry.Adopt(t, r.Attempt, s.ref.Boot, now), startConfirmedAt: now}
 		s.addAttempt(r.Task, a)
 		if s.trial != nil && slices.Contains(s.trial.tasks, t) {
 			s.trial.attempts = append(s.trial.attempts, a.Attempt)
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -29,7 +29,7 @@
 	o.formerPending = true
 	o.formerAnyTask = o.formerAnyTask || !s.former.listed
 	for _, name := range s.former.names {
-		if t := o.book.Task(name); t != nil {
+		if t := o.registry.Task(name); t != nil {
 			t.PossibleWorkers++
 		}
 	}
@@ -41,19 +41,19 @@
 		return
 	}
 	if !s.synced {
-		o.recordUnheardLoss(s)
+		o.recordUnreportedLoss(s)
 	}
 	for _, name := range s.former.names {
-		if t := o.book.Task(name); t != nil && t.PossibleWorkers > 0 {
+		if t := o.registry.Task(name); t != nil && t.PossibleWorkers > 0 {
 			t.PossibleWorkers--
 		}
 	}
 	s.former = formerTasks{}
 }
 
-// checkTakeoverComplete updates whether tasks of a former owner may still run somewhere unknown
+// resolveFormerWorkers updates whether tasks of a former owner may still run somewhere unknown
 // to this owner.
-func (o *Owner) checkTakeoverComplete() {
+func (o *Owner) resolveFormerWorkers() {
 	if !o.formerPending {
 		return
 	}
@@ -71,15 +71,15 @@
 		}
 	}
 	if !o.formerPending {
-		o.onTakeoverComplete()
+		o.finishTakeover()
 		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.tookOverAt).Send()
 	}
 	o.kickPlacement()
 }
 
-// onTakeoverComplete does what waits until all inherited workers have reported or ended.
-func (o *Owner) onTakeoverComplete() {
-	o.book.MarkReconciled()
+// finishTakeover does what waits until all inherited workers have reported or ended.
+func (o *Owner) finishTakeover() {
+	o.registry.MarkReconciled()
 	o.failRestoredPoison()
 }
 
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -108,9 +108,9 @@
 	l.AtLimit = o.rate.AtLimit()
 	l.Arriving = o.arrivals.demand(now)
 	demand := o.newDemand()
-	o.eachStartable(true, func(s *jobs.StepRun, idle []*jobs.Task) {
-		l.Tasks += len(idle)
-		n := demand.startable(s, len(idle))
+	o.eachStartable(true, func(s *jobs.StepRun, startable []*jobs.Task) {
+		l.Tasks += len(startable)
+		n := demand.startable(s, len(startable))
 		charge := placement.Charge(s.Spec)
 		l.Waiting = l.Waiting.Add(platform.Resources{CPU: n * charge.CPU, MemoryMB: n * charge.MemoryMB, GPU: n * charge.GPU})
 	})
@@ -138,7 +138,7 @@
 // tasks of a lost worker.
 func (o *Owner) minWorkers() int {
 	widest := 1
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Steps {
 			if s.Spec.LongRunning && s.Spec.MaxPerWorker > 0 {
 				widest = max(widest, (len(s.Tasks)+s.Spec.MaxPerWorker-1)/s.Spec.MaxPerWorker)
@@ -162,12 +162,12 @@
 	o.loadLoggedAt = now
 	l := o.load(now)
 	running := 0
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		if j.State == jobs.StateRunning {
 			running++
 		}
 	}
 	o.log.Info().Str("event", "shard_load").Int("workers", l.Workers).Int("cpu", l.Capacity.CPU).Int("cpu_used", l.Used.CPU).
 		Int("cpu_waiting", l.Waiting.CPU).Int("cpu_arriving", l.Arriving.CPU).Int("memory_mb", l.Capacity.MemoryMB).Int("memory_used", l.Used.MemoryMB).
-		Int("tasks_waiting", l.Tasks).Int("jobs", len(o.book.Active())).Int("jobs_running", running).Bool("at_limit", l.AtLimit).Send()
+		Int("tasks_waiting", l.Tasks).Int("jobs", len(o.registry.Active())).Int("jobs_running", running).Bool("at_limit", l.AtLimit).Send()
 }
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -27,7 +27,7 @@
 		if r.sent() {
 			o.cfg.Metrics.AttemptLost(kind)
 			o.log.Info().Str("event", "attempt_lost").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-				Str("cause", string(kind)).Dur("ran", s.ranFor(r, now)).Bool("begun", r.confirmedAt > 0).Send()
+				Str("cause", string(kind)).Dur("ran", s.ranFor(r, now)).Bool("begun", r.startConfirmedAt > 0).Send()
 		}
 		o.dropAttempt(s, name)
 	}
@@ -36,7 +36,7 @@
 }
 
 // sent reports whether the worker may have received the attempt.
-func (r *workerAttempt) sent() bool { return r.sentAt > 0 || r.confirmedAt > 0 }
+func (r *workerAttempt) sent() bool { return r.sentAt > 0 || r.startConfirmedAt > 0 }
 
 // ranFor returns how long an attempt had run when its worker last answered, 0 if its start was never
 // answered.
@@ -44,7 +44,7 @@
 	if r.Phase == jobs.PhaseOrdered || r.Phase == jobs.PhaseInDoubt {
 		return 0
 	}
-	return max(0, s.lostAt(now)-r.confirmedAt)
+	return max(0, s.lostAt(now)-r.startConfirmedAt)
 }
 
 // lostAt returns when a lost worker stopped answering.
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -80,7 +80,7 @@
 	var other platform.ErrOtherBoot
 	switch {
 	case errors.As(err, &other):
-		if current && r.confirmedAt == 0 {
+		if current && r.startConfirmedAt == 0 {
 			o.dropAttempt(s, name) // it did not start there
 		}
 		o.bootEnded(s, "another boot answers at its address")
@@ -89,13 +89,13 @@
 	case platform.IsNotDone(err):
 		s.noteUnanswered(now)
 		s.retryNow = false // the order did not reach the worker: don't repeat at once
-		if current && r.confirmedAt == 0 {
+		if current && r.startConfirmedAt == 0 {
 			o.dropAttempt(s, name)
 		}
 	default:
 		s.health.noteUnanswered(now)
 		s.markInDoubt()
-		if current && r.confirmedAt == 0 {
+		if current && r.startConfirmedAt == 0 {
 			r.Phase = jobs.PhaseInDoubt
 			r.connLost = now-r.sentAt < orderTimeout
 		}
@@ -108,7 +108,7 @@
 
 // startWithdrawn drops an attempt whose start was not sent; the caller holds the lock.
 func (o *Owner) startWithdrawn(s *session, name string, r *workerAttempt) {
-	if s.attempts[name] == r && r.confirmedAt == 0 {
+	if s.attempts[name] == r && r.startConfirmedAt == 0 {
 		o.log.Info().Str("event", "start_withdrawn").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).Send()
 		o.dropAttempt(s, name)
 	}
@@ -133,7 +133,7 @@
 		s.health.noteUnanswered(now)
 		s.pausedUntil = now + unhealthyPause
 	}
-	if s.attempts[name] == r && r.confirmedAt == 0 {
+	if s.attempts[name] == r && r.startConfirmedAt == 0 {
 		o.dropAttempt(s, name)
 	}
 }
@@ -141,15 +141,15 @@
 // confirmAttempt notes that the worker has the attempt, and stops an unwanted one; the caller
 // holds the lock.
 func (o *Owner) confirmAttempt(s *session, r *workerAttempt, now time.Duration) {
-	if r.confirmedAt == 0 {
-		r.confirmedAt = now
+	if r.startConfirmedAt == 0 {
+		r.startConfirmedAt = now
 		o.retractLoss(r)
 		if len(r.Task.Losses) > 0 {
 			s.interruptPoll()
 		}
 	}
 	if r.Phase != jobs.PhaseStopped {
-		o.book.MarkStarted(r.Attempt)
+		o.registry.MarkStarted(r.Attempt)
 	}
 	if o.unwanted(r.Attempt) {
 		o.stop(s, r, "no longer wanted")
@@ -202,7 +202,7 @@
 // stop orders an attempt to stop. An attempt without a confirmed start is stopped once its
 // start is confirmed.
 func (o *Owner) stop(s *session, r *workerAttempt, why string) {
-	if r.confirmedAt == 0 || r.Phase == jobs.PhaseStopped {
+	if r.startConfirmedAt == 0 || r.Phase == jobs.PhaseStopped {
 		return
 	}
 	r.Phase = jobs.PhaseStopped
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -13,7 +13,7 @@
 	now := o.now()
 	for _, s := range b.submissions {
 		delete(o.pending, s.id)
-		o.book.Add(s.id, s.record, now)
+		o.registry.Add(s.id, s.record, now)
 		o.noteArrival(&s.record, now)
 		o.cfg.Metrics.Job("accepted")
 		s.resolve(schema.CallOutcomeOk)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -56,7 +56,7 @@
 	HasEnded func(OwnerRow) bool
 	// StandDown tells the process of a former owner that the newer row replaced it, and reports
 	// whether it has stopped working for the shard; nil if former owners can't be reached.
-	StandDown func(ctx context.Context, former OwnerRow, newer platform.Row) (stands bool)
+	StandDown func(ctx context.Context, former OwnerRow, newer platform.Row) (stopped bool)
 
 	Rows     platform.Rows
 	Workers  platform.Workers
@@ -88,33 +88,33 @@
 	commitWake chan struct{}
 	urgentWake chan struct{} // commit without waiting to batch more
 
-	commitPace commitLatency // used by the commit loop only
+	commitLatency commitLatency // used by the commit loop only
 
 	mu        sync.Mutex
 	closed    bool
 	releasing bool // a handover is in progress: no new work starts
 
 	catalog          *catalog.Catalog
-	book             *jobs.Registry
+	registry         *jobs.Registry
 	unreadableJobs   map[string]bool               // IDs of stored jobs that could not be decoded
 	recordUnreadable bool                          // the stored record of leased workers could not be decoded
 	accounts         accounts                      // shares and limits of client accounts
 	sessions         map[string]*session           // by boot
 	currentSessions  map[string]*session           // latest boot of each worker, by worker ID
-	raisedTokens     map[string]int64              // last raised token of workers whose boot ended, by worker ID
+	endedBootTokens  map[string]int64              // last raised token of workers whose boot ended, by worker ID
 	sortedSessions   []*session                    // sessions by boot, nil when stale
 	advices          map[*jobs.StepRun]*advice     // of steps whose queue requires advice
 	durations        map[string]*durationStats     // by queue
 	suspects         map[*jobs.Task]struct{}       // tasks with worker losses counted against them
-	noted            map[*jobs.Job][]deferredStart // starts waiting for their note to be stored
-	unheardLoss      bool                          // a former owner's worker was lost before it answered this owner
+	deferredStarts   map[*jobs.Job][]deferredStart // starts waiting for their note to be stored
+	unreportedLoss   bool                          // a former owner's worker was lost before it answered this owner
 	rate             startrate.Limiter             // of starts, while the owner is at its own limit
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
-	tasksWaiting     bool                          // tasks wait for room or for their start time
+	hasWaitingTasks  bool                          // tasks wait for room or for their start time
 
-	confirmedAt       time.Duration // last time at which this entry was certainly the owner
-	readingOwnerRow   bool          // a read of the owner row is in progress
-	unconfirmedLogged bool          // the missing confirmation was logged
+	ownershipConfirmedAt time.Duration // last time at which this entry was certainly the owner
+	readingOwnerRow      bool          // a read of the owner row is in progress
+	unconfirmedLogged    bool          // the missing confirmation was logged
 
 	formerPending     bool          // a worker of a former owner has not answered yet
 	formerAnyTask     bool          // any task may be running at one of them
@@ -158,7 +158,7 @@
 		return nil, err
 	}
 	tookOverAt := cfg.Clock.Now()
-	k, err := readStoredState(ctx, cfg.Rows, cfg.Pool, c.Term, tookOverAt, func(e errMalformedRow) {
+	stored, err := readStoredState(ctx, cfg.Rows, cfg.Pool, c.Term, tookOverAt, func(e errMalformedRow) {
 		cfg.Metrics.RowMalformed(e.key.Table)
 		cfg.Log.Error().Str("event", "row_malformed").Str("pool", cfg.Pool).Str("table", e.key.Table).Str("key", e.key.Key).Err(e.cause).Send()
 	})
@@ -168,23 +168,23 @@
 	o = &Owner{
 		cfg: cfg, log: cfg.Log.With().Str("pool", cfg.Pool).Int64("term", c.Term).Logger(), claim: c, commitVersion: c.commitVersion,
 		placeWake: make(chan struct{}, 1), commitWake: make(chan struct{}, 1), urgentWake: make(chan struct{}, 1),
-		catalog: cat, book: k.book, unreadableJobs: k.unreadable, recordUnreadable: k.workersUnreadable, unheardLoss: k.unheard, accounts: newAccounts(k.shares), record: k.record,
-		sessions: map[string]*session{}, currentSessions: map[string]*session{}, raisedTokens: map[string]int64{},
-		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, noted: map[*jobs.Job][]deferredStart{},
+		catalog: cat, registry: stored.registry, unreadableJobs: stored.unreadable, recordUnreadable: stored.workersUnreadable, unreportedLoss: stored.unreportedLoss, accounts: newAccounts(stored.shares), record: stored.record,
+		sessions: map[string]*session{}, currentSessions: map[string]*session{}, endedBootTokens: map[string]int64{},
+		advices: map[*jobs.StepRun]*advice{}, durations: map[string]*durationStats{}, suspects: map[*jobs.Task]struct{}{}, deferredStarts: map[*jobs.Job][]deferredStart{},
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.confirmedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
-	o.start(k, workers, cfg.Clock.Now())
+	o.tookOverAt, o.ownershipConfirmedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
+	o.start(stored, workers, cfg.Clock.Now())
 	return o, nil
 }
 
 // start creates the sessions and starts the loops.
-func (o *Owner) start(k storedState, workers []platform.Worker, now time.Duration) {
+func (o *Owner) start(stored storedState, workers []platform.Worker, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	jobCount := 0
-	o.book.All(func(j *jobs.Job) {
+	o.registry.All(func(j *jobs.Job) {
 		jobCount++
 		if j.State.Final() {
 			o.finalJobs = append(o.finalJobs, finalJob{id: j.ID, at: now})
@@ -192,7 +192,7 @@
 	})
 	o.advanceSchedules() // a former owner may have started occurrences that are due
 	o.formerLeasesUntil = o.formerLeasesEnd(now)
-	for _, w := range k.workers {
+	for _, w := range stored.workers {
 		if o.sessions[w.Boot] != nil {
 			continue // both the current and an older record format name it
 		}
@@ -200,20 +200,20 @@
 		s.recorded = true
 		o.inheritWorker(s, w)
 	}
-	o.formerPending = o.formerPending || k.workersUnreadable
-	o.formerAnyTask = o.formerAnyTask || k.workersUnreadable
+	o.formerPending = o.formerPending || stored.workersUnreadable
+	o.formerAnyTask = o.formerAnyTask || stored.workersUnreadable
 	o.arrivals.since = now
 	o.restoreSuspects()
 	o.setWorkers(workers)
-	o.log.Info().Str("event", "shard_owned").Int("jobs", jobCount).Int("active", len(o.book.Active())).
-		Int("workers", len(o.sessions)).Int("leased", len(k.workers)).Send()
-	o.checkTakeoverComplete()
+	o.log.Info().Str("event", "shard_owned").Int("jobs", jobCount).Int("active", len(o.registry.Active())).
+		Int("workers", len(o.sessions)).Int("leased", len(stored.workers)).Send()
+	o.resolveFormerWorkers()
 	if !o.formerPending {
-		o.onTakeoverComplete()
+		o.finishTakeover()
 	}
 	o.wg.Go(func() { o.commitLoop(o.ctx) })
 	o.wg.Go(func() { o.placeLoop(o.ctx) })
-	o.wg.Go(func() { o.upkeepLoop(o.ctx) })
+	o.wg.Go(func() { o.checkLoop(o.ctx) })
 	if o.formerPending && o.soleOwnerAt > now {
 		o.wg.Go(o.awaitPredecessor)
 	}
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -12,20 +12,20 @@
 // when the tail latency of a serving task nears its target, and sped up gradually when it is
 // well below.
 const (
-	paceDownShare = 0.85 // share of the target above which filler tasks are slowed down
-	paceUpShare   = 0.6  // share of the target below which they are sped up
-	paceIncrement = 15   // percentage points by which they are sped up
-	minPace       = 5    // least pace in percent
-	fullPace      = 100
-	// paceUpAfter is how long a pace is kept before it is raised, longer than a report covers.
-	paceUpAfter = 900 * time.Millisecond
-	// paceDownAfter is how long a pace is kept before it is lowered again.
-	paceDownAfter = 500 * time.Millisecond
+	throttleDownShare  = 0.85 // share of the target above which filler tasks are slowed down
+	throttleUpShare    = 0.6  // share of the target below which they are sped up
+	throttleUpStep     = 15   // percentage points by which they are sped up
+	minThrottlePercent = 5    // least pace in percent
+	unthrottledPercent = 100
+	// throttleUpInterval is how long a pace is kept before it is raised, longer than a report covers.
+	throttleUpInterval = 900 * time.Millisecond
+	// throttleDownInterval is how long a pace is kept before it is lowered again.
+	throttleDownInterval = 500 * time.Millisecond
 )
 
-// adjustPace adapts the pace of a worker's filler tasks to the latency of the serving tasks
+// adjustThrottles adapts the pace of a worker's filler tasks to the latency of the serving tasks
 // beside them; the caller holds the lock.
-func (o *Owner) adjustPace(s *session, now time.Duration) {
+func (o *Owner) adjustThrottles(s *session, now time.Duration) {
 	worst := 0.0 // highest ratio of tail latency to target
 	for _, r := range s.attempts {
 		if target := r.Task.Step.Spec.TailTarget; target > 0 && r.Phase == jobs.PhaseRunning {
@@ -33,40 +33,40 @@
 		}
 	}
 	for name, r := range s.attempts {
-		if !r.Task.Step.Spec.Filler || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 {
+		if !r.Task.Step.Spec.Filler || r.Phase != jobs.PhaseRunning || r.startConfirmedAt == 0 {
 			continue
 		}
-		if next := nextPace(r, worst, now); next != r.pacePercent {
-			o.setPace(s, name, r, next, worst, now)
+		if next := nextThrottle(r, worst, now); next != r.throttlePercent {
+			o.setThrottle(s, name, r, next, worst, now)
 		}
 	}
 }
 
-// nextPace returns the pace in percent that a filler task should have.
-func nextPace(r *workerAttempt, worst float64, now time.Duration) int {
-	current := r.pacePercent
+// nextThrottle returns the pace in percent that a filler task should have.
+func nextThrottle(r *workerAttempt, worst float64, now time.Duration) int {
+	current := r.throttlePercent
 	if current == 0 {
-		current = fullPace
+		current = unthrottledPercent
 	}
 	switch {
-	case worst > paceDownShare && now-r.pacedAt >= paceDownAfter:
-		return max(minPace, current/2)
-	case worst < paceUpShare && now-r.pacedAt >= paceUpAfter && current < fullPace:
-		return min(fullPace, current+paceIncrement)
+	case worst > throttleDownShare && now-r.throttledAt >= throttleDownInterval:
+		return max(minThrottlePercent, current/2)
+	case worst < throttleUpShare && now-r.throttledAt >= throttleUpInterval && current < unthrottledPercent:
+		return min(unthrottledPercent, current+throttleUpStep)
 	default:
-		return r.pacePercent
+		return r.throttlePercent
 	}
 }
 
-func (o *Owner) setPace(s *session, name string, r *workerAttempt, percent int, worst float64, now time.Duration) {
-	r.pacePercent, r.pacedAt = percent, now
+func (o *Owner) setThrottle(s *session, name string, r *workerAttempt, percent int, worst float64, now time.Duration) {
+	r.throttlePercent, r.throttledAt = percent, now
 	o.log.Info().Str("event", "pace_ordered").Str("task", name).Str("boot", s.ref.Boot).Int("percent", percent).Float64("tail_of_target", worst).Send()
 	order := platform.ThrottleOrder{Task: name, Attempt: r.Number, Percent: percent, Token: s.token}
 	o.enqueueOrder(s, &queuedOrder{
 		send: func(ctx context.Context) (int64, error) { return o.cfg.Workers.ThrottleAttempt(ctx, s.ref, order) },
 		onAnswer: func(err error) {
 			if err != nil {
-				r.pacePercent, r.pacedAt = 0, 0 // unknown; the next report decides again
+				r.throttlePercent, r.throttledAt = 0, 0 // unknown; the next report decides again
 				o.log.Warn().Str("event", "pace_failed").Str("task", name).Str("boot", s.ref.Boot).Err(err).Send()
 			}
 		},
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -57,8 +57,8 @@
 	o.clearSuspects()
 	o.endTrials(now)
 	candidates, onTrial := o.candidates(now)
-	o.tasksWaiting = len(candidates)+len(onTrial) > 0
-	if !o.tasksWaiting {
+	o.hasWaitingTasks = len(candidates)+len(onTrial) > 0
+	if !o.hasWaitingTasks {
 		return
 	}
 	placement.Sort(candidates, now)
@@ -85,10 +85,10 @@
 			boots[step] = append(boots[step], st.Host.Boot)
 			continue
 		}
-		o.orderStart(o.book.StartAttempt(st.Task, st.Host.Boot, now))
+		o.orderStart(o.registry.StartAttempt(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
-		for _, a := range o.book.StartGang(step, boots[step], now) {
+		for _, a := range o.registry.StartGang(step, boots[step], now) {
 			o.orderStart(a)
 		}
 	}
@@ -97,7 +97,7 @@
 // advanceSchedules creates the due occurrences of scheduled jobs and drops past ones.
 func (o *Owner) advanceSchedules() {
 	wall := time.Duration(time.Now().UnixNano())
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Advance(wall) {
 			delete(o.advices, s)
 		}
@@ -137,27 +137,27 @@
 // candidates returns the steps with tasks that may start now, and separately those that may
 // start only on trial: one task each, or a gang.
 func (o *Owner) candidates(now time.Duration) (cs, onTrial []placement.Candidate) {
-	left := map[*jobs.Job]time.Duration{}
+	remaining := map[*jobs.Job]time.Duration{}
 	budgets := o.newBudgets()
-	o.eachStartable(false, func(s *jobs.StepRun, idle []*jobs.Task) {
-		if _, ok := left[s.Job]; !ok {
-			left[s.Job] = o.remainingPath(s.Job, now)
+	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
+		if _, ok := remaining[s.Job]; !ok {
+			remaining[s.Job] = o.remainingPath(s.Job, now)
 		}
-		c := o.candidate(s, idle, left[s.Job], now)
+		c := o.candidate(s, startable, remaining[s.Job], now)
 		c.Budget = budgets.of(s.Job.Account)
 		if len(o.suspects) == 0 {
 			cs = append(cs, c)
 			return
 		}
-		free, trials := splitByVerdict(c)
+		free, trials := splitByRestriction(c)
 		cs, onTrial = append(cs, free...), append(onTrial, trials...)
 	})
 	return cs, onTrial
 }
 
-// splitByVerdict divides a step's tasks by how they may start. The tasks of a gang start
+// splitByRestriction divides a step's tasks by how they may start. The tasks of a gang start
 // together, so they are on trial together and are not watched.
-func splitByVerdict(c placement.Candidate) (free, onTrial []placement.Candidate) {
+func splitByRestriction(c placement.Candidate) (free, onTrial []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
 		case quarantine.TrialOnly:
@@ -177,7 +177,7 @@
 		case quarantine.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
 		case quarantine.Separate:
-			one.Watched = true
+			one.Separate = true
 			free = append(free, one)
 		case quarantine.TrialOnly:
 			onTrial = append(onTrial, one)
@@ -192,29 +192,29 @@
 }
 
 // eachStartable calls f for each step with tasks that may start, in order of acceptance;
-// with withHeld also those that wait for a takeover to complete.
-func (o *Owner) eachStartable(withHeld bool, f func(s *jobs.StepRun, idle []*jobs.Task)) {
+// with includeAwaiting also those that wait for a takeover to complete.
+func (o *Owner) eachStartable(includeAwaiting bool, f func(s *jobs.StepRun, startable []*jobs.Task)) {
 	wall := time.Duration(time.Now().UnixNano())
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Steps {
 			if !s.Ready() || s.Finished() || s.Due() > wall {
 				continue
 			}
-			if idle := o.startableTasks(s, withHeld); len(idle) > 0 {
-				f(s, idle)
+			if startable := o.startableTasks(s, includeAwaiting); len(startable) > 0 {
+				f(s, startable)
 			}
 		}
 	}
 }
 
-// startableTasks returns the tasks of a step that may start now; with withHeld also those
+// startableTasks returns the tasks of a step that may start now; with includeAwaiting also those
 // that wait for a takeover to complete.
-func (o *Owner) startableTasks(s *jobs.StepRun, withHeld bool) (tasks []*jobs.Task) {
+func (o *Owner) startableTasks(s *jobs.StepRun, includeAwaiting bool) (tasks []*jobs.Task) {
 	if s.CountWaiting() == 0 && !s.Spec.Speculative {
 		return nil
 	}
 	for _, t := range s.Tasks {
-		if !withHeld && o.mayRunElsewhere(t) {
+		if !includeAwaiting && o.mayRunElsewhere(t) {
 			continue
 		}
 		if t.Idle() || t.WantsCopy && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
@@ -224,9 +224,9 @@
 	return tasks
 }
 
-func (o *Owner) candidate(s *jobs.StepRun, idle []*jobs.Task, left, now time.Duration) placement.Candidate {
+func (o *Owner) candidate(s *jobs.StepRun, startable []*jobs.Task, remaining, now time.Duration) placement.Candidate {
 	j := s.Job
-	c := placement.Candidate{Step: s, Tasks: idle, RemainingWork: left, Deadline: j.AddedAt + left}
+	c := placement.Candidate{Step: s, Tasks: startable, RemainingPath: remaining, Deadline: j.AddedAt + remaining}
 	if q := o.catalog.Queue(j.Queue); q != nil {
 		objective := q.TargetLatency + time.Duration(q.Stretch*float64(o.criticalPath(j)))
 		c.Priority = q.Priority
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -129,7 +129,7 @@
 		o.log.Debug().Str("event", "worker_known").Str("boot", s.ref.Boot).Int("running", len(s.attempts)).Send()
 	}
 	if s.former.pending {
-		o.checkTakeoverComplete()
+		o.resolveFormerWorkers()
 	}
 	o.kickPlacement()
 }
@@ -167,7 +167,7 @@
 	}
 	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
-		if s.hasSuspect() {
+		if s.hasSuspectedTask() {
 			order.Wait = suspectPollWait
 		}
 	}
--- a/pkg/shard/poll_test.go
+++ b/pkg/shard/poll_test.go
@@ -9,8 +9,8 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// TestPlanLook checks when a worker is polled next in each state of its session.
-func TestPlanLook(t *testing.T) {
+// TestPlanPoll checks when a worker is polled next in each state of its session.
+func TestPlanPoll(t *testing.T) {
 	const now = 10 * time.Second
 	busy := func(s session) session {
 		s.attempts = map[string]*workerAttempt{"t": {Attempt: &jobs.Attempt{}}}
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -23,7 +23,7 @@
 	// maxConfirmedWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
 	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
-	// doesn't divide upkeepInterval, so that the log order is deterministic.
+	// doesn't divide checkInterval, so that the log order is deterministic.
 	predecessorPollInterval = 47 * time.Millisecond
 	// standDownTimeout bounds one call that tells the predecessor that it was replaced.
 	standDownTimeout = 400 * time.Millisecond
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -20,7 +20,7 @@
 // early loss or that may have crashed a worker unseen.
 func (o *Owner) recordProvisionalLoss(s *session, r *workerAttempt) bool {
 	t := r.Task
-	maybeLost := o.unheardLoss && t.Step.Job.Restored
+	maybeLost := o.unreportedLoss && t.Step.Job.Restored
 	mustWait := maybeLost || t.Verdict() == quarantine.TrialOnly || t.Losses.HasEarly()
 	if !maybeLost && !t.Suspect() || o.commitsFailing && !mustWait {
 		return false
@@ -28,17 +28,17 @@
 	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
-	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.EvidenceVersion()})
+	o.deferredStarts[j] = append(o.deferredStarts[j], deferredStart{session: s, running: r, evidence: j.EvidenceVersion()})
 	o.persist(j, true)
 	return true
 }
 
 // sendDeferred sends the deferred starts of a job whose provisional losses are stored.
 func (o *Owner) sendDeferred(j *jobs.Job) {
-	if len(o.noted[j]) == 0 {
+	if len(o.deferredStarts[j]) == 0 {
 		return
 	}
-	o.noted[j] = slices.DeleteFunc(o.noted[j], func(n deferredStart) bool {
+	o.deferredStarts[j] = slices.DeleteFunc(o.deferredStarts[j], func(n deferredStart) bool {
 		if !j.EvidencePersisted(n.evidence) {
 			return false
 		}
@@ -48,8 +48,8 @@
 		}
 		return true
 	})
-	if len(o.noted[j]) == 0 {
-		delete(o.noted, j)
+	if len(o.deferredStarts[j]) == 0 {
+		delete(o.deferredStarts, j)
 	}
 }
 
@@ -64,20 +64,20 @@
 	o.persist(t.Step.Job, false)
 }
 
-// recordUnheardLoss records that a worker of a former owner was lost before it reported to this one.
+// recordUnreportedLoss records that a worker of a former owner was lost before it reported to this one.
 // The loss is counted against the tasks known to have been there. If these are not known, every
 // restored task may have crashed it, and gets a provisional loss before its next start.
-func (o *Owner) recordUnheardLoss(s *session) {
+func (o *Owner) recordUnreportedLoss(s *session) {
 	if !s.former.listed {
-		if !o.unheardLoss {
-			o.unheardLoss = true
+		if !o.unreportedLoss {
+			o.unreportedLoss = true
 			o.record.markChanged(s.worker) // has it removed from the record
 			o.kickCommit()
 		}
 		return
 	}
 	for _, name := range s.former.names {
-		t := o.book.Task(name)
+		t := o.registry.Task(name)
 		if t == nil || t.Done || t.Step.Job.State.Final() || s.departsByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
 			continue
 		}
--- a/pkg/shard/read.go
+++ b/pkg/shard/read.go
@@ -36,11 +36,11 @@
 
 // storedState is what the table service holds of a shard.
 type storedState struct {
-	book              *jobs.Registry
+	registry          *jobs.Registry
 	unreadable        map[string]bool // IDs of jobs with a malformed row
 	workers           []leasedWorker
 	record            workerRecord
-	unheard           bool // a worker of a former owner was lost before it reported to a later one
+	unreportedLoss    bool // a worker of a former owner was lost before it reported to a later one
 	workersUnreadable bool // the record of workers is malformed: any worker may hold a lease
 	shares            allowance.Row
 }
@@ -59,47 +59,47 @@
 // readStoredState reads the partition after the takeover, when no other entry can write to it. A
 // job with a malformed row is left out, and malformed is called for each such row. A malformed row
 // of quota shares is an error, since nothing could be started within the limits of accounts.
-func readStoredState(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (k storedState, err error) {
+func readStoredState(ctx context.Context, rows platform.Rows, pool string, term int64, now time.Duration, malformed func(errMalformedRow)) (stored storedState, err error) {
 	defer func() { err = errors.Wrapf(err, "read shard %s", pool) }()
-	k.book, k.unreadable = jobs.NewRegistry(term), map[string]bool{}
+	stored.registry, stored.unreadable = jobs.NewRegistry(term), map[string]bool{}
 	records, err := readAll(ctx, rows, tableJob, pool)
 	if err != nil {
-		return k, err
+		return stored, err
 	}
 	progress, err := readAll(ctx, rows, tableProgress, pool)
 	if err != nil {
-		return k, err
+		return stored, err
 	}
-	byID := k.readProgress(progress, malformed)
+	byID := stored.readProgress(progress, malformed)
 	for _, r := range records {
 		record, err := jobs.DecodeRecord(r.Value)
 		if err != nil {
-			k.unreadable[r.Key] = true
+			stored.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
 		if err := record.Spec.CheckTaskCount(); err != nil {
 			// An earlier version accepted a job that is too large for this one.
-			k.unreadable[r.Key] = true
+			stored.unreadable[r.Key] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
-		if !k.unreadable[r.Key] {
-			k.book.Restore(r.Key, record, byID[r.Key], now-jobAge(&record))
+		if !stored.unreadable[r.Key] {
+			stored.registry.Restore(r.Key, record, byID[r.Key], now-jobAge(&record))
 		}
 	}
-	err = k.readWorkers(ctx, rows, pool, malformed)
-	return k, err
+	err = stored.readWorkers(ctx, rows, pool, malformed)
+	return stored, err
 }
 
 // readProgress decodes the progress of jobs, by ID. A job with a malformed or missing row must not
 // start over, since its tasks may be done.
-func (k *storedState) readProgress(rows []platform.Row, malformed func(errMalformedRow)) map[string]jobs.Progress {
+func (stored *storedState) readProgress(rows []platform.Row, malformed func(errMalformedRow)) map[string]jobs.Progress {
 	byID := make(map[string]jobs.Progress, len(rows))
 	further := map[string][]jobs.Progress{}
 	for _, r := range rows {
 		id, number, hasNumber := strings.Cut(r.Key, progressRowSeparator)
 		p, err := jobs.DecodeProgress(r.Value)
 		if err != nil {
-			k.unreadable[id] = true
+			stored.unreadable[id] = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
 		if n, err := strconv.Atoi(number); hasNumber && err == nil && n == len(further[id])+1 {
@@ -110,7 +110,7 @@
 	}
 	for id, p := range byID {
 		if err := p.Join(further[id]); err != nil {
-			k.unreadable[id] = true
+			stored.unreadable[id] = true
 			malformed(errMalformedRow{key: progressKeys("", id, 1)[0], cause: err})
 		}
 		byID[id] = p
@@ -119,29 +119,29 @@
 }
 
 // readWorkers reads the record of leased workers and the quota shares stored beside it.
-func (k *storedState) readWorkers(ctx context.Context, rows platform.Rows, pool string, malformed func(errMalformedRow)) error {
+func (stored *storedState) readWorkers(ctx context.Context, rows platform.Rows, pool string, malformed func(errMalformedRow)) error {
 	sets, err := readAll(ctx, rows, tableWorkers, pool)
 	if err != nil {
 		return err
 	}
 	for _, r := range sets {
-		ok, err := k.readPart(r)
+		ok, err := stored.readPart(r)
 		if err != nil {
-			k.workersUnreadable = true
+			stored.workersUnreadable = true
 			malformed(errMalformedRow{key: r.RowKey, cause: err})
 		}
 		switch {
 		case ok:
-		case r.Key == unheardKey:
-			k.unheard = true
+		case r.Key == unreportedLossKey:
+			stored.unreportedLoss = true
 		case r.Key == sharesKey:
-			if err := msgpack.Unmarshal(r.Value, &k.shares); err != nil {
+			if err := msgpack.Unmarshal(r.Value, &stored.shares); err != nil {
 				return errMalformedRow{key: r.RowKey, cause: err}
 			}
 		}
 	}
-	if !k.record.markerStored {
-		k.record.markAllChanged()
+	if !stored.record.markerStored {
+		stored.record.markAllChanged()
 	}
 	return nil
 }
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -103,7 +103,7 @@
 	}
 	o.record.clearChanged(b.parts)
 	b.record = true
-	return o.putUnheard(b)
+	return o.putUnreportedLoss(b)
 }
 
 // clearChanged notes that the changed parts are in a transaction under way.
@@ -133,17 +133,17 @@
 }
 
 // readPart decodes one row of the record; ok is false for a row that does not belong to it.
-func (k *storedState) readPart(r platform.Row) (ok bool, err error) {
+func (stored *storedState) readPart(r platform.Row) (ok bool, err error) {
 	part, ok := partNumber(r.Key)
 	switch {
 	case ok:
-		k.record.stored[part] = true
+		stored.record.stored[part] = true
 	case r.Key != singleKey:
 		return false, nil
 	default:
 		var marker string
 		if msgpack.Unmarshal(r.Value, &marker) == nil && marker == partsMarker {
-			k.record.markerStored = true
+			stored.record.markerStored = true
 			return true, nil
 		}
 		// Written by an earlier version, which leaves the parts as they are. The workers in them are
@@ -153,6 +153,6 @@
 	if err := msgpack.Unmarshal(r.Value, &set); err != nil {
 		return true, err
 	}
-	k.workers = append(k.workers, set...)
+	stored.workers = append(stored.workers, set...)
 	return true, nil
 }
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -36,7 +36,7 @@
 	}
 	if b.record || b.shares != nil {
 		// No tasks start at workers that are not recorded.
-		o.setTroubledLocked(true, cause)
+		o.setCommitsFailingLocked(true, cause)
 		o.requeue(b)
 		time.AfterFunc(refusedRetryDelay, o.kickCommit)
 	}
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -75,7 +75,7 @@
 // of an earlier transaction is unknown, it leaves the record of leased workers unchanged.
 func (o *Owner) writeRelease(ctx context.Context, next string) (err error) {
 	to := Handover{Entry: next, FormerGrace: max(0, o.soleOwnerAt-o.now())}
-	noteLoss := o.unheardLoss || len(o.dirty) > 0
+	maybeLoss := o.unreportedLoss || len(o.dirty) > 0
 	txn, err := o.releaseTxn()
 	if err != nil {
 		return err
@@ -85,8 +85,8 @@
 		return err
 	}
 	txn = platform.RowTxn{}
-	if noteLoss {
-		if err := o.putUnheardRow(&txn); err != nil {
+	if maybeLoss {
+		if err := o.putUnreportedLossRow(&txn); err != nil {
 			return err
 		}
 	}
@@ -103,10 +103,10 @@
 		return txn, err
 	}
 	o.putProgress(b)
-	if o.unheardLoss || len(o.dirty) > 0 {
+	if o.unreportedLoss || len(o.dirty) > 0 {
 		// The write that reports the loss may still be outstanding; without this row the next
 		// owner would miss the loss.
-		err = o.putUnheardRow(&b.txn)
+		err = o.putUnreportedLossRow(&b.txn)
 	}
 	return b.txn, err
 }
@@ -144,12 +144,12 @@
 	return n
 }
 
-// putUnheardRow stores that a worker unknown to the next owner may have been lost.
-func (o *Owner) putUnheardRow(txn *platform.RowTxn) error {
-	raw, err := encode(unheardRow{Term: o.claim.Term})
+// putUnreportedLossRow stores that a worker unknown to the next owner may have been lost.
+func (o *Owner) putUnreportedLossRow(txn *platform.RowTxn) error {
+	raw, err := encode(unreportedLossRow{Term: o.claim.Term})
 	if err != nil {
 		return err
 	}
-	txn.Put = append(txn.Put, platform.Row{RowKey: unheardRowKey(o.cfg.Pool), Value: raw})
+	txn.Put = append(txn.Put, platform.Row{RowKey: unreportedLossRowKey(o.cfg.Pool), Value: raw})
 	return nil
 }
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -33,7 +33,7 @@
 		o.applyRunning(s, &r.Running[i], now)
 	}
 	s.forgetUnlistedForeign(r, sentAt)
-	o.adjustPace(s, now)
+	o.adjustThrottles(s, now)
 	o.dropVanished(s, seen, sentAt)
 }
 
@@ -44,7 +44,7 @@
 	for name, a := range s.attempts {
 		if seen[name] {
 			a.missing = false
-		} else if a.confirmedAt > 0 && a.confirmedAt < sentAt && a.markMissing() {
+		} else if a.startConfirmedAt > 0 && a.startConfirmedAt < sentAt && a.markMissing() {
 			vanished = append(vanished, name)
 		}
 	}
@@ -94,7 +94,7 @@
 
 // applyEnd applies one reported end.
 func (o *Owner) applyEnd(s *session, e *platform.AttemptEnd, now time.Duration) {
-	t := o.book.Task(e.Task)
+	t := o.registry.Task(e.Task)
 	a := s.attempts[e.Task]
 	s.forgetForeign(foreignKey{task: e.Task, number: e.Attempt})
 	o.cfg.Metrics.End(e.Reason)
@@ -115,7 +115,7 @@
 		}
 	}
 	s.health.noteEnd(e.Reason, now)
-	effect := o.book.EndAttempt(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
+	effect := o.registry.EndAttempt(t, attempt, e.Attempt, e.Reason, e.Checkpoint)
 	ev.Str("job_state", string(t.Step.Job.State)).Send()
 	if effect.MustPersist {
 		o.persist(t.Step.Job, effect.JobEnded)
@@ -141,12 +141,12 @@
 func (o *Owner) resolveDoubt(s *session, sentAt time.Duration) {
 	s.inDoubt = false
 	for name, a := range sortedByKey(s.attempts) {
-		if a.Phase != jobs.PhaseInDoubt || a.confirmedAt > 0 {
+		if a.Phase != jobs.PhaseInDoubt || a.startConfirmedAt > 0 {
 			continue
 		}
 		// One report is enough for an unanswered start, so that its task is not delayed. Two are
 		// needed if the start may have reached the next boot.
-		if a.lostWithBoot != "" && !a.markMissing() {
+		if a.countedLostBoot != "" && !a.markMissing() {
 			s.inDoubt = true
 			continue
 		}
@@ -161,9 +161,9 @@
 	if a := s.attempts[name]; a != nil {
 		o.dropProvisionalLoss(a.Attempt)
 		s.removeAttempt(name)
-		o.book.RemoveAttempt(a.Attempt)
-		if a.lostWithBoot != "" {
-			o.confirmLoss(a.Task, a.lostWithBoot)
+		o.registry.RemoveAttempt(a.Attempt)
+		if a.countedLostBoot != "" {
+			o.confirmLoss(a.Task, a.countedLostBoot)
 		}
 		o.kickPlacement()
 	}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -53,10 +53,10 @@
 			continue
 		}
 		s.removeAttempt(name)
-		if r.lostWithBoot == "" {
-			r.lostWithBoot = s.ref.Boot // the boot of the counted loss, also after further restarts
+		if r.countedLostBoot == "" {
+			r.countedLostBoot = s.ref.Boot // the boot of the counted loss, also after further restarts
 		}
-		r.Boot, r.Phase, r.confirmedAt, r.missing = next.ref.Boot, jobs.PhaseInDoubt, 0, false
+		r.Boot, r.Phase, r.startConfirmedAt, r.missing = next.ref.Boot, jobs.PhaseInDoubt, 0, false
 		next.addAttempt(name, r)
 		next.inDoubt = true
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	if !s.synced {
-		o.recordUnheardLoss(s)
+		o.recordUnreportedLoss(s)
 	}
 	tasks := s.former
 	if next.former.pending {
@@ -84,10 +84,10 @@
 // retractLoss removes the loss counted against a task when its boot ended, since the attempt is or
 // was at the next boot.
 func (o *Owner) retractLoss(r *workerAttempt) {
-	if r.lostWithBoot == "" {
+	if r.countedLostBoot == "" {
 		return
 	}
-	r.lostWithBoot = ""
+	r.countedLostBoot = ""
 	r.Task.SetLosses(r.Task.Losses.WithoutAttempt(r.Number))
 	o.persist(r.Task.Step.Job, false)
 }
@@ -103,7 +103,7 @@
 // was started at.
 func (o *Owner) mayBeAtNextBoot(t *jobs.Task) bool {
 	for _, a := range t.Attempts {
-		if r := o.findAttempt(a); r != nil && r.lostWithBoot != "" {
+		if r := o.findAttempt(a); r != nil && r.countedLostBoot != "" {
 			return true
 		}
 	}
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -27,12 +27,12 @@
 // takeover reads both with one call.
 const sharesKey = "shares"
 
-// unheardKey is the key, in the table of workers, of the row that marks that a worker of a former
+// unreportedLossKey is the key, in the table of workers, of the row that marks that a worker of a former
 // owner was lost before it reported to a later one.
-const unheardKey = "unheard"
+const unreportedLossKey = "unheard"
 
-// unheardRow is the value of the row at unheardKey.
-type unheardRow struct {
+// unreportedLossRow is the value of the row at unreportedLossKey.
+type unreportedLossRow struct {
 	Term int64 `msgpack:"t"` // of the owner that found the loss
 }
 
@@ -80,8 +80,8 @@
 	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: sharesKey}
 }
 
-func unheardRowKey(pool string) platform.RowKey {
-	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: unheardKey}
+func unreportedLossRowKey(pool string) platform.RowKey {
+	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: unreportedLossKey}
 }
 
 func jobKey(pool, id string) platform.RowKey {
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -319,7 +319,7 @@
 		task := id + ".0.0.0"
 		if state == jobs.StateFailed && m.e.witness.failures[task] < maxAttempts && !m.e.witness.mayBeGivenUp(task) {
 			m.t.Fatalf("job %s failed after %d failures at %d workers, of which it crashed %d\n%s", id,
-				m.e.witness.failures[task], m.e.witness.lostWith[task], m.e.witness.crashedBy[task], m.e.log.String())
+				m.e.witness.failures[task], m.e.witness.workersLostWith[task], m.e.witness.crashedBy[task], m.e.log.String())
 		}
 	}
 }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -72,16 +72,16 @@
 // workerAttempt is an attempt at a worker.
 type workerAttempt struct {
 	*jobs.Attempt
-	sentAt        time.Duration // when the start was last sent, 0 for never
-	connLost      bool          // the start got no answer because the connection failed
-	confirmedAt   time.Duration // when the worker confirmed that it has it, 0 if it did not yet
-	stopOrderedAt time.Duration // when its stop was last ordered, 0 for never
-	reportedAt    time.Duration // when the worker last reported it
-	missing       bool          // the worker's last report lacked it
-	replaced      bool          // a replacement was ordered because it is too slow
-	lostWithBoot  string        // earlier boot it counts as lost with until this boot answers
-	pacePercent   int           // speed limit in percent, 0 for none
-	pacedAt       time.Duration // when the pace was last ordered
+	sentAt           time.Duration // when the start was last sent, 0 for never
+	connLost         bool          // the start got no answer because the connection failed
+	startConfirmedAt time.Duration // when the worker confirmed that it has it, 0 if it did not yet
+	stopOrderedAt    time.Duration // when its stop was last ordered, 0 for never
+	reportedAt       time.Duration // when the worker last reported it
+	missing          bool          // the worker's last report lacked it
+	replaced         bool          // a replacement was ordered because it is too slow
+	countedLostBoot  string        // earlier boot it counts as lost with until this boot answers
+	throttlePercent  int           // speed limit in percent, 0 for none
+	throttledAt      time.Duration // when the pace was last ordered
 }
 
 // requestPoll makes the poll loop decide again when to poll.
@@ -208,7 +208,7 @@
 		h.Free = h.Free.Sub(placement.Charge(a.Task.Step.Spec))
 		h.CountTask(a.Task.Step)
 		if a.Task.Suspect() {
-			h.WatchedTasks++
+			h.SuspectedTasks++
 		}
 	}
 	return h
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -54,8 +54,8 @@
 		}
 		for _, name := range sortedKeysWhere(s.attempts, slow) {
 			r := s.attempts[name]
-			if left, straggles := o.isStraggler(s, r); straggles { // replacing earlier ones may have changed it
-				o.replaceStraggler(s, name, r, left, now)
+			if remaining, straggles := o.isStraggler(s, r); straggles { // replacing earlier ones may have changed it
+				o.replaceStraggler(s, name, r, remaining, now)
 			}
 		}
 	}
@@ -63,33 +63,33 @@
 
 // isStraggler reports whether an attempt has stalled, or takes much longer than the other
 // tasks of its step and than a restart would; left is its remaining time.
-func (o *Owner) isStraggler(s *session, r *workerAttempt) (left time.Duration, straggles bool) {
+func (o *Owner) isStraggler(s *session, r *workerAttempt) (remaining time.Duration, straggles bool) {
 	step := r.Task.Step
-	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 || r.replaced {
+	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.startConfirmedAt == 0 || r.replaced {
 		return 0, false
 	}
-	ran := r.reportedAt - r.confirmedAt
+	ran := r.reportedAt - r.startConfirmedAt
 	if ran < minStragglerRuntime {
 		return 0, false
 	}
 	total := r.projectedDuration()
-	left = max(0, total-ran)
+	remaining = max(0, total-ran)
 	// A task that is slow at each worker is slow by itself, so patience doubles with each
 	// replacement.
 	patience := time.Duration(1) << min(r.Task.Replaced, maxPatienceDoublings)
 	if r.reportedAt-r.ProgressAt > patience*stallTimeout {
-		return left, true
+		return remaining, true
 	}
-	if float64(left) <= restartGainFactor*float64(restartCost) {
-		return left, false // too short to restart, however fast the others are
+	if float64(remaining) <= restartGainFactor*float64(restartCost) {
+		return remaining, false // too short to restart, however fast the others are
 	}
 	usual := patience * o.typicalDuration(s, r)
-	return left, float64(total) > siblingFactor*float64(usual) && float64(left) > restartGainFactor*float64(usual+restartCost)
+	return remaining, float64(total) > siblingFactor*float64(usual) && float64(remaining) > restartGainFactor*float64(usual+restartCost)
 }
 
 // projectedDuration returns how long the attempt takes in total at its present speed.
 func (r *workerAttempt) projectedDuration() time.Duration {
-	return time.Duration(float64(r.reportedAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
+	return time.Duration(float64(r.reportedAt-r.startConfirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
 }
 
 // typicalDuration returns the median duration of the step's tasks at other workers, or a
@@ -133,12 +133,12 @@
 }
 
 // replaceStraggler starts a copy where the step allows it, and stops the attempt otherwise.
-func (o *Owner) replaceStraggler(s *session, name string, r *workerAttempt, left, now time.Duration) {
+func (o *Owner) replaceStraggler(s *session, name string, r *workerAttempt, remaining, now time.Duration) {
 	r.replaced = true
 	r.Task.Replaced++
 	s.health.noteStalled(now)
 	o.log.Info().Str("event", "straggler").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.confirmedAt).Dur("left", left).Send()
+		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.startConfirmedAt).Dur("left", remaining).Send()
 	if r.Task.Step.Spec.Speculative {
 		r.Task.WantsCopy = true
 		o.kickPlacement()
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -49,10 +49,10 @@
 
 func (o *Owner) countLoss(s *session, r *workerAttempt, a quarantine.Attempt) {
 	t := r.Task
-	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.confirmedAt > 0 || r.connLost}))
+	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.startConfirmedAt > 0 || r.connLost}))
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
+		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.startConfirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
 	o.persist(t.Step.Job, true)
 }
 
@@ -66,7 +66,7 @@
 			continue
 		}
 		losses := t.Losses.WithoutBoot(s.ref.Boot)
-		if n, runs := runningAttempt(r, t.Name()); runs && (len(losses) > 0 || o.unheardLoss && t.Step.Job.Restored) {
+		if n, runs := runningAttempt(r, t.Name()); runs && (len(losses) > 0 || o.unreportedLoss && t.Step.Job.Restored) {
 			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
@@ -104,7 +104,7 @@
 // failIfPoison fails the job of a task that is known to crash its workers.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != quarantine.Poison || !o.book.FailJobOf(t) {
+	if t.Verdict() != quarantine.Poison || !o.registry.FailJobOf(t) {
 		return
 	}
 	boots := zerolog.Arr()
@@ -135,7 +135,7 @@
 
 // restoreSuspects collects the tasks with losses that former owners have recorded.
 func (o *Owner) restoreSuspects() {
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Steps {
 			for _, t := range s.Tasks {
 				if len(t.Losses) > 0 {
@@ -169,11 +169,11 @@
 		}
 		for _, a := range t.Attempts {
 			r := o.findAttempt(a)
-			if r == nil || r.confirmedAt == 0 || r.reportedAt-r.confirmedAt < t.Losses.ClearAfter() {
+			if r == nil || r.startConfirmedAt == 0 || r.reportedAt-r.startConfirmedAt < t.Losses.ClearAfter() {
 				continue
 			}
 			o.log.Info().Str("event", "task_cleared").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", a.Boot).
-				Dur("ran", r.reportedAt-r.confirmedAt).Int("losses", len(t.Losses)).Send()
+				Dur("ran", r.reportedAt-r.startConfirmedAt).Int("losses", len(t.Losses)).Send()
 			t.SetLosses(nil)
 			o.persist(t.Step.Job, false)
 			delete(o.suspects, t)
@@ -183,8 +183,8 @@
 	}
 }
 
-// hasSuspect reports whether a suspected task runs at a worker.
-func (s *session) hasSuspect() bool {
+// hasSuspectedTask reports whether a suspected task runs at a worker.
+func (s *session) hasSuspectedTask() bool {
 	for _, r := range s.attempts {
 		if r.Task.Suspect() {
 			return true
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -92,7 +92,7 @@
 	}
 	var old OwnerRow
 	if owner.Version > 0 {
-		if old, err = formerOwner(owner, commit); err != nil {
+		if old, err = decodePredecessor(owner, commit); err != nil {
 			return c, err
 		}
 	}
@@ -131,9 +131,9 @@
 	return c, nil
 }
 
-// formerOwner decodes the owner row. If the row is malformed, the term comes from the commit row,
+// decodePredecessor decodes the owner row. If the row is malformed, the term comes from the commit row,
 // which each takeover writes as well, so that terms keep rising.
-func formerOwner(owner, commit platform.Row) (old OwnerRow, err error) {
+func decodePredecessor(owner, commit platform.Row) (old OwnerRow, err error) {
 	if old, err = DecodeOwner(owner.Value); err == nil {
 		return old, nil
 	}
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -63,9 +63,9 @@
 		for _, st := range starts {
 			boots = append(boots, st.Host.Boot)
 		}
-		attempts = o.book.StartGang(c.Step, boots, now)
+		attempts = o.registry.StartGang(c.Step, boots, now)
 	} else {
-		attempts = []*jobs.Attempt{o.book.StartAttempt(starts[0].Task, starts[0].Host.Boot, now)}
+		attempts = []*jobs.Attempt{o.registry.StartAttempt(starts[0].Task, starts[0].Host.Boot, now)}
 	}
 	for _, a := range attempts {
 		s := o.sessions[a.Boot]
@@ -138,7 +138,7 @@
 		return false
 	}
 	for _, r := range s.attempts {
-		if r.confirmedAt == 0 || now-r.confirmedAt < trialSettleTime {
+		if r.startConfirmedAt == 0 || now-r.startConfirmedAt < trialSettleTime {
 			return false
 		}
 	}
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// upkeepInterval is the time between two passes over leases, stops and final jobs.
-const upkeepInterval = 150 * time.Millisecond
+// checkInterval is the time between two passes over leases, stops and final jobs.
+const checkInterval = 150 * time.Millisecond
 
 // finalJob is a job to be removed after the retention time.
 type finalJob struct {
@@ -14,21 +14,21 @@
 	at time.Duration
 }
 
-// upkeepLoop runs the periodic work.
-func (o *Owner) upkeepLoop(ctx context.Context) {
-	tick := time.NewTicker(upkeepInterval)
+// checkLoop runs the periodic work.
+func (o *Owner) checkLoop(ctx context.Context) {
+	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			o.upkeep()
+			o.runChecks()
 		}
 	}
 }
 
-func (o *Owner) upkeep() {
+func (o *Owner) runChecks() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
@@ -46,13 +46,13 @@
 			o.evacuate(s, true, "its worker is no longer listed")
 		}
 	}
-	o.checkTakeoverComplete()
+	o.resolveFormerWorkers()
 	o.checkVMList(now)
 	o.removeExpiredJobs(now)
 	o.checkStragglers(now)
 	o.updateRateLimit(now)
 	o.logLoad(now)
-	if o.tasksWaiting || o.book.HasOccurrences() {
+	if o.hasWaitingTasks || o.registry.HasOccurrences() {
 		o.kickPlacement()
 	}
 }
@@ -72,10 +72,10 @@
 	for len(o.finalJobs) > 0 && now-o.finalJobs[0].at > o.cfg.Retention {
 		d := expiredJob{id: o.finalJobs[0].id, rows: 1}
 		o.finalJobs = o.finalJobs[1:]
-		if j := o.book.Job(d.id); j != nil {
+		if j := o.registry.Job(d.id); j != nil {
 			d.rows = j.ProgressRows()
 		}
-		o.book.Remove(d.id)
+		o.registry.Remove(d.id)
 		o.removals = append(o.removals, d)
 		o.kickCommit()
 	}
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -23,29 +23,29 @@
 
 // witness checks the invariants against what workers do and what callers were told.
 type witness struct {
-	estate     *testCluster
-	running    map[string][]string  // boots, by task
-	ended      map[string]bool      // tasks that ended as done at a worker
-	done       map[string]bool      // tasks with an acknowledged end as done
-	failed     map[string]int       // acknowledged failures, by task
-	failures   map[string]int       // failures at workers, by task
-	refused    map[string]bool      // jobs with only refused submissions
-	steps      map[string]string    // specifications of submitted jobs
-	cancelled  map[string]time.Time // when a job's cancel was confirmed
-	copies     map[string]bool      // jobs whose tasks may run more than once at a time
-	accounts   map[string]string    // of jobs
-	allowed    map[string]int       // CPU limit of accounts, in thousandths; no entry for no limit
-	crashedBy  map[string]int       // workers that a task has crashed
-	lostWith   map[string]int       // workers lost while a task was there
-	violations []string
-	starts     int
+	estate          *testCluster
+	running         map[string][]string  // boots, by task
+	ended           map[string]bool      // tasks that ended as done at a worker
+	done            map[string]bool      // tasks with an acknowledged end as done
+	failed          map[string]int       // acknowledged failures, by task
+	failures        map[string]int       // failures at workers, by task
+	refused         map[string]bool      // jobs with only refused submissions
+	steps           map[string]string    // specifications of submitted jobs
+	cancelled       map[string]time.Time // when a job's cancel was confirmed
+	copies          map[string]bool      // jobs whose tasks may run more than once at a time
+	accounts        map[string]string    // of jobs
+	allowed         map[string]int       // CPU limit of accounts, in thousandths; no entry for no limit
+	crashedBy       map[string]int       // workers that a task has crashed
+	workersLostWith map[string]int       // workers lost while a task was there
+	violations      []string
+	starts          int
 }
 
 func newWitness(e *testCluster) *witness {
 	return &witness{
 		estate: e, running: map[string][]string{}, ended: map[string]bool{}, done: map[string]bool{}, failed: map[string]int{}, failures: map[string]int{},
 		refused: map[string]bool{}, steps: map[string]string{}, cancelled: map[string]time.Time{}, copies: map[string]bool{},
-		accounts: map[string]string{}, allowed: map[string]int{}, crashedBy: map[string]int{}, lostWith: map[string]int{},
+		accounts: map[string]string{}, allowed: map[string]int{}, crashedBy: map[string]int{}, workersLostWith: map[string]int{},
 	}
 }
 
@@ -143,14 +143,14 @@
 	case platform.EndFailed:
 		w.failures[task]++
 	case fake.EndCrashed:
-		w.lostWith[task]++
+		w.workersLostWith[task]++
 	}
 }
 
 // mayBeGivenUp reports whether the job of a task may fail for lost workers: the task crashes them,
 // and enough were lost.
 func (w *witness) mayBeGivenUp(task string) bool {
-	return w.crashedBy[task] > 0 && w.lostWith[task] >= minWorkersLost
+	return w.crashedBy[task] > 0 && w.workersLostWith[task] >= minWorkersLost
 }
 
 // Overfilled implements fake.Witness.
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithCancel(o.ctx)
 	worker, _ := platform.ParseBootID(ref.Boot)
 	s := &session{
-		ref: ref, worker: worker, vm: vm, attempts: map[string]*workerAttempt{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.raisedTokens[worker]),
+		ref: ref, worker: worker, vm: vm, attempts: map[string]*workerAttempt{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.endedBootTokens[worker]),
 		wake: make(chan struct{}, 1), cancel: cancel, earlierLeasesUntil: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
 	}
 	o.sessions[ref.Boot] = s
@@ -129,7 +129,7 @@
 		o.bootEnded(s, "not listed and not answering")
 		return
 	}
-	o.checkTakeoverComplete()
+	o.resolveFormerWorkers()
 }
 
 // bootEnded handles a boot that has certainly ended; the attempts there are lost.
@@ -149,10 +149,10 @@
 	if s.token > o.firstToken() {
 		// The boot may be alive, with only its directory entry expired. It would refuse the
 		// first token, and this owner would take that for a later owner's fencing.
-		o.raisedTokens[s.worker] = s.token
+		o.endedBootTokens[s.worker] = s.token
 	}
 	o.sortedSessions = nil
 	o.record.markChanged(s.worker)
-	o.checkTakeoverComplete()
+	o.resolveFormerWorkers()
 	o.kickCommit()
 }
