--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -21,9 +21,9 @@
 	}
 }
 
-// BenchmarkVerdictClear measures the verdict on a task without losses, which every placement
+// BenchmarkRestriction measures the verdict on a task without losses, which every placement
 // pass asks for.
-func BenchmarkVerdictClear(b *testing.B) {
+func BenchmarkRestriction(b *testing.B) {
 	var ls Losses
 	b.ReportAllocs()
 	for range b.N {
--- a/pkg/quarantine/loss.go
+++ b/pkg/quarantine/loss.go
@@ -52,12 +52,12 @@
 	Poison       Restriction = "guilty"   // nowhere; its job fails
 )
 
-// severity lists the verdicts from the least to the most restrictive.
-var severity = []Restriction{Unrestricted, Separate, TrialOnly, Blocked, Poison}
+// byStrictness lists the verdicts from the least to the most restrictive.
+var byStrictness = []Restriction{Unrestricted, Separate, TrialOnly, Blocked, Poison}
 
 // Stricter returns the more restrictive of two verdicts.
 func Stricter(a, b Restriction) Restriction {
-	if slices.Index(severity, b) > slices.Index(severity, a) {
+	if slices.Index(byStrictness, b) > slices.Index(byStrictness, a) {
 		return b
 	}
 	return a
@@ -68,31 +68,31 @@
 
 // Restriction returns where the task may be started.
 func (ls Losses) Restriction() Restriction {
-	n, sure, firm, strong, proven := 0, 0, 0, 0, false
+	n, ended, delivered, early, endedInTrial := 0, 0, 0, 0, false
 	for _, l := range ls {
 		if l.Provisional {
 			continue
 		}
 		n++
 		if l.Ended {
-			sure++
+			ended++
 		}
 		if l.Delivered {
-			firm++
+			delivered++
 		}
 		if l.early() {
-			strong++
+			early++
 		}
-		proven = proven || l.Trial && l.Ended
+		endedInTrial = endedInTrial || l.Trial && l.Ended
 	}
 	switch {
-	case proven && n > trialThreshold && firm >= minDelivered || sure >= maxLosses:
+	case endedInTrial && n > trialThreshold && delivered >= minDelivered || ended >= maxLosses:
 		return Poison
 	case n >= maxLosses:
 		return Blocked
-	case strong >= trialThreshold || n > trialThreshold:
+	case early >= trialThreshold || n > trialThreshold:
 		return TrialOnly
-	case strong > 0 || n >= trialThreshold:
+	case early > 0 || n >= trialThreshold:
 		return Separate
 	default:
 		return Unrestricted
@@ -152,11 +152,11 @@
 // provisional one of the attempt that still runs there. Otherwise the next owner would not know of
 // that attempt.
 func (ls Losses) ResetProvisional(boot string, attempt int64) Losses {
-	return append(ls.WithoutBoot(boot), Loss{Attempt: attempt, Boot: boot, Trial: ls.OnTrialAt(boot, attempt), Provisional: true})
+	return append(ls.WithoutBoot(boot), Loss{Attempt: attempt, Boot: boot, Trial: ls.InTrialAt(boot, attempt), Provisional: true})
 }
 
-// OnTrialAt reports whether an attempt was on trial at a boot.
-func (ls Losses) OnTrialAt(boot string, attempt int64) bool {
+// InTrialAt reports whether an attempt was on trial at a boot.
+func (ls Losses) InTrialAt(boot string, attempt int64) bool {
 	return slices.ContainsFunc(ls, func(l Loss) bool { return l.Boot == boot && l.Attempt == attempt && l.Trial })
 }
 
@@ -167,11 +167,11 @@
 
 // MarkEnded returns the losses with those of a boot marked as ended.
 func (ls Losses) MarkEnded(boot string) Losses {
-	sure := slices.Clone(ls)
-	for i := range sure {
-		sure[i].Ended = sure[i].Ended || sure[i].Boot == boot
+	marked := slices.Clone(ls)
+	for i := range marked {
+		marked[i].Ended = marked[i].Ended || marked[i].Boot == boot
 	}
-	return sure
+	return marked
 }
 
 // HasEarly reports whether a worker was lost right after a start of the task.
--- a/pkg/quarantine/loss_test.go
+++ b/pkg/quarantine/loss_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestVerdict checks the verdict for each kind of loss history.
-func TestVerdict(t *testing.T) {
+// TestRestriction checks the verdict for each kind of loss history.
+func TestRestriction(t *testing.T) {
 	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
 	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
 	silentTrial, provisional, undelivered := Loss{Trial: true}, Loss{Provisional: true}, Loss{}
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -11,9 +11,7 @@
 const ConfirmationTTL = 1500 * time.Millisecond
 
 // confirmed reports whether this entry may grant leases and send orders.
-func (o *Owner) confirmed(now time.Duration) bool {
-	return now-o.ownershipConfirmedAt < ConfirmationTTL
-}
+func (o *Owner) confirmed(now time.Duration) bool { return now-o.lastOwnedAt < ConfirmationTTL }
 
 // Confirm records that this entry was the owner at a time on the owner's clock.
 func (o *Owner) Confirm(at time.Duration) {
@@ -24,12 +22,12 @@
 
 // noteConfirmed does what Confirm does; the lock is held.
 func (o *Owner) noteConfirmed(at time.Duration) {
-	if at <= o.ownershipConfirmedAt {
+	if at <= o.lastOwnedAt {
 		return
 	}
 	now := o.now()
 	regained := !o.confirmed(now) && now-at < ConfirmationTTL
-	o.ownershipConfirmedAt = at
+	o.lastOwnedAt = at
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
 		o.kickPlacement()
@@ -42,12 +40,12 @@
 // checkOwnership reads the owner row if ownership has not been confirmed recently, or while the
 // table service is in trouble; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
-	if o.readingOwnerRow || !o.commitsFailing && now-o.ownershipConfirmedAt < ConfirmationTTL/2 {
+	if o.readingOwnerRow || !o.commitsFailing && now-o.lastOwnedAt < ConfirmationTTL/2 {
 		return
 	}
 	if !o.confirmed(now) && !o.unconfirmedLogged {
 		o.unconfirmedLogged = true
-		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.ownershipConfirmedAt).Send()
+		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.lastOwnedAt).Send()
 	}
 	o.readingOwnerRow = true
 	o.wg.Go(func() {
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -112,7 +112,7 @@
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
 	hasWaitingTasks  bool                          // tasks wait for room or for their start time
 
-	ownershipConfirmedAt time.Duration // last time at which this entry was certainly the owner
+	lastOwnedAt time.Duration // last time at which this entry was certainly the owner
 	readingOwnerRow      bool          // a read of the owner row is in progress
 	unconfirmedLogged    bool          // the missing confirmation was logged
 
@@ -174,7 +174,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.ownershipConfirmedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
+	o.tookOverAt, o.lastOwnedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
 	o.start(stored, workers, cfg.Clock.Now())
 	return o, nil
 }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -56,20 +56,20 @@
 	o.advanceSchedules()
 	o.clearSuspects()
 	o.endTrials(now)
-	candidates, onTrial := o.candidates(now)
-	o.hasWaitingTasks = len(candidates)+len(onTrial) > 0
+	candidates, trialOnly := o.candidates(now)
+	o.hasWaitingTasks = len(candidates)+len(trialOnly) > 0
 	if !o.hasWaitingTasks {
 		return
 	}
 	placement.Sort(candidates, now)
 	hosts := o.hosts(now)
-	for _, cs := range [][]placement.Candidate{candidates, onTrial} {
+	for _, cs := range [][]placement.Candidate{candidates, trialOnly} {
 		for i := range cs {
 			o.applyAdvice(&cs[i], hosts, now)
 		}
 	}
-	if len(onTrial) > 0 {
-		o.startTrials(onTrial, now)
+	if len(trialOnly) > 0 {
+		o.startTrials(trialOnly, now)
 		hosts = o.hosts(now) // without the workers reserved for trials
 	}
 	starts := placement.Plan(candidates, hosts, o.rate.Available(now))
@@ -136,7 +136,7 @@
 
 // candidates returns the steps with tasks that may start now, and separately those that may
 // start only on trial: one task each, or a gang.
-func (o *Owner) candidates(now time.Duration) (cs, onTrial []placement.Candidate) {
+func (o *Owner) candidates(now time.Duration) (cs, trialOnly []placement.Candidate) {
 	remaining := map[*jobs.Job]time.Duration{}
 	budgets := o.newBudgets()
 	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
@@ -150,14 +150,14 @@
 			return
 		}
 		free, trials := splitByRestriction(c)
-		cs, onTrial = append(cs, free...), append(onTrial, trials...)
+		cs, trialOnly = append(cs, free...), append(trialOnly, trials...)
 	})
-	return cs, onTrial
+	return cs, trialOnly
 }
 
 // splitByRestriction divides a step's tasks by how they may start. The tasks of a gang start
 // together, so they are on trial together and are not watched.
-func splitByRestriction(c placement.Candidate) (free, onTrial []placement.Candidate) {
+func splitByRestriction(c placement.Candidate) (free, trialOnly []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
 		case quarantine.TrialOnly:
@@ -180,7 +180,7 @@
 			one.Separate = true
 			free = append(free, one)
 		case quarantine.TrialOnly:
-			onTrial = append(onTrial, one)
+			trialOnly = append(trialOnly, one)
 		case quarantine.Blocked: // until its workers answer or are known to have ended
 		case quarantine.Poison: // given up once its last worker is known to be lost
 		}
@@ -188,7 +188,7 @@
 	if len(clean.Tasks) > 0 {
 		free = append(free, clean)
 	}
-	return free, onTrial
+	return free, trialOnly
 }
 
 // eachStartable calls f for each step with tasks that may start, in order of acceptance;
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -25,7 +25,7 @@
 	if !maybeLost && !t.Suspect() || o.commitsFailing && !mustWait {
 		return false
 	}
-	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
+	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.inTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
 	o.deferredStarts[j] = append(o.deferredStarts[j], deferredStart{session: s, running: r, evidence: j.EvidenceVersion()})
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -30,7 +30,7 @@
 	for _, r := range sortedByKey(s.attempts) {
 		if r.sent() {
 			sent = append(sent, r)
-			attempts = append(attempts, quarantine.Attempt{Ran: s.ranFor(r, now), Trial: s.isOnTrial(r)})
+			attempts = append(attempts, quarantine.Attempt{Ran: s.ranFor(r, now), Trial: s.inTrial(r)})
 		}
 	}
 	for i, counted := range quarantine.Counted(attempts) {
@@ -67,7 +67,7 @@
 		}
 		losses := t.Losses.WithoutBoot(s.ref.Boot)
 		if n, runs := runningAttempt(r, t.Name()); runs && (len(losses) > 0 || o.unreportedLoss && t.Step.Job.Restored) {
-			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
+			if s.trial == nil && t.Losses.InTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
 			losses = t.Losses.ResetProvisional(s.ref.Boot, n)
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -26,8 +26,8 @@
 	attempts []*jobs.Attempt // at this worker, none until they are started
 }
 
-// isOnTrial reports whether an attempt is on trial at the worker.
-func (s *session) isOnTrial(r *workerAttempt) bool {
+// inTrial reports whether an attempt is on trial at the worker.
+func (s *session) inTrial(r *workerAttempt) bool {
 	return s.trial != nil && slices.Contains(s.trial.attempts, r.Attempt)
 }
 
@@ -161,10 +161,10 @@
 		})
 	}
 	started := slices.ContainsFunc(s.trial.tasks, func(t *jobs.Task) bool { return !t.Idle() })
-	step, verdict := s.trial.tasks[0].Step, s.trial.tasks[0].Verdict()
+	step, restriction := s.trial.tasks[0].Step, s.trial.tasks[0].Verdict()
 	if step.Spec.Gang {
-		verdict = step.Verdict()
+		restriction = step.Verdict()
 	}
-	wanted := verdict == quarantine.TrialOnly && !step.Job.State.Final()
+	wanted := restriction == quarantine.TrialOnly && !step.Job.State.Final()
 	return started || !wanted || !s.usable(now) || now-s.trial.since > trialStartTimeout
 }
