--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -10,7 +10,7 @@
 // maxRoom is the room of a host for tasks that need no resources.
 const maxRoom = 1 << 16
 
-// Host is a worker as placement sees it.
+// Host is a worker with its free resources, as placement sees it.
 type Host struct {
 	Boot     string
 	Rack     string
@@ -19,7 +19,7 @@
 	Free     platform.Resources
 	Penalty  float64 // subtracted from the score; 0 for a healthy worker
 
-	SuspectedTasks int // watched tasks here that are not cleared yet
+	SuspectedTasks int // tasks here that are suspected of crashing their worker
 
 	longRunning int                   // number of long-running tasks here
 	perStep     map[*jobs.StepRun]int // number of tasks here, by step
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -34,10 +34,10 @@
 	Deadline      time.Duration          // when its job should be done, on the clock of now
 	Allowed       func(boot string) bool // hosts on which the advice service allows the step, nil for any
 	Expiry        time.Duration          // when a result of its job is hardly of use any more, 0 for never
-	RemainingPath time.Duration          // estimated duration of the steps of its job still to be done
+	RemainingPath time.Duration          // expected duration of the longest chain of remaining steps of its job
 	Budget        *Budget                // of its client account, nil for no limit
-	Separate      bool                   // its single task is watched and must not share a worker with another watched one
-	Excess        bool                   // its job is beyond the guaranteed rate of its account
+	Separate      bool                   // its single task must not share a worker with a suspected task
+	Excess        bool                   // its job exceeds the guaranteed rate of its account
 }
 
 // Start assigns a task to a host.
@@ -67,7 +67,7 @@
 	return 0
 }
 
-// excessRank puts jobs beyond the guaranteed rate of their account after all others, so that one
+// excessRank puts jobs over the guaranteed rate of their account after all others, so that one
 // account that submits too much does not make the jobs of others late.
 func (c *Candidate) excessRank() int {
 	if c.Excess {
@@ -129,15 +129,15 @@
 		if len(starts) >= limit {
 			return starts, true
 		}
-		copied := len(t.Attempts) > 0
+		speculative := len(t.Attempts) > 0
 		h := last
 		// The fullest host is preferred, so the one that got the last task stays the best while it
 		// has room. Only long-running tasks are spread.
-		if h == nil || copied || c.Step.Spec.LongRunning || !h.canStart(c.Step) {
+		if h == nil || speculative || c.Step.Spec.LongRunning || !h.canStart(c.Step) {
 			h = bestHost(c, t, hosts)
 		}
-		if h == nil && copied {
-			continue // a copy must not start where its first attempt is
+		if h == nil && speculative {
+			continue // a speculative copy must not start where another attempt is
 		}
 		if h == nil {
 			return starts, false // all tasks of a step have the same needs
@@ -151,7 +151,7 @@
 		}
 		starts = append(starts, Start{Task: t, Host: h})
 		last = h
-		if copied {
+		if speculative {
 			last = nil
 		}
 	}
@@ -169,7 +169,7 @@
 }
 
 // bestHost returns the host with the highest score for a task of the step, nil if none has room. A
-// copy goes to another host than the other attempts of t, which may be nil: the second attempt on a
+// speculative copy goes to another host than the other attempts of t, which may be nil: the second attempt on a
 // host is not charged there.
 func bestHost(c *Candidate, t *jobs.Task, hosts []*Host) (chosen *Host) {
 	s := c.Step
--- a/pkg/quarantine/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// BenchmarkRestriction measures the verdict on a task without losses, which every placement
+// BenchmarkRestriction measures the restriction of a task without losses, which every placement
 // pass asks for.
 func BenchmarkRestriction(b *testing.B) {
 	var ls Losses
--- a/pkg/quarantine/loss.go
+++ b/pkg/quarantine/loss.go
@@ -13,14 +13,14 @@
 	earlyLossWindow = 200 * time.Millisecond
 	// clearMargin is added to the longest run of a lost attempt to get the run time that clears a task.
 	clearMargin = 200 * time.Millisecond
-	// trialThreshold is the number of early losses after which a task is started on trial only;
+	// trialThreshold is the number of early losses after which a task starts only in a trial;
 	// if the losses are not early, it takes one more.
 	trialThreshold = 2
 	// maxLosses is the number of workers known to have ended after which a task is poison even
-	// without a trial. With as many losses of any kind it is held.
+	// without a trial. With as many losses of any kind it is blocked.
 	maxLosses = 4
-	// minDelivered is the number of lost workers that certainly had the task before a trial counts
-	// as proof. A start that timed out may never have arrived.
+	// minDelivered is the number of lost workers that certainly had the task before a loss in
+	// a trial makes the task poison. A start that timed out may never have arrived.
 	minDelivered = 2
 )
 
@@ -29,7 +29,7 @@
 	Attempt   int64         `msgpack:"n"`           // number of the attempt
 	Boot      string        `msgpack:"b"`           // boot of the worker
 	Ran       time.Duration `msgpack:"r,omitempty"` // how long the attempt had run, 0 if its start was not answered
-	Trial     bool          `msgpack:"t,omitempty"` // the attempt was on trial
+	Trial     bool          `msgpack:"t,omitempty"` // the attempt was in a trial
 	Ended     bool          `msgpack:"s,omitempty"` // the boot is known to have ended; otherwise it only stopped answering
 	Delivered bool          `msgpack:"f,omitempty"` // the worker certainly had the attempt
 	// Provisional marks a loss recorded before the start is sent. It does not count until a new
@@ -40,22 +40,22 @@
 // early reports whether the worker was lost right after the start, or during a trial.
 func (l Loss) early() bool { return l.Trial || l.Ran < earlyLossWindow }
 
-// Restriction tells where a task may be started.
+// Restriction tells where a task may start.
 type Restriction string
 
-// The verdicts.
+// The restrictions, from the least to the strictest.
 const (
 	Unrestricted Restriction = "clear"    // on any worker
-	Separate     Restriction = "watched"  // on a worker without another watched task
-	TrialOnly    Restriction = "on_trial" // on a worker where nothing else starts
+	Separate     Restriction = "watched"  // on a worker without another suspected task
+	TrialOnly    Restriction = "on_trial" // on a worker reserved for it
 	Blocked      Restriction = "held"     // nowhere until it is known whether the lost workers have ended
 	Poison       Restriction = "guilty"   // nowhere; its job fails
 )
 
-// byStrictness lists the verdicts from the least to the most restrictive.
+// byStrictness lists the restrictions from the least to the strictest.
 var byStrictness = []Restriction{Unrestricted, Separate, TrialOnly, Blocked, Poison}
 
-// Stricter returns the more restrictive of two verdicts.
+// Stricter returns the stricter of two restrictions.
 func Stricter(a, b Restriction) Restriction {
 	if slices.Index(byStrictness, b) > slices.Index(byStrictness, a) {
 		return b
@@ -66,7 +66,7 @@
 // Losses are the losses counted against a task.
 type Losses []Loss
 
-// Restriction returns where the task may be started.
+// Restriction returns where the task may start.
 func (ls Losses) Restriction() Restriction {
 	n, ended, delivered, early, endedInTrial := 0, 0, 0, 0, false
 	for _, l := range ls {
@@ -155,7 +155,7 @@
 	return append(ls.WithoutBoot(boot), Loss{Attempt: attempt, Boot: boot, Trial: ls.InTrialAt(boot, attempt), Provisional: true})
 }
 
-// InTrialAt reports whether an attempt was on trial at a boot.
+// InTrialAt reports whether an attempt was in a trial at a boot.
 func (ls Losses) InTrialAt(boot string, attempt int64) bool {
 	return slices.ContainsFunc(ls, func(l Loss) bool { return l.Boot == boot && l.Attempt == attempt && l.Trial })
 }
@@ -187,11 +187,11 @@
 // Attempt is an attempt that was at a worker when the worker was lost.
 type Attempt struct {
 	Ran   time.Duration
-	Trial bool // it was on trial
+	Trial bool // it was in a trial
 }
 
 // Counted reports for each attempt at a lost worker whether the loss counts against its task:
-// the attempts on trial if there are any, else those that had not run for long.
+// the attempts in a trial if there are any, else those that had not run for long.
 func Counted(attempts []Attempt) []bool {
 	counted := make([]bool, len(attempts))
 	trial := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Trial })
--- a/pkg/quarantine/loss_test.go
+++ b/pkg/quarantine/loss_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestRestriction checks the verdict for each kind of loss history.
+// TestRestriction checks the restriction for each kind of loss history.
 func TestRestriction(t *testing.T) {
 	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
 	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestCounted checks that only the attempts on trial are counted if there are any, and that
+// TestCounted checks that only the attempts in a trial are counted if there are any, and that
 // attempts that had run for long are not.
 func TestCounted(t *testing.T) {
 	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Ran: maxCountedRun}, {Ran: time.Second}}), qt.DeepEquals, []bool{true, false, true})
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -37,19 +37,19 @@
 func (o *Owner) reportAccounts(full bool) allowance.Report {
 	r := o.accounts.shares.Report()
 	r.Full = full
-	unbooked := o.unbookedUsage()
+	unregistered := o.unregisteredUsage()
 	uses := map[string]*allowance.Usage{}
 	use := func(account string) *allowance.Usage {
 		u := uses[account]
 		if u == nil {
-			running := placement.MaxFraction(o.registry.Allocated(account).Add(unbooked[account]), o.limitOf(account))
+			running := placement.MaxFraction(o.registry.Allocated(account).Add(unregistered[account]), o.limitOf(account))
 			u = &allowance.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
 		return u
 	}
 	limited := func(account string) bool { return o.limitOf(account) != (platform.Resources{}) }
-	// Tasks that wait for the takeover to complete are counted in unbookedUsage.
+	// Tasks that wait until the takeover is complete are counted in unregisteredUsage.
 	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
 		if account := s.Job.Account; limited(account) {
 			addWaiting(use(account), s.Spec, len(startable), o.limitOf(account))
@@ -60,7 +60,7 @@
 			use(account)
 		}
 	})
-	for account := range unbooked {
+	for account := range unregistered {
 		if limited(account) {
 			use(account)
 		}
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -50,7 +50,7 @@
 	return o.accounts.removed[account]
 }
 
-// ApplyGrant takes over granted shares of the limits of accounts.
+// ApplyGrant applies granted shares of the limits of accounts.
 func (o *Owner) ApplyGrant(g allowance.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// unbookedUsage returns what each account has or may have running beyond the attempts in the book:
-// attempts of a former owner that are being stopped, and tasks that may be at workers that have not
+// unregisteredUsage returns what each account has or may have running beyond the attempts in the registry:
+// attempts of former owners that are being stopped, and tasks that may be at workers that have not
 // reported since the takeover.
-func (o *Owner) unbookedUsage() map[string]platform.Resources {
+func (o *Owner) unregisteredUsage() map[string]platform.Resources {
 	sum := map[string]platform.Resources{}
 	add := func(account string, needs platform.Resources) {
 		if account != "" && needs != (platform.Resources{}) {
@@ -110,13 +110,13 @@
 
 // budgets are what accounts may still start in one placement pass.
 type budgets struct {
-	o        *Owner
-	unbooked map[string]platform.Resources
-	byName   map[string]*placement.Budget
+	o            *Owner
+	unregistered map[string]platform.Resources
+	byName       map[string]*placement.Budget
 }
 
 func (o *Owner) newBudgets() *budgets {
-	return &budgets{o: o, unbooked: o.unbookedUsage(), byName: map[string]*placement.Budget{}}
+	return &budgets{o: o, unregistered: o.unregisteredUsage(), byName: map[string]*placement.Budget{}}
 }
 
 // of returns the budget of an account, nil if it has no limit.
@@ -127,14 +127,14 @@
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
 	if limit != (platform.Resources{}) && b.o.accounts.shares.Enforced() {
-		running := b.o.registry.Allocated(account).Add(b.unbooked[account])
+		running := b.o.registry.Allocated(account).Add(b.unregistered[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
 	b.byName[account] = budget
 	return budget
 }
 
-// logAtLimit logs the accounts with tasks that their limit held back.
+// logAtLimit logs the accounts with tasks that did not start because of their limit.
 func (o *Owner) logAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
--- a/pkg/shard/advice.go
+++ b/pkg/shard/advice.go
@@ -22,7 +22,8 @@
 	ticketMargin = 100 * time.Millisecond
 )
 
-// advice holds the advice service's answers about a step.
+// advice holds the advice service's answers about a step: the boots that are permitted to run it,
+// each with a ticket to send with the start.
 type advice struct {
 	requested bool
 	retryAt   time.Duration     // no request before then
--- a/pkg/shard/arrivals.go
+++ b/pkg/shard/arrivals.go
@@ -7,8 +7,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// arrivalWindow is the time over which arriving work is averaged: enough for some dozen jobs
-// under load, but shorter than a VM takes to join a pool.
+// arrivalWindow is the time over which arriving work is averaged. It is shorter than a VM takes to join
+// a pool.
 const arrivalWindow = 800 * time.Millisecond
 
 // arrivals tracks the work of recently accepted jobs.
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -38,8 +38,8 @@
 	states      []jobs.State                 // of jobs, as written
 	evidence    []int                        // Job.Evidence of jobs, as written
 	workers     []*session                   // that become recorded
-	record      bool                         // parts of the record of leased workers are written
-	parts       []int                        // numbers of these parts
+	record      bool                         // the record of leased workers is written
+	parts       []int                        // numbers of the parts of the record that are written
 	leased      *[recordParts][]leasedWorker // content of the record
 	shares      *allowance.Row               // quota shares of accounts as written, nil if unchanged
 	acks        map[*session]int64           // number of the last end to acknowledge, by worker
@@ -145,7 +145,7 @@
 	}
 }
 
-// collectAcks notes the ends that may be acknowledged after the commit. There are none if changed
+// collectAcks collects the ends that may be acknowledged after the commit. There are none if changed
 // jobs are left for a later batch.
 func (o *Owner) collectAcks(b *batch) {
 	if len(o.dirty)+len(o.refusedProgress) > 0 {
@@ -200,8 +200,8 @@
 	o.jobEnded(j)
 }
 
-// putUnreportedLoss stores that a worker of a former owner was lost before it reported to a later one, for
-// as long as a restored job is active.
+// putUnreportedLoss stores that a worker of a former owner was lost before it reported to a later
+// one, for as long as a restored job is active.
 func (o *Owner) putUnreportedLoss(b *batch) error {
 	if !o.unreportedLoss {
 		return nil
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// ConfirmationTTL is how long after its ownership was last confirmed an owner may grant leases and
-// send orders. One that is cut off from the table service stops then, so that the next owner knows
-// when the leases it has granted run out.
+// ConfirmationTTL is how long after its ownership was last confirmed an owner may renew leases
+// and send orders. One that can't reach the table service stops then, so that the next owner knows
+// when the leases it has renewed run out.
 const ConfirmationTTL = 1500 * time.Millisecond
 
-// confirmed reports whether this entry may grant leases and send orders.
+// confirmed reports whether this entry may renew leases and send orders.
 func (o *Owner) confirmed(now time.Duration) bool { return now-o.lastOwnedAt < ConfirmationTTL }
 
 // Confirm records that this entry was the owner at a time on the owner's clock.
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkOwnership reads the owner row if ownership has not been confirmed recently, or while the
-// table service is in trouble; the lock is held.
+// checkOwnership reads the owner row if ownership has not been confirmed recently, or while
+// transactions fail; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
 	if o.readingOwnerRow || !o.commitsFailing && now-o.lastOwnedAt < ConfirmationTTL/2 {
 		return
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -89,7 +89,7 @@
 	d.onAnswer(err)
 }
 
-// clockOf returns the worker's clock from the answer to an order, platform.NoClock for none.
+// clockOf returns the worker's clock from the answer to an order, platform.ClockUnknown for none.
 func clockOf(ms int64, err error) int64 {
 	var refused platform.ErrOrderRefused
 	switch {
--- a/pkg/shard/doc.go
+++ b/pkg/shard/doc.go
@@ -1,12 +1,13 @@
-// Package shard implements the owner of one pool's jobs and workers.
+// Package shard implements the owner of a shard: the jobs and workers of one pool.
 //
 // pkg/node opens an [Owner] when an entry takes a pool over, passes it callers'
 // requests and directory updates, and closes or releases it. The owner alone
 // places tasks on the pool's workers, so it tracks their free resources in memory.
-// It polls each worker to renew leases and to receive running attempts and ended ones.
+// It polls each worker to renew the leases of its tasks there and to receive the running and the
+// ended attempts. A worker ends tasks whose lease no owner renews.
 //
-// Two fences stop a former owner without relying on clocks. Each transaction expects
-// the version of the partition's commit row, which every transaction and every
+// Two fences stop former owners without relying on clocks. Each transaction expects
+// the version of the shard's commit row, which every transaction and every
 // takeover rewrites. Each order to a worker carries a fencing token derived from the
 // owner's term, which the worker compares with the highest it has seen. A restarted
 // worker has forgotten that token; to cover it, jobs stored before a takeover wait until
@@ -14,5 +15,6 @@
 //
 // State is stored before it is reported: a job before its submission is confirmed, the
 // end of an attempt before it is acknowledged to the worker, and a final state before
-// callers see it. Starts are not stored.
+// callers see it. A start is not stored, except that one of a task suspected of crashing its
+// workers is recorded as a provisional loss before it is sent (provisional.go).
 package shard
--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -25,13 +25,13 @@
 	task   string
 }
 
-// markApplied notes an applied end.
+// markApplied records an applied end.
 func (e *endTracker) markApplied(number int64, task string) {
 	e.applied = number
 	e.unstored = append(e.unstored, reportedEnd{number: number, task: task})
 }
 
-// markStored notes that ends up to a number are stored.
+// markStored records that ends up to a number are stored.
 func (e *endTracker) markStored(number int64) {
 	e.stored = max(e.stored, number)
 	e.unstored = slices.DeleteFunc(e.unstored, func(x reportedEnd) bool { return x.number <= e.stored })
@@ -57,7 +57,7 @@
 	return e.stored
 }
 
-// markAcknowledged notes that a poll acknowledged ends up to a number, 0 for none.
+// markAcknowledged records that a poll acknowledged ends up to a number, 0 for none.
 func (e *endTracker) markAcknowledged(number int64) {
 	e.acknowledged = max(e.acknowledged, number)
 	e.ackDeferred = e.ackDeferred && e.ackDue()
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -13,7 +13,7 @@
 	// servingPercent is the progress of a long-running task that serves.
 	servingPercent = 100
 	// evacuationDelay is how long a new owner stops no task of a step that limits missing ones:
-	// a former owner may have ordered a stop that does not show in reports yet.
+	// the predecessor may have ordered a stop that does not show in reports yet.
 	evacuationDelay = 2500 * time.Millisecond
 )
 
@@ -32,7 +32,7 @@
 			continue
 		}
 		if s.former.pending || o.formerPending && !s.synced {
-			empty = false // a former owner's tasks may be there
+			empty = false // tasks of former owners may be there
 			continue
 		}
 		if s.cordonedUntil < now {
@@ -46,7 +46,7 @@
 			continue
 		}
 		if s.recorded {
-			// The worker may leave now: the next owner need not look for leases there.
+			// The worker may leave now: the next owner need not contact it.
 			s.recorded = false
 			o.record.markChanged(s.worker)
 			o.kickCommit()
@@ -75,12 +75,11 @@
 		Int("failures", s.unansweredCalls).Send()
 }
 
-// spareRoom is the room at other workers for tasks to be moved. The hosts are computed on
-// first use, since most drained workers have no task to move.
+// spareRoom is the room at other workers for tasks to be moved. It is computed on first use, since most drained workers have no task to move.
 type spareRoom struct {
 	owner *Owner
 	now   time.Duration
-	// hosts and future are the workers as they are and with their finite tasks ended; nil until needed.
+	// hosts and future are the workers as they are now and after their finite tasks have ended.
 	hosts, future []*placement.Host
 }
 
--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -26,8 +26,8 @@
 	number int64
 }
 
-// adoptOrStop decides on a reported attempt that this owner has no record of: a former owner
-// started it, or our start was taken for lost. It returns nil if the attempt is not wanted.
+// adoptOrStop decides on a reported attempt that this owner has no record of: a former
+// owner started it, or this owner has dropped it as lost. It returns nil if the attempt is not wanted.
 func (o *Owner) adoptOrStop(s *session, r *platform.RunningAttempt, now time.Duration) *workerAttempt {
 	key := foreignKey{task: r.Task, number: r.Attempt}
 	if fa := s.foreign[key]; fa != nil {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// canAdopt reports whether a task can use an attempt that was found.
+// canAdopt reports whether a task needs the attempt that was found at a worker.
 func (o *Owner) canAdopt(t *jobs.Task) bool {
 	if t.Step.Job.State.Final() {
 		return false
--- a/pkg/shard/guarantee.go
+++ b/pkg/shard/guarantee.go
@@ -23,8 +23,8 @@
 	return true
 }
 
-// exceedsGuarantee reports whether a job submitted now is beyond the guaranteed rate of its account.
-// Every job is if the account is known but has no guaranteed rate.
+// exceedsGuarantee reports whether a job submitted now exceeds the guaranteed rate of its account.
+// Every job of a known account without a guaranteed rate does.
 func (o *Owner) exceedsGuarantee(account string) bool {
 	if account == "" || o.catalog == nil {
 		return false
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -6,21 +6,20 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// formerTasks is what a former owner may have left at a worker. It is resolved when the worker
-// reports after safeAt, has ended, or its leases have run out.
+// formerTasks are the tasks that former owners may have left at a worker. They are resolved when
+// the worker reports after safeAt, has ended, or its leases have run out.
 type formerTasks struct {
 	pending bool
-	listed  bool     // no other tasks than names can be there
+	listed  bool     // only the tasks in names can be there
 	names   []string // of tasks
 
 	safeAt    time.Duration // from when on no former owner starts anything there
 	leasesEnd time.Duration // when its leases there have run out
 }
 
-// inheritWorker tracks what a former owner may have left at a worker that it has recorded. An owner
-// that releases the shard by plan lists the tasks that may be there, and only these wait for a report
-// of the worker. After a crash any task may be there, since starts are not recorded; a list older
-// than the last term is of no use.
+// inheritWorker tracks the tasks that former owners may have left at a recorded worker. A planned
+// release lists them, and only the listed tasks wait for a report of the worker. After a crash any
+// task may be there, since starts are not recorded; so a list is used only if the predecessor wrote it.
 func (o *Owner) inheritWorker(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, safeAt: o.soleOwnerAt, leasesEnd: o.formerLeasesUntil}
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
@@ -35,7 +34,7 @@
 	}
 }
 
-// resolveFormer notes that nothing of a former owner can be at a worker unknown to this owner.
+// resolveFormer records that no task unknown to this owner can be at a worker.
 func (o *Owner) resolveFormer(s *session) {
 	if !s.former.pending {
 		return
@@ -51,8 +50,8 @@
 	s.former = formerTasks{}
 }
 
-// resolveFormerWorkers updates whether tasks of a former owner may still run somewhere unknown
-// to this owner.
+// resolveFormerWorkers resolves the workers of former owners that have reported or whose leases
+// have expired, and completes the takeover after the last one.
 func (o *Owner) resolveFormerWorkers() {
 	if !o.formerPending {
 		return
@@ -77,7 +76,7 @@
 	o.kickPlacement()
 }
 
-// finishTakeover does what waits until all inherited workers have reported or ended.
+// finishTakeover does what has to wait until all workers of former owners are resolved.
 func (o *Owner) finishTakeover() {
 	o.registry.MarkReconciled()
 	o.failRestoredPoison()
--- a/pkg/shard/lease.go
+++ b/pkg/shard/lease.go
@@ -19,7 +19,7 @@
 	leaseMargin = 150 * time.Millisecond
 )
 
-// leasesExpired reports whether all leases given to the worker have certainly expired.
+// leasesExpired reports whether all leases at the worker have certainly expired.
 func (s *session) leasesExpired(now time.Duration) bool {
 	if now < s.earlierLeasesUntil {
 		return false
@@ -31,7 +31,7 @@
 	return float64(s.clockMs)+passed/float64(time.Millisecond) > float64(s.leaseUntil)
 }
 
-// extendLease returns the deadline of a lease granted now, by the worker's clock in
+// extendLease returns the deadline of a lease renewed now, by the worker's clock in
 // milliseconds, 0 while that clock is not known.
 func (s *session) extendLease(now time.Duration) int64 {
 	if s.clockAt == 0 {
@@ -49,7 +49,7 @@
 	}
 }
 
-// formerLeasesEnd returns when the longest lease of a former owner has expired.
+// formerLeasesEnd returns when the leases renewed by former owners have expired.
 func (o *Owner) formerLeasesEnd(now time.Duration) time.Duration {
 	return now + ConfirmationTTL + maxLocalDuration(leaseDuration)
 }
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -18,7 +18,8 @@
 // maxLightShare is the largest share of its processors that a VM in Load.Light has in use.
 const maxLightShare = 0.15
 
-// maxUnansweredCalls is how many calls in a row a worker may leave unanswered and still count.
+// maxUnansweredCalls is the number of consecutive unanswered calls from which a worker no longer
+// counts toward the capacity.
 const maxUnansweredCalls = 2
 
 // ZoneLoad counts the workers and tasks in a zone that is out of use.
@@ -42,7 +43,7 @@
 	VMCapacity platform.Resources
 	// Floor is the least number of workers that the long-running tasks need.
 	Floor int
-	// AtLimit reports that the owner can't start tasks faster, however many workers it has.
+	// AtLimit reports that the owner's CPU or network link is saturated, so that more workers don't help.
 	AtLimit bool
 	// Light names the VMs without long-running tasks and with little work, the least busy first.
 	Light []string
@@ -81,7 +82,7 @@
 			l.VMCapacity = s.info.Capacity
 		}
 		if s.outOfUse() {
-			// Tasks there still count as demand, since their successors start elsewhere.
+			// Tasks there still count as demand, since they are restarted elsewhere.
 			l.noteZoneOut(s)
 		} else {
 			l.Workers++
--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -9,7 +9,7 @@
 
 const (
 	// vmListDelay is the time after a takeover before the VM list is first requested. The list lags
-	// behind and must be more recent than the last boot that the former owner recorded.
+	// behind and must be more recent than the last boot that the predecessor recorded.
 	vmListDelay = 2 * time.Second
 	// vmListInterval is the pause between two requests.
 	vmListInterval = time.Second
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -14,7 +14,7 @@
 const (
 	// pollTimeout is how long a poll may go unanswered, beyond the time it waits at the worker.
 	pollTimeout = 700 * time.Millisecond
-	// orderTimeout is how long an order may go unanswered; then a poll settles its outcome.
+	// orderTimeout is how long an order may go unanswered; then a poll resolves its outcome.
 	orderTimeout = 350 * time.Millisecond
 	// unhealthyPause is how long a worker that reported itself unhealthy gets no new tasks.
 	unhealthyPause = 800 * time.Millisecond
@@ -32,7 +32,7 @@
 	r := &workerAttempt{Attempt: a}
 	s.addAttempt(name, r)
 	if o.recordProvisionalLoss(s, r) {
-		return // sent once the note is stored
+		return // sent once the provisional loss is stored
 	}
 	o.enqueueStart(s, name, r)
 }
@@ -138,7 +138,7 @@
 	}
 }
 
-// confirmAttempt notes that the worker has the attempt, and stops an unwanted one; the caller
+// confirmAttempt records that the worker has the attempt, and stops an unwanted one; the caller
 // holds the lock.
 func (o *Owner) confirmAttempt(s *session, r *workerAttempt, now time.Duration) {
 	if r.startConfirmedAt == 0 {
@@ -210,13 +210,13 @@
 	o.orderStop(s, r)
 }
 
-// orderStop queues the stop of an attempt and notes when.
+// orderStop queues the stop of an attempt and records when.
 func (o *Owner) orderStop(s *session, r *workerAttempt) {
 	r.stopOrderedAt = o.now()
 	o.enqueueStop(s, r.Task.Name(), r.Number)
 }
 
-// enqueueStop queues the stop of an attempt, which this owner need not know.
+// enqueueStop queues the stop of an attempt; the attempt may be a foreign one.
 func (o *Owner) enqueueStop(s *session, task string, attempt int64) {
 	order := platform.StopOrder{Task: task, Attempt: attempt, Token: s.token}
 	o.enqueueOrder(s, &queuedOrder{
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -14,24 +14,24 @@
 	"github.com/gannetwell/gannetwell/pkg/startrate"
 )
 
-// takeoverReadTimeout bounds the reads of a takeover as long as rows keep arriving.
+// takeoverReadTimeout bounds a takeover, including the reads of the stored state.
 const takeoverReadTimeout = 15 * time.Second
 
 // Metrics receives the counters of an owner.
 type Metrics interface {
 	// Commit counts an attempt to commit a transaction that took d.
 	Commit(d time.Duration, err error)
-	// Poll counts a poll of a worker, which renews its leases.
+	// Poll counts a poll of a worker, with which the owner renews the leases of its tasks there.
 	Poll(err error)
-	// Order counts a start, stop or pace order.
+	// Order counts an order to start, stop or throttle an attempt.
 	Order(err error)
 	// End counts the end of an attempt that a worker reports.
 	End(reason platform.EndReason)
 	// StaleEnd counts an end that a worker lists after it was acknowledged.
 	StaleEnd()
-	// PredecessorDone counts a completed wait for the previous owner and its duration.
+	// PredecessorDone counts a completed wait until no former owner can act, and its duration.
 	PredecessorDone(end PredecessorEnd, waited time.Duration)
-	// AttemptLost counts an attempt that was lost without an end that counts.
+	// AttemptLost counts an attempt that is gone although its worker reported no end of it.
 	AttemptLost(kind LossKind)
 	// RowMalformed counts a row that could not be decoded.
 	RowMalformed(table string)
@@ -48,20 +48,20 @@
 	Clock     *elapsed.Clock // of the entry; measures ownership and lease expiry
 	Retention time.Duration  // how long final jobs stay available to callers
 
-	MaxLease    time.Duration // longest lease that workers grant
-	MaxRowBytes int           // longest row value, 0 for platform.UsualRowBytes
+	MaxLease    time.Duration // longest lease that workers accept; they shorten longer ones
+	MaxRowBytes int           // longest row value, in bytes, 0 for platform.DefaultMaxRowBytes
 
 	// HasEnded reports whether the process of the owner in a row is known to have ended;
 	// nil if that is never known.
 	HasEnded func(OwnerRow) bool
-	// StandDown tells the process of a former owner that the newer row replaced it, and reports
-	// whether it has stopped working for the shard; nil if former owners can't be reached.
-	StandDown func(ctx context.Context, former OwnerRow, newer platform.Row) (stopped bool)
+	// StandDown tells the process of the predecessor that the newer row replaced it, and reports
+	// whether it has stopped all work for the shard; nil if the predecessor can't be reached.
+	StandDown func(ctx context.Context, predecessor OwnerRow, newer platform.Row) (stopped bool)
 
 	Rows     platform.Rows
 	Workers  platform.Workers
 	Machines platform.Machines
-	Adviser  platform.Adviser
+	Adviser  platform.Adviser // of the advice service, which permits steps to run at boots
 
 	Metrics Metrics
 	Log     zerolog.Logger
@@ -98,27 +98,27 @@
 	registry         *jobs.Registry
 	unreadableJobs   map[string]bool               // IDs of stored jobs that could not be decoded
 	recordUnreadable bool                          // the stored record of leased workers could not be decoded
-	accounts         accounts                      // shares and limits of client accounts
+	accounts         accounts                      // quota shares and limits of client accounts
 	sessions         map[string]*session           // by boot
 	currentSessions  map[string]*session           // latest boot of each worker, by worker ID
-	endedBootTokens  map[string]int64              // last raised token of workers whose boot ended, by worker ID
+	endedBootTokens  map[string]int64              // tokens above firstToken of workers whose boot has ended, by worker ID
 	sortedSessions   []*session                    // sessions by boot, nil when stale
-	advices          map[*jobs.StepRun]*advice     // of steps whose queue requires advice
+	advices          map[*jobs.StepRun]*advice     // of the advice service, on steps whose queue requires it
 	durations        map[string]*durationStats     // by queue
 	suspects         map[*jobs.Task]struct{}       // tasks with worker losses counted against them
-	deferredStarts   map[*jobs.Job][]deferredStart // starts waiting for their note to be stored
-	unreportedLoss   bool                          // a former owner's worker was lost before it answered this owner
-	rate             startrate.Limiter             // of starts, while the owner is at its own limit
+	deferredStarts   map[*jobs.Job][]deferredStart // starts that wait until their provisional loss is stored
+	unreportedLoss   bool                          // a former owner's worker was lost before it reported to this owner
+	rate             startrate.Limiter             // limits starts while the CPU or network link of this owner is saturated
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
-	hasWaitingTasks  bool                          // tasks wait for room or for their start time
+	hasWaitingTasks  bool                          // startable tasks were found by the last placement pass
 
-	lastOwnedAt time.Duration // last time at which this entry was certainly the owner
-	readingOwnerRow      bool          // a read of the owner row is in progress
-	unconfirmedLogged    bool          // the missing confirmation was logged
+	lastOwnedAt       time.Duration // last time at which the table service confirmed that this entry is the owner
+	readingOwnerRow   bool          // a read of the owner row is in progress
+	unconfirmedLogged bool          // the missing confirmation was logged
 
-	formerPending     bool          // a worker of a former owner has not answered yet
-	formerAnyTask     bool          // any task may be running at one of them
-	formerLeasesUntil time.Duration // when all leases given by former owners have expired
+	formerPending     bool          // a worker of a former owner has not reported yet
+	formerAnyTask     bool          // any restored task may be running at such a worker
+	formerLeasesUntil time.Duration // when all leases renewed by former owners have expired
 	tookOverAt        time.Duration // when this entry took over
 	soleOwnerAt       time.Duration // from when on no former owner can act
 	machinesReadAt    time.Duration // when the VM list was last requested, 0 for never
@@ -126,22 +126,22 @@
 	pending         map[string]*submission       // by job ID, until their row is written or refused
 	queued          []*submission                // pending submissions not in a transaction yet
 	dirty           map[*jobs.Job]struct{}       // jobs whose progress must be written
-	singleItemTxns  int                          // number of upcoming transactions limited to one item
+	singleItemTxns  int                          // number of upcoming transactions limited to one item, to find the item that is refused
 	removals        []expiredJob                 // jobs whose rows must be removed
 	record          workerRecord                 // leased workers, as stored
-	urgent          bool                         // someone waits for the next transaction
+	urgent          bool                         // a caller waits for the next transaction
 	committing      bool                         // a transaction is in progress
-	commitsFailing  bool                         // the table service does not carry out transactions
+	commitsFailing  bool                         // the table service fails transactions
 	commitVersion   int64                        // of the commit row
 	seq             int64                        // of the last transaction in this term
 	waiters         map[*jobs.Job][]chan Outcome // callers waiting for a final state to be stored
-	refusedProgress map[*jobs.Job]error          // jobs whose progress was refused on its own, until another write succeeds
+	refusedProgress map[*jobs.Job]error          // jobs whose progress was refused in a transaction of its own, until another write succeeds
 	finalJobs       []finalJob                   // in the order in which they expire
 
 	loadLoggedAt time.Duration // when the load was last logged
 }
 
-// Open takes the shard over if its owner row still has the version seen, reads the
+// Open takes the shard over if its owner row still has the version in seen, reads the
 // stored state and starts the owner. It fails if another entry has written the owner
 // row or the stored rows can't be read in time.
 func Open(ctx context.Context, cfg Config, seen ObservedOwner, cat *catalog.Catalog, workers []platform.Worker) (o *Owner, err error) {
@@ -190,11 +190,11 @@
 			o.finalJobs = append(o.finalJobs, finalJob{id: j.ID, at: now})
 		}
 	})
-	o.advanceSchedules() // a former owner may have started occurrences that are due
+	o.advanceSchedules() // former owners may have started occurrences that are due
 	o.formerLeasesUntil = o.formerLeasesEnd(now)
 	for _, w := range stored.workers {
 		if o.sessions[w.Boot] != nil {
-			continue // both the current and an older record format name it
+			continue // both the current and an earlier record format name it
 		}
 		s := o.addSession(platform.WorkerRef{Boot: w.Boot, Address: w.Address}, w.VM)
 		s.recorded = true
--- a/pkg/shard/pace.go
+++ b/pkg/shard/pace.go
@@ -8,22 +8,22 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Filler tasks use the resources that serving tasks leave free. They are slowed down at once
-// when the tail latency of a serving task nears its target, and sped up gradually when it is
-// well below.
+// Filler tasks use the resources that serving tasks leave free. They are throttled at
+// once when the tail latency of a serving task nears its target, and sped up gradually when it
+// is well below.
 const (
-	throttleDownShare  = 0.85 // share of the target above which filler tasks are slowed down
+	throttleDownShare  = 0.85 // share of the target above which filler tasks are throttled
 	throttleUpShare    = 0.6  // share of the target below which they are sped up
-	throttleUpStep     = 15   // percentage points by which they are sped up
-	minThrottlePercent = 5    // least pace in percent
+	throttleUpStep     = 15   // percentage points by which their processor share is raised
+	minThrottlePercent = 5    // least processor share
 	unthrottledPercent = 100
-	// throttleUpInterval is how long a pace is kept before it is raised, longer than a report covers.
+	// throttleUpInterval is the time before the processor share is raised, longer than a report covers.
 	throttleUpInterval = 900 * time.Millisecond
-	// throttleDownInterval is how long a pace is kept before it is lowered again.
+	// throttleDownInterval is the time before the processor share is lowered again.
 	throttleDownInterval = 500 * time.Millisecond
 )
 
-// adjustThrottles adapts the pace of a worker's filler tasks to the latency of the serving tasks
+// adjustThrottles adapts the processor share of a worker's filler tasks to the latency of the serving tasks
 // beside them; the caller holds the lock.
 func (o *Owner) adjustThrottles(s *session, now time.Duration) {
 	worst := 0.0 // highest ratio of tail latency to target
@@ -42,7 +42,7 @@
 	}
 }
 
-// nextThrottle returns the pace in percent that a filler task should have.
+// nextThrottle returns the processor share, in percent, that a filler task should have.
 func nextThrottle(r *workerAttempt, worst float64, now time.Duration) int {
 	current := r.throttlePercent
 	if current == 0 {
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -13,19 +13,19 @@
 	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
-// missedObjectiveFactor is the multiple of its objective after which a job no longer counts
-// as served.
+// missedObjectiveFactor is the multiple of its latency objective after which the result of a job
+// is hardly of use, so that other jobs are placed first.
 const missedObjectiveFactor = 3
 
-// maxExcessDelay is how long a job beyond its account's promise waits behind jobs of others;
-// the bound prevents starvation.
+// maxExcessDelay is how long a job over the guaranteed rate of its account is placed after the jobs
+// of other accounts; the bound prevents starvation.
 const maxExcessDelay = 10 * time.Second
 
 // placementTimeDivisor bounds placement to one part in this many of the time. Changes during
 // a pause are placed together, since each pass scans all workers and waiting tasks.
 const placementTimeDivisor = 5
 
-// maxPlacementPause bounds the pause after a pass that took long, as on an overloaded host.
+// maxPlacementPause bounds the pause after a pass that took long, as on an overloaded machine.
 const maxPlacementPause = 20 * time.Millisecond
 
 // placeLoop runs a placement pass whenever something has changed.
@@ -42,7 +42,7 @@
 	}
 }
 
-// place starts the tasks that fit.
+// place starts the tasks that fit; see pkg/placement for the order.
 func (o *Owner) place() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// hosts returns the workers that accept tasks, by boot. The hosts are cached: starts
+// hosts returns placement's view of the workers that accept tasks, by boot. The hosts are cached: starts
 // placed on them must be ordered before the lock is released.
 func (o *Owner) hosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
@@ -134,8 +134,8 @@
 	return o.sortedSessions
 }
 
-// candidates returns the steps with tasks that may start now, and separately those that may
-// start only on trial: one task each, or a gang.
+// candidates returns the steps with startable tasks, and separately those that may start only
+// in a trial: one task each, or a gang.
 func (o *Owner) candidates(now time.Duration) (cs, trialOnly []placement.Candidate) {
 	remaining := map[*jobs.Job]time.Duration{}
 	budgets := o.newBudgets()
@@ -155,8 +155,8 @@
 	return cs, trialOnly
 }
 
-// splitByRestriction divides a step's tasks by how they may start. The tasks of a gang start
-// together, so they are on trial together and are not watched.
+// splitByRestriction divides a step's tasks by where they may start. The tasks of a gang start
+// together, so they share one trial and are not kept separate.
 func splitByRestriction(c placement.Candidate) (free, trialOnly []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
@@ -181,8 +181,8 @@
 			free = append(free, one)
 		case quarantine.TrialOnly:
 			trialOnly = append(trialOnly, one)
-		case quarantine.Blocked: // until its workers answer or are known to have ended
-		case quarantine.Poison: // given up once its last worker is known to be lost
+		case quarantine.Blocked: // until the lost workers answer or are known to have ended
+		case quarantine.Poison: // its job fails once its last worker is known to be lost
 		}
 	}
 	if len(clean.Tasks) > 0 {
@@ -191,8 +191,8 @@
 	return free, trialOnly
 }
 
-// eachStartable calls f for each step with tasks that may start, in order of acceptance;
-// with includeAwaiting also those that wait for a takeover to complete.
+// eachStartable calls f for each step with startable tasks, in order of acceptance; with
+// includeAwaiting also those that wait until the takeover is complete.
 func (o *Owner) eachStartable(includeAwaiting bool, f func(s *jobs.StepRun, startable []*jobs.Task)) {
 	wall := time.Duration(time.Now().UnixNano())
 	for _, j := range o.registry.Active() {
@@ -207,8 +207,8 @@
 	}
 }
 
-// startableTasks returns the tasks of a step that may start now; with includeAwaiting also those
-// that wait for a takeover to complete.
+// startableTasks returns the waiting tasks of a step, and the running stragglers that want a
+// speculative copy; with includeAwaiting also those that wait until the takeover is complete.
 func (o *Owner) startableTasks(s *jobs.StepRun, includeAwaiting bool) (tasks []*jobs.Task) {
 	if s.CountWaiting() == 0 && !s.Spec.Speculative {
 		return nil
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -11,15 +11,15 @@
 
 // Timing of polls.
 const (
-	// pollWait is how long a poll waits at the worker for an end; it must renew leases in time.
+	// pollWait is how long a poll waits at the worker for an attempt to end, less than leases last.
 	pollWait = time.Second
 	// pollRetryDelay is the pause after a failed poll.
 	pollRetryDelay = 250 * time.Millisecond
 	// orderPollDelay is the pause while other start orders must be answered before a poll can
-	// settle the one in doubt.
+	// resolve the one in doubt.
 	orderPollDelay = 30 * time.Millisecond
-	// minPollInterval is the least time between two polls of a worker while the owner is at its
-	// own limit; it must renew leases in time.
+	// minPollInterval is the least time between two polls of a worker while the owner is
+	// saturated, less than leases last.
 	minPollInterval = 600 * time.Millisecond
 	// ackDelay is how long a poll waits for ends to be stored, so that it can acknowledge them.
 	ackDelay = 500 * time.Millisecond
@@ -42,7 +42,7 @@
 	case atLimit && s.synced && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{delay: s.polledAt + minPollInterval - now}
 	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.unansweredCalls == 0 && !s.inDoubt:
-		// A poll that acknowledges ends waits for outstanding starts. An earlier one could itself
+		// A poll that acknowledges ends waits for outstanding starts. An earlier poll could itself
 		// go unanswered.
 		return pollPlan{delay: orderTimeout}
 	case s.inDoubt && s.startsInFlight > 0:
@@ -122,7 +122,7 @@
 	s.answeredPollAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
 	if settles && order.Token == s.token {
-		o.resolveDoubt(s, sentAt)
+		o.resolveInDoubt(s, sentAt)
 	}
 	if !s.synced && order.LeaseUntil > 0 {
 		s.synced = true
@@ -134,7 +134,7 @@
 	o.kickPlacement()
 }
 
-// errPollInterrupted reports a poll that was canceled so that another can settle a doubt.
+// errPollInterrupted reports a poll that was canceled so that another can resolve an order in doubt.
 var errPollInterrupted = errors.New("poll interrupted")
 
 // sendPoll sends a poll and waits for the report; it releases the lock during the call.
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -10,7 +10,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// An owner that does not know that it was replaced may act for ConfirmationTTL after the takeover.
+// An owner that has not noticed its replacement may act for ConfirmationTTL after the takeover.
 // Workers tell the two owners apart by fencing tokens, but forget these when they restart, and a
 // task could run twice. The protocol of a takeover is therefore:
 //
@@ -49,7 +49,7 @@
 
 // remainingGrace returns how long from now on an owner before the one in the row may still act.
 // The age of the row is a lower bound, since a process may have seen it late. An owner therefore
-// records in its commit row that all its predecessors are gone.
+// records in its commit row that no former owner can act any more.
 func remainingGrace(found OwnerRow, commit platform.Row, age time.Duration) time.Duration {
 	var c commitRow
 	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.SoleOwner && c.Term == found.Term {
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -47,9 +47,8 @@
 	return n
 }
 
-// TestWaitForPredecessor bounds how long stored jobs wait after a takeover: until the predecessor's
-// confirmation has expired, and no longer than the running task where the predecessor has ended or
-// stands down.
+// TestWaitForPredecessor checks that stored jobs wait until the predecessor's confirmation has
+// expired, and not at all if it has ended or confirms that it has stopped.
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
 	inSilence := startDelay(t, func(*testCluster) {})
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -17,7 +17,7 @@
 // recordProvisionalLoss records the loss of a worker before a suspected task is started there, so
 // that it counts even if this owner is lost with the worker; it reports whether the start has to
 // wait until that is stored. While the table service is down, starts wait only for tasks with an
-// early loss or that may have crashed a worker unseen.
+// early loss, or which may have crashed a worker without a recorded loss.
 func (o *Owner) recordProvisionalLoss(s *session, r *workerAttempt) bool {
 	t := r.Task
 	maybeLost := o.unreportedLoss && t.Step.Job.Restored
@@ -64,7 +64,7 @@
 	o.persist(t.Step.Job, false)
 }
 
-// recordUnreportedLoss records that a worker of a former owner was lost before it reported to this one.
+// recordUnreportedLoss records that a worker of former owners was lost before it reported to this one.
 // The loss is counted against the tasks known to have been there. If these are not known, every
 // restored task may have crashed it, and gets a provisional loss before its next start.
 func (o *Owner) recordUnreportedLoss(s *session) {
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -106,7 +106,7 @@
 	return o.putUnreportedLoss(b)
 }
 
-// clearChanged notes that the changed parts are in a transaction under way.
+// clearChanged records that the changed parts are in a transaction under way.
 func (r *workerRecord) clearChanged(parts []int) {
 	for _, i := range parts {
 		r.changed[i] = false
@@ -114,7 +114,7 @@
 	r.dirty = false
 }
 
-// applyOutcome notes whether the transaction that wrote the parts was carried out.
+// applyOutcome records whether the transaction that wrote the parts was carried out.
 func (r *workerRecord) applyOutcome(b *batch, happened bool) {
 	if !b.record {
 		return
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -14,8 +14,8 @@
 const refusedRetryDelay = time.Second
 
 // batchRefused handles a transaction whose content the table service will always refuse. Its items
-// are written one by one, so that one of them does not block the others; jobs refused alone are set
-// apart.
+// are written one by one, to find the item that is refused; the progress of a job that is refused
+// alone is not written again unless failRefused fails the job.
 func (o *Owner) batchRefused(b *batch, cause error) {
 	o.log.Error().Str("event", "transaction_refused").Int("rows", len(b.txn.Put)+len(b.txn.Remove)).Int("bytes", b.size).
 		Int("longest_row", b.longestRow()).Int("things", b.itemCount()).Err(cause).Send()
@@ -35,7 +35,7 @@
 		o.refusedProgress[j] = cause
 	}
 	if b.record || b.shares != nil {
-		// No tasks start at workers that are not recorded.
+		// The rows are needed: no tasks start at workers that are not recorded.
 		o.setCommitsFailingLocked(true, cause)
 		o.requeue(b)
 		time.AfterFunc(refusedRetryDelay, o.kickCommit)
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -71,7 +71,7 @@
 	return true
 }
 
-// writeRelease releases the owner row and stores what the next owner has to know. If the outcome
+// writeRelease releases the owner row and stores what the next owner needs. If the outcome
 // of an earlier transaction is unknown, it leaves the record of leased workers unchanged.
 func (o *Owner) writeRelease(ctx context.Context, next string) (err error) {
 	to := Handover{Entry: next, FormerGrace: max(0, o.soleOwnerAt-o.now())}
--- a/pkg/shard/repeat_test.go
+++ b/pkg/shard/repeat_test.go
@@ -15,9 +15,8 @@
 // scenariosPerKind is how many scenarios of each kind are run twice.
 const scenariosPerKind = 40
 
-// TestCoursesRepeat checks that the same seed gives the same log of the owners, so that a failure
-// can be reproduced. Simultaneous timers and answers, goroutine scheduling and map iteration
-// must not change the order of events.
+// TestCoursesRepeat checks that the same seed gives the same log of the owners, whatever
+// the scheduling of goroutines and the order of map iteration, so that failures can be reproduced.
 func TestCoursesRepeat(t *testing.T) {
 	for name, course := range map[string]func(func(*testCluster)) func(*rapid.T){
 		"owner": ownerScenario, "restarts": restarts, "crashes": crashes, "dozes": suspensions, "short lists": incompleteLists,
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -136,9 +136,9 @@
 		Int64("end", e.Seq).Int64("acknowledged", s.ends.stored).Str("reason", string(e.Reason)).Send()
 }
 
-// resolveDoubt drops the attempts whose start got no answer and that the report lacks. The
+// resolveInDoubt drops the attempts whose start got no answer and that the report lacks. The
 // poll carried a higher token, so those orders can't be carried out any more.
-func (o *Owner) resolveDoubt(s *session, sentAt time.Duration) {
+func (o *Owner) resolveInDoubt(s *session, sentAt time.Duration) {
 	s.inDoubt = false
 	for name, a := range sortedByKey(s.attempts) {
 		if a.Phase != jobs.PhaseInDoubt || a.startConfirmedAt > 0 {
@@ -156,7 +156,7 @@
 	}
 }
 
-// dropAttempt forgets an attempt that is not or no longer at the worker.
+// dropAttempt removes an attempt that is not or no longer at the worker.
 func (o *Owner) dropAttempt(s *session, name string) {
 	if a := s.attempts[name]; a != nil {
 		o.dropProvisionalLoss(a.Attempt)
@@ -169,7 +169,7 @@
 	}
 }
 
-// markMissing notes that a report lacks an attempt, and reports whether the previous one did
+// markMissing records that a report lacks an attempt, and reports whether the previous one did
 // too: a single report may be incomplete.
 func (r *workerAttempt) markMissing() bool {
 	before := r.missing
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// transferFormer moves the tasks that a former owner may have left to the next boot: they are there
+// transferFormer moves the tasks that former owners may have left to the next boot: they are there
 // if they were started after the restart.
 func (o *Owner) transferFormer(s, next *session) {
 	if !s.former.pending {
@@ -111,7 +111,7 @@
 }
 
 // otherBootLeasesEnd returns when leases computed from the clock of another boot have run out: they
-// may last as long as the longest lease that a worker grants.
+// may last as long as the longest lease that a worker accepts.
 func (o *Owner) otherBootLeasesEnd(now time.Duration) time.Duration {
 	return now + maxLocalDuration(o.cfg.MaxLease)
 }
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -43,7 +43,7 @@
 	Address string `msgpack:"a"` // of its peer listener
 	Term    int64  `msgpack:"t"` // rises with each takeover
 	Next    string `msgpack:"n"` // entry that should take over, set by a release
-	// FormerGrace is how long after the row was written an earlier owner may still act.
+	// FormerGrace is how long after the row was written a former owner may still act.
 	FormerGrace time.Duration `msgpack:"l,omitempty"`
 }
 
@@ -56,7 +56,7 @@
 	SoleOwner bool   `msgpack:"a,omitempty"` // no former owner can act any more
 }
 
-// leasedWorker is a boot that was granted a lease and may still run tasks.
+// leasedWorker is a boot with a lease, which may still run tasks.
 type leasedWorker struct {
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -42,7 +42,7 @@
 	orders          []*queuedOrder                 // queued, in order
 	senders         int                            // goroutines that send them
 	startsInFlight  int                            // start orders without an answer yet
-	inDoubt         bool                           // a start order got no answer; a poll with a higher token settles it
+	inDoubt         bool                           // a start order got no answer; a poll with a higher token resolves it
 	unansweredCalls int                            // polls and orders in a row without an answer
 	silentSince     time.Duration                  // when the first of those was noticed, 0 if none
 	retryNow        bool                           // a single poll failed: repeat it without a pause
@@ -58,7 +58,7 @@
 	clockMs            int64         // the worker's clock in the last answer
 	clockAt            time.Duration // when that answer arrived
 	leaseUntil         int64         // latest lease deadline sent, by the worker's clock
-	earlierLeasesUntil time.Duration // when leases given by a former owner, or by the clock of an earlier boot, have expired
+	earlierLeasesUntil time.Duration // when leases renewed by former owners, or by the clock of an earlier boot, have expired
 
 	ends endTracker // ends that it has reported
 
@@ -79,16 +79,16 @@
 	reportedAt       time.Duration // when the worker last reported it
 	missing          bool          // the worker's last report lacked it
 	replaced         bool          // a replacement was ordered because it is too slow
-	countedLostBoot  string        // earlier boot it counts as lost with until this boot answers
-	throttlePercent  int           // speed limit in percent, 0 for none
-	throttledAt      time.Duration // when the pace was last ordered
+	countedLostBoot  string        // earlier boot whose loss was counted against the task, until this boot reports the attempt
+	throttlePercent  int           // processor share ordered, in percent, 0 for all
+	throttledAt      time.Duration // when it was last ordered
 }
 
-// requestPoll makes the poll loop decide again when to poll.
+// requestPoll makes the poll loop plan its next poll anew.
 func (s *session) requestPoll() { pause.Wake(s.wake) }
 
-// markInDoubt notes that the outcome of an order is unknown. The worker gets no tasks until a
-// poll has settled it; a poll that waits for an end is canceled so that this happens soon.
+// markInDoubt records that the outcome of an order is unknown. The worker gets no tasks until a
+// poll has resolved it; a poll that waits for an end is canceled so that this happens soon.
 func (s *session) markInDoubt() {
 	s.inDoubt = true
 	s.interruptPoll()
@@ -148,7 +148,7 @@
 
 // finalRecordEntry returns the stored entry that an owner writes when it releases the shard,
 // with the tasks that may be at the worker. For a worker that has not answered this owner it
-// repeats the tasks that the former owner named, or names none if they are unknown.
+// repeats the tasks that the predecessor named, or names none if they are unknown.
 func (s *session) finalRecordEntry(term int64) leasedWorker {
 	w := s.recordEntry()
 	if s.former.pending && !s.former.listed {
@@ -171,7 +171,7 @@
 	return w
 }
 
-// markEndsStored notes that ends up to a number are stored.
+// markEndsStored records that ends up to a number are stored.
 func (s *session) markEndsStored(number int64) {
 	s.ends.markStored(number)
 	s.requestPoll()
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -21,18 +21,18 @@
 	minSiblings = 2
 	// maxSiblings bounds the tasks that are compared, sampled evenly over the step.
 	maxSiblings = 64
-	// estimateFactor widens an estimate that replaces the comparison.
+	// estimateFactor is applied to an estimate that is used in place of the comparison.
 	estimateFactor = 3
 	// roundingPercent is the largest rounding error of reported progress.
 	roundingPercent = 0.5
-	// restartGainFactor is how many times longer than a new attempt the rest must take, since
-	// estimates are rough.
+	// restartGainFactor is how many times longer than a new attempt the rest of an attempt must
+	// take to be replaced, since estimates are rough.
 	restartGainFactor = 1.5
 	// restartCost is the overhead of a stop and another start.
 	restartCost = time.Second
 	// remoteDataFactor allows for work outside the rack of its data.
 	remoteDataFactor = 3
-	// maxPatienceDoublings bounds the patience with a task that was replaced before.
+	// maxPatienceDoublings bounds the thresholds for a task that was replaced before.
 	maxPatienceDoublings = 6
 	// stallWeight is the weight of a straggler in its worker's failures.
 	stallWeight = 3
@@ -62,7 +62,7 @@
 }
 
 // isStraggler reports whether an attempt has stalled, or takes much longer than the other
-// tasks of its step and than a restart would; left is its remaining time.
+// tasks of its step and than a restart would; remaining is its remaining time.
 func (o *Owner) isStraggler(s *session, r *workerAttempt) (remaining time.Duration, straggles bool) {
 	step := r.Task.Step
 	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.startConfirmedAt == 0 || r.replaced {
@@ -74,7 +74,7 @@
 	}
 	total := r.projectedDuration()
 	remaining = max(0, total-ran)
-	// A task that is slow at each worker is slow by itself, so patience doubles with each
+	// A task that is slow at each worker has more work, so the thresholds double with each
 	// replacement.
 	patience := time.Duration(1) << min(r.Task.Replaced, maxPatienceDoublings)
 	if r.reportedAt-r.ProgressAt > patience*stallTimeout {
@@ -132,7 +132,8 @@
 	return nil
 }
 
-// replaceStraggler starts a copy where the step allows it, and stops the attempt otherwise.
+// replaceStraggler requests a speculative copy where the step allows it, and stops the attempt
+// otherwise, so that it restarts elsewhere.
 func (o *Owner) replaceStraggler(s *session, name string, r *workerAttempt, remaining, now time.Duration) {
 	r.replaced = true
 	r.Task.Replaced++
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -57,8 +57,8 @@
 }
 
 // retractBootLosses removes the losses at a boot that is alive, as its report shows. If a task with
-// other losses still runs there, a provisional loss is recorded again, and a worker on trial is
-// reserved again. Otherwise the next owner might start a crashing task beside the one on trial.
+// other losses still runs there, a provisional loss is recorded again, and a worker with a trial is
+// reserved again. Otherwise the next owner might start a crashing task beside the one in the trial.
 func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
 	s.lossCounted = false
 	for _, t := range o.sortedSuspects() {
@@ -117,8 +117,8 @@
 	o.jobEnded(j)
 }
 
-// failRestoredPoison fails the jobs of tasks whose losses a former owner has recorded, but not the
-// end of the job.
+// failRestoredPoison fails the jobs of poison tasks that a former owner has recorded without
+// storing the end of their jobs.
 func (o *Owner) failRestoredPoison() {
 	for _, t := range o.sortedSuspects() {
 		o.failIfPoison(t)
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -11,7 +11,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Identity is one incarnation of an entry.
+// Identity is one incarnation (process) of an entry.
 type Identity struct {
 	Entry   string
 	Start   int64  // tells incarnations of the entry apart
@@ -20,7 +20,7 @@
 
 // ErrNotOwner reports that another entry owns the shard or has taken it over.
 type ErrNotOwner struct {
-	Owner OwnerRow
+	Owner OwnerRow // its Entry is a description if the name of the entry is not known
 }
 
 // Error names the owner.
@@ -32,24 +32,24 @@
 	OwnerVersion  int64         // of the owner row
 	commitVersion int64         // of the commit row
 	sentAt        time.Duration // when the transaction was sent
-	predecessor   OwnerRow      // owner that was replaced
+	predecessor   OwnerRow      // last owner before this one
 	row           platform.Row  // owner row as written
-	formerGrace   time.Duration // how long after the takeover any former owner may still act
-	earlierGrace  time.Duration // the same for owners before the predecessor
+	formerGrace   time.Duration // how long after the takeover a former owner, the predecessor included, may still act
+	earlierGrace  time.Duration // the same without the predecessor
 }
 
-// Handover is what an owner that releases its shard passes on.
+// Handover is what an owner that releases its shard writes for the next one.
 type Handover struct {
 	Entry       string        // entry that should take over, empty for any
-	FormerGrace time.Duration // how long an earlier owner may still act
+	FormerGrace time.Duration // how long a former owner of the releasing one may still act
 }
 
-// Release clears the owner row, so that another entry can take over at once.
+// Release writes an owner row without an owner, so that another entry can take over at once.
 func (c Claim) Release(ctx context.Context, rows platform.Rows, pool string, to Handover) (err error) {
 	return c.ReleaseWith(ctx, rows, pool, to, platform.RowTxn{})
 }
 
-// ReleaseWith clears the owner row as part of txn.
+// ReleaseWith does what Release does, as part of txn. The row keeps the term and names the next entry.
 func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Handover, txn platform.RowTxn) (err error) {
 	defer func() { err = errors.Wrapf(err, "release shard %s", pool) }()
 	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, FormerGrace: to.FormerGrace})
@@ -90,19 +90,19 @@
 	if err != nil {
 		return c, err
 	}
-	var old OwnerRow
+	var predecessor OwnerRow
 	if owner.Version > 0 {
-		if old, err = decodePredecessor(owner, commit); err != nil {
+		if predecessor, err = decodePredecessor(owner, commit); err != nil {
 			return c, err
 		}
 	}
 	if owner.Version != seen.Version {
-		return c, ErrNotOwner{Owner: old}
+		return c, ErrNotOwner{Owner: predecessor}
 	}
-	c.Term = old.Term + 1
-	c.predecessor, c.earlierGrace = old, remainingGrace(old, commit, seen.Age)
+	c.Term = predecessor.Term + 1
+	c.predecessor, c.earlierGrace = predecessor, remainingGrace(predecessor, commit, seen.Age)
 	c.formerGrace = c.earlierGrace
-	if old.Entry != "" && (ended == nil || !ended(old)) {
+	if predecessor.Entry != "" && (ended == nil || !ended(predecessor)) {
 		c.formerGrace = max(c.formerGrace, maxConfirmedWithDrift)
 	}
 	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, FormerGrace: c.formerGrace})
@@ -131,11 +131,11 @@
 	return c, nil
 }
 
-// decodePredecessor decodes the owner row. If the row is malformed, the term comes from the commit row,
+// decodePredecessor decodes the owner row found at a takeover. If the row is malformed, the term comes from the commit row,
 // which each takeover writes as well, so that terms keep rising.
-func decodePredecessor(owner, commit platform.Row) (old OwnerRow, err error) {
-	if old, err = DecodeOwner(owner.Value); err == nil {
-		return old, nil
+func decodePredecessor(owner, commit platform.Row) (predecessor OwnerRow, err error) {
+	if predecessor, err = DecodeOwner(owner.Value); err == nil {
+		return predecessor, nil
 	}
 	var c commitRow
 	if commitErr := msgpack.Unmarshal(commit.Value, &c); commitErr != nil || c.Term == 0 {
@@ -145,7 +145,7 @@
 }
 
 // ownTakeover reports whether a conflict is with an earlier try of the same takeover, and returns
-// the version that this try wrote.
+// the row version that this try wrote.
 func ownTakeover(err error, pool string, self Identity, term int64) (version int64, ok bool) {
 	var conflict platform.ErrConflict
 	if !errors.As(err, &conflict) {
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// trialSettleTime is how long all other attempts at a worker have run before a trial starts there,
-	// so that a loss can be attributed to the task on trial.
+	// trialSettleTime is how long all other attempts at a worker must have run before a trial starts
+	// there, so that a loss can be attributed to the task in the trial.
 	trialSettleTime = 500 * time.Millisecond
 	// trialWorkerDivisor limits the workers reserved for trials to 1/trialWorkerDivisor of the pool.
 	trialWorkerDivisor = 3
@@ -19,19 +19,20 @@
 	trialStartTimeout = 5 * time.Second
 )
 
-// trial reserves a worker: nothing else starts there meanwhile. A gang may need several workers.
+// trial reserves a worker for one suspected task, or members of one gang, to find out whether it
+// crashes the worker: nothing else starts there meanwhile. A gang may need several workers.
 type trial struct {
 	tasks    []*jobs.Task
 	since    time.Duration
 	attempts []*jobs.Attempt // at this worker, none until they are started
 }
 
-// inTrial reports whether an attempt is on trial at the worker.
+// inTrial reports whether an attempt is part of a trial at the worker.
 func (s *session) inTrial(r *workerAttempt) bool {
 	return s.trial != nil && slices.Contains(s.trial.attempts, r.Attempt)
 }
 
-// startTrials reserves workers for candidates that may only be started on trial, and starts those
+// startTrials reserves workers for candidates that may only start in a trial, and starts those
 // whose workers are ready.
 func (o *Owner) startTrials(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// checkInterval is the time between two passes over leases, stops and final jobs.
+// checkInterval is the time between two runs of the periodic checks.
 const checkInterval = 150 * time.Millisecond
 
 // finalJob is a job to be removed after the retention time.
@@ -14,7 +14,7 @@
 	at time.Duration
 }
 
-// checkLoop runs the periodic work.
+// checkLoop runs the periodic checks of ownership, leases, stops, stragglers and final jobs.
 func (o *Owner) checkLoop(ctx context.Context) {
 	tick := time.NewTicker(checkInterval)
 	defer tick.Stop()
@@ -57,7 +57,7 @@
 	}
 }
 
-// updateRateLimit detects whether this owner has reached its own limit.
+// updateRateLimit updates the limit on starts, which is in force while this owner is saturated.
 func (o *Owner) updateRateLimit(now time.Duration) {
 	w, changed := o.rate.Update(now)
 	if !changed {
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -9,7 +9,8 @@
 // tokensPerTerm is the number of fencing tokens reserved for each term of ownership.
 const tokensPerTerm = 1 << 20
 
-// firstToken returns this term's token for a worker whose token was never raised.
+// firstToken returns this term's first token for a worker. Later ones are higher: the token is raised
+// to invalidate unanswered orders.
 func (o *Owner) firstToken() int64 { return o.claim.Term*tokensPerTerm + 1 }
 
 // addSession creates the session of a boot and starts its poll loop.
