--- a/pkg/placement/excess_test.go
+++ b/pkg/placement/excess_test.go
@@ -80,7 +80,7 @@
 				continue
 			}
 			number++
-			// Jobs beyond the guaranteed rate are drawn at random.
+			// Jobs over the guaranteed rate are drawn at random.
 			excess := a == 0 && rnd.Float64() > 1/l.overload
 			registry.Add(fmt.Sprintf("%016x", number), jobs.Record{
 				Account: fmt.Sprint(a), Excess: excess, MaxAttempts: 1,
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -13,7 +13,7 @@
 // limitLogInterval is the minimum time between two log lines on an account that is at its limit.
 const limitLogInterval = time.Second
 
-// accounts is the state of client accounts, beyond the catalog.
+// accounts is the state of client accounts that is not in the catalog.
 type accounts struct {
 	shares     *allowance.ShardShares        // of the limits of accounts
 	changed    bool                          // the shares are to be written
@@ -33,8 +33,8 @@
 // have submitted still run.
 func (a *accounts) retainRemoved(old, c *catalog.Catalog) {
 	for i := range old.Accounts {
-		if was := &old.Accounts[i]; c.Account(was.Name) == nil {
-			a.removed[was.Name] = was.Limit
+		if account := &old.Accounts[i]; c.Account(account.Name) == nil {
+			a.removed[account.Name] = account.Limit
 		}
 	}
 }
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// unregisteredUsage returns what each account has or may have running beyond the attempts in the registry:
-// attempts of former owners that are being stopped, and tasks that may be at workers that have not
-// reported since the takeover.
+// unregisteredUsage returns what each account has or may have running besides the attempts in the
+// registry: attempts of former owners that are being stopped, and tasks that may be at workers that
+// have not reported since the takeover.
 func (o *Owner) unregisteredUsage() map[string]platform.Resources {
 	sum := map[string]platform.Resources{}
 	add := func(account string, needs platform.Resources) {
--- a/pkg/shard/calls_test.go
+++ b/pkg/shard/calls_test.go
@@ -21,7 +21,7 @@
 func TestRepeatedSubmission(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newSlowEstate(t)
+		e := newSlowCluster(t)
 		defer e.close()
 		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
 		outcomes := make(chan string, 2)
@@ -31,7 +31,7 @@
 		c.Check(<-outcomes, qt.Equals, "ok\n")
 		c.Check(<-outcomes, qt.Equals, "ok\n")
 		time.Sleep(5 * time.Second)
-		c.Check(e.witness.report(), qt.Equals, "1 starts, nothing broken\n")
+		c.Check(e.observer.report(), qt.Equals, "1 starts, nothing broken\n")
 	})
 }
 
@@ -40,7 +40,7 @@
 func TestQueueInSlowService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := newSlowEstate(t)
+		e := newSlowCluster(t)
 		defer e.close()
 		c.Assert(e.startOwner("a"), qt.Equals, "term 1\n")
 		outcomes := make(chan string, 20)
@@ -95,12 +95,12 @@
 			}
 		}
 		c.Check(taken > jobCount/2, qt.IsTrue, qt.Commentf("%d jobs were accepted", taken))
-		c.Check(strings.HasSuffix(e.witness.report(), "nothing broken\n"), qt.IsTrue, qt.Commentf("%s", e.witness.report()))
+		c.Check(strings.HasSuffix(e.observer.report(), "nothing broken\n"), qt.IsTrue, qt.Commentf("%s", e.observer.report()))
 	})
 }
 
-// newSlowEstate has one worker and a table service that takes half a second for each transaction.
-func newSlowEstate(t *testing.T) *testCluster {
+// newSlowCluster has one worker and a table service that takes half a second for each transaction.
+func newSlowCluster(t *testing.T) *testCluster {
 	e := newTestCluster(t)
 	e.rows = fake.NewRows(500*time.Millisecond, time.Second)
 	e.addWorker("w1", "w1", "w1", "2000", "0")
--- a/pkg/shard/cluster_test.go
+++ b/pkg/shard/cluster_test.go
@@ -34,13 +34,13 @@
 // testCluster is a deployment of one pool in virtual time.
 type testCluster struct {
 	// mu guards state that owners and workers read during the test: faults, failing, listed,
-	// machines, adviceCalls and the witness.
+	// machines, adviceCalls and the observer.
 	mu          sync.Mutex
 	t           fataler
 	since       time.Time
 	rows        *fake.Rows
 	workers     *fake.Workers
-	witness     *witness
+	observer    *observer
 	listed      []platform.Worker
 	machines    []platform.Machine
 	allowed     []string // boots that the advice service allows; if empty the queue needs no advice
@@ -98,11 +98,11 @@
 
 func newTestCluster(t fataler) *testCluster {
 	e := &testCluster{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
-	e.witness = newWitness(e)
+	e.observer = newObserver(e)
 	e.out = &e.log
 	e.rows = fake.NewRows(4*time.Millisecond, 3*time.Second)
 	e.rows.SetFault(func(op fake.RowOp, entry string) fake.Fault { return e.fault("rows", string(op), entry) })
-	e.workers = fake.NewWorkers(time.Millisecond, 3*time.Second, 50*time.Millisecond, e.work, e.witness)
+	e.workers = fake.NewWorkers(time.Millisecond, 3*time.Second, 50*time.Millisecond, e.work, e.observer)
 	e.workers.SetFault(func(op fake.OrderOp, boot, entry string) fake.Fault { return e.fault(string(op), boot, entry) })
 	e.workers.SetOnCrash(func(w platform.Worker) { time.AfterFunc(e.crashRestartDelay, func() { e.boot(w) }) })
 	return e
@@ -333,17 +333,17 @@
 		return err.Error() + "\n"
 	}
 	e.locked(func() {
-		e.witness.steps[id] = text
-		if _, known := e.witness.accounts[id]; !known {
-			e.witness.accounts[id] = account
+		e.observer.steps[id] = text
+		if _, known := e.observer.accounts[id]; !known {
+			e.observer.accounts[id] = account
 		}
-		e.witness.copies[id] = strings.Contains(text, "copies")
+		e.observer.copies[id] = strings.Contains(text, "copies")
 	})
 	out := e.owners[entry].Submit(context.Background(), id, jobs.Record{Queue: queue, Account: account, AcceptedAt: time.Duration(time.Now().UnixNano()), MaxAttempts: maxAttempts, Spec: spec})
 	return string(out) + "\n"
 }
 
-// limit sets an account's CPU limit, in thousandths of a core. The witness' allowance is set
+// limit sets an account's CPU limit, in thousandths of a core. The observer' allowance is set
 // separately, since shares may be lower.
 func (e *testCluster) limit(account string, cpu int) {
 	e.limits = slices.DeleteFunc(slices.Clone(e.limits), func(a catalog.Account) bool { return a.Name == account })
--- a/pkg/shard/concurrent_owners_test.go
+++ b/pkg/shard/concurrent_owners_test.go
@@ -24,24 +24,24 @@
 		m.pause(1, 1000, "quiet")
 		for range rapid.IntRange(1, 2).Draw(t, "takeovers") {
 			for range rapid.IntRange(1, 3).Draw(t, "jobs") {
-				m.chain()
+				m.submitChain()
 			}
 			m.pause(1, 400, "before")
-			m.usurp()
+			m.startConcurrentOwner()
 			m.pause(1, 100, "after")
 			if rapid.Bool().Draw(t, "looks lost") {
 				e.locked(func() { e.faults["renew * "+m.currentOwner] = fake.FaultLostBefore })
 			}
 			m.restart()
 			m.pause(1, 1800, "beside")
-			m.heal()
+			m.clearFaults()
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
-// chain submits a job of short steps that follow each other.
-func (m *scenario) chain() {
+// submitChain submits a job of short steps that follow each other.
+func (m *scenario) submitChain() {
 	texts := []string{"1x1000/50ms 2x1000/300ms<0", "2x2000/300ms 1x3000/1s<0", "1x1000/20ms 1x1000/20ms<0 1x1000/500ms<1"}
 	m.jobs++
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -26,17 +26,17 @@
 		e.workers.SetBlackhole(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
 		for range rapid.IntRange(1, 2).Draw(t, "crashing") {
-			m.ruin()
+			m.submitCrashing()
 		}
 		for range rapid.IntRange(0, 2).Draw(t, "others") {
 			m.submit()
 		}
-		kinds := []func(){m.takeOver, m.handOver, m.usurp, m.orderFault, m.rowFault, m.heal, m.boot, func() {}}
+		kinds := []func(){m.takeOver, m.handOver, m.startConcurrentOwner, m.orderFault, m.rowFault, m.clearFaults, m.boot, func() {}}
 		for range rapid.IntRange(1, 8).Draw(t, "steps") {
 			m.pause(1, 4500, "pause")
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
--- a/pkg/shard/dispatch_test.go
+++ b/pkg/shard/dispatch_test.go
@@ -33,9 +33,9 @@
 	return w.Workers.StartAttempt(ctx, r, o)
 }
 
-// TestOrdersInTurn checks that at most two orders are sent to a worker at once, when twenty
+// TestMaxOrdersPerWorker checks that at most two orders are sent to a worker at once, when twenty
 // tasks start there.
-func TestOrdersInTurn(t *testing.T) {
+func TestMaxOrdersPerWorker(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestCluster(t)
 		defer e.close()
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -18,8 +18,8 @@
 }
 
 // inheritWorker tracks the tasks that former owners may have left at a recorded worker. A planned
-// release lists them, and only the listed tasks wait for a report of the worker. After a crash any
-// task may be there, since starts are not recorded; so a list is used only if the predecessor wrote it.
+// release lists them, and only the listed tasks wait for a report of the worker. Otherwise any task
+// may be there. A list is used only if the predecessor wrote it, since starts are not recorded.
 func (o *Owner) inheritWorker(s *session, w leasedWorker) {
 	s.former = formerTasks{pending: true, safeAt: o.soleOwnerAt, leasesEnd: o.formerLeasesUntil}
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
--- a/pkg/shard/innocent_test.go
+++ b/pkg/shard/innocent_test.go
@@ -10,10 +10,10 @@
 // their losses are no proof against its task.
 func TestInnocentBesideSilence(t *testing.T) { prop.CheckSeed(t, 2142713, crashes(nil)) }
 
-// TestTrialSurvivesTakeover guards against an owner that adopts an attempt on trial and starts a
-// crashing task beside it, whose loss was then counted against the task on trial.
+// TestTrialSurvivesTakeover guards against an owner that adopts an attempt in a trial and starts a
+// crashing task beside it, whose loss was then counted against the task in the trial.
 func TestTrialSurvivesTakeover(t *testing.T) { prop.CheckSeed(t, 14215917, restarts(nil)) }
 
-// TestMostWorkersDown guards against losses that are forgotten because their owner releases the shard,
+// TestMaxWorkersCrashed guards against losses that are forgotten because their owner releases the shard,
 // or is lost, before they are stored: a task crashed more workers than allowed.
-func TestMostWorkersDown(t *testing.T) { prop.CheckSeed(t, 190819, crashes(nil)) }
+func TestMaxWorkersCrashed(t *testing.T) { prop.CheckSeed(t, 190819, crashes(nil)) }
--- a/pkg/shard/limit_test.go
+++ b/pkg/shard/limit_test.go
@@ -85,12 +85,12 @@
 			}
 		}
 		log := e.log.String()
-		t.Logf("%d jobs done, %s, %d leases lapsed, %d starts without an answer, at limit %d times", done, strings.TrimSpace(e.witness.report()),
+		t.Logf("%d jobs done, %s, %d leases lapsed, %d starts without an answer, at limit %d times", done, strings.TrimSpace(e.observer.report()),
 			strings.Count(log, "leases_lapsed"), strings.Count(log, "start_failed"), strings.Count(log, "owner_at_limit"))
 		c.Check(done, qt.Equals, 200)
 		c.Check(strings.Count(log, "leases_lapsed"), qt.Equals, 0)
 		c.Check(strings.Contains(log, "owner_at_limit"), qt.IsTrue)
-		c.Check(e.witness.report(), qt.Equals, "1600 starts, nothing broken\n")
+		c.Check(e.observer.report(), qt.Equals, "1600 starts, nothing broken\n")
 	})
 }
 
@@ -151,6 +151,6 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		c.Check(strings.Contains(e.log.String(), "owner_at_limit"), qt.IsFalse)
-		c.Check(e.witness.report(), qt.Equals, "4 starts, nothing broken\n")
+		c.Check(e.observer.report(), qt.Equals, "4 starts, nothing broken\n")
 	})
 }
--- a/pkg/shard/many_test.go
+++ b/pkg/shard/many_test.go
@@ -53,7 +53,7 @@
 		time.Sleep(12 * time.Second)
 		c.Check(e.stateOf("c", "j1"), qt.Equals, "ok completed")
 		c.Check(e.stateOf("c", "j2"), qt.Equals, "ok completed")
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 		synctest.Wait()
 		c.Check(strings.Contains(e.log.String(), "transaction_refused"), qt.IsFalse)
 	})
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -10,9 +10,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// mixed combines all faults: workers that restart, crash or change their room, crashing tasks, lost
-// and late calls, owners that are closed, hand over, are usurped or suspended. Reports are complete,
-// since a single one decides on a start without an answer.
+// mixed combines all faults of workers, calls, tasks and owners. Reports are complete, since a
+// single one decides on a start without an answer.
 func mixed(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newScenario(t, plant)
@@ -25,14 +24,14 @@
 		m.takeOver()
 		m.crashingTasks = rapid.Bool().Draw(t, "crashing tasks")
 		kinds := []func(){
-			m.short, m.submit, m.submit, m.cancel, m.again, m.fail, m.ruinIf, m.restart, m.restart, m.boot, m.crash, m.resize,
-			m.takeOver, m.handOver, m.usurp, m.doze, m.orderFault, m.rowFault, m.heal, m.heal,
+			m.submitShort, m.submit, m.submit, m.cancel, m.resubmit, m.failTask, m.submitCrashingIfEnabled, m.restart, m.restart, m.boot, m.crash, m.resize,
+			m.takeOver, m.handOver, m.startConcurrentOwner, m.suspendOwner, m.orderFault, m.rowFault, m.clearFaults, m.clearFaults,
 		}
 		for range rapid.IntRange(4, 18).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
 			m.pause(1, 1200, "pause")
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// hosts returns placement's view of the workers that accept tasks, by boot. The hosts are cached: starts
-// placed on them must be ordered before the lock is released.
+// hosts returns placement's view of the workers that accept tasks, by boot. The hosts are cached:
+// starts placed on them must be ordered before the lock is released.
 func (o *Owner) hosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
 		if s.acceptsTasks(now) {
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -96,8 +96,8 @@
 func (o *Owner) poll(ctx context.Context, s *session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	settles := s.inDoubt && s.startsInFlight == 0
-	if settles {
+	resolves := s.inDoubt && s.startsInFlight == 0
+	if resolves {
 		s.token++
 	}
 	sentAt := o.now()
@@ -121,7 +121,7 @@
 	s.ends.markAcknowledged(order.AckedSeq)
 	s.answeredPollAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
-	if settles && order.Token == s.token {
+	if resolves && order.Token == s.token {
 		o.resolveInDoubt(s, sentAt)
 	}
 	if !s.synced && order.LeaseUntil > 0 {
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -36,14 +36,14 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(5 * time.Second)
-		qt.Check(t, e.witness.invariants(), qt.Equals, "kept\n")
+		qt.Check(t, e.observer.invariants(), qt.Equals, "kept\n")
 	})
 	return after
 }
 
 // startCount returns the number of tasks started so far.
 func (e *testCluster) startCount() (n int) {
-	e.locked(func() { n = e.witness.starts })
+	e.locked(func() { n = e.observer.starts })
 	return n
 }
 
@@ -51,19 +51,19 @@
 // expired, and not at all if it has ended or confirms that it has stopped.
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
-	inSilence := startDelay(t, func(*testCluster) {})
-	c.Check(inSilence > shard.ConfirmationTTL, qt.IsTrue, qt.Commentf("%s", inSilence))
-	c.Check(inSilence < 1600*time.Millisecond, qt.IsTrue, qt.Commentf("%s", inSilence))
+	unnotified := startDelay(t, func(*testCluster) {})
+	c.Check(unnotified > shard.ConfirmationTTL, qt.IsTrue, qt.Commentf("%s", unnotified))
+	c.Check(unnotified < 1600*time.Millisecond, qt.IsTrue, qt.Commentf("%s", unnotified))
 	ended := startDelay(t, func(e *testCluster) {
 		e.owners["a"].Close()
 		e.setOwner("a", nil)
 	})
 	c.Check(ended < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%s", ended))
-	told := startDelay(t, func(e *testCluster) {
+	stoodDown := startDelay(t, func(e *testCluster) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool {
 			e.owners["a"].Close()
 			return true
 		}
 	})
-	c.Check(told < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%s", told))
+	c.Check(stoodDown < 150*time.Millisecond, qt.IsTrue, qt.Commentf("%s", stoodDown))
 }
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -19,8 +19,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// ownedEstate is a deployment with one worker, w1, that has reported to an owner, a.
-func ownedEstate(t *testing.T) *testCluster {
+// ownedCluster is a deployment with one worker, w1, that has reported to an owner, a.
+func ownedCluster(t *testing.T) *testCluster {
 	e := newTestCluster(t)
 	e.addWorker("w1", "w1", "w1", "4000", "0")
 	qt.Assert(t, e.startOwner("a"), qt.Equals, "term 1\n")
@@ -50,7 +50,7 @@
 func TestEarlierRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := ownedEstate(t)
+		e := ownedCluster(t)
 		defer e.close()
 		c.Assert(e.submit("a", "", "j1", "1x1000/0s"), qt.Equals, "ok\n")
 		time.Sleep(time.Second)
@@ -74,7 +74,7 @@
 		e.addWorker("w2", "w2", "w2", "4000", "0")
 		c.Assert(e.startOwner("b"), qt.Equals, "term 2\n")
 		time.Sleep(30 * time.Second)
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 		c.Check(e.workers.Running("w2"), qt.HasLen, 1)
 	})
 }
@@ -84,7 +84,7 @@
 func TestEarlierVersionTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := ownedEstate(t)
+		e := ownedCluster(t)
 		defer e.close()
 		page, err := e.rows.As("earlier").ListRows(context.Background(), "workers", pool, "row")
 		c.Assert(err, qt.IsNil)
@@ -131,7 +131,7 @@
 func TestRefusedTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := ownedEstate(t)
+		e := ownedCluster(t)
 		defer e.close()
 		taken := make(chan string, 3)
 		for i, id := range []string{"j1", "j2", "j3"} {
@@ -150,16 +150,16 @@
 		for _, id := range []string{"j1", "j2", "j3"} {
 			c.Check(e.stateOf("a", id), qt.Equals, "ok completed")
 		}
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 	})
 }
 
-// TestJobThatCannotBeLaidOut checks that a takeover sets a stored job apart that is too large for this
+// TestOversizedStoredJob checks that a takeover sets a stored job apart that is too large for this
 // version: its state is unknown, none of its tasks starts, and other jobs go on.
-func TestJobThatCannotBeLaidOut(t *testing.T) {
+func TestOversizedStoredJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		e := ownedEstate(t)
+		e := ownedCluster(t)
 		defer e.close()
 		c.Assert(e.submit("a", "", "j1", "1x1000/5s"), qt.Equals, "ok\n")
 		e.owners["a"].Close()
@@ -178,6 +178,6 @@
 		c.Check(e.submit("b", "", "j2", "1x1000/1s"), qt.Equals, "ok\n")
 		synctest.Wait()
 		c.Check(strings.Contains(e.log.String(), "row_malformed"), qt.IsTrue)
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 	})
 }
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -94,8 +94,8 @@
 }
 
 // releaseTxn narrows the record of leased workers to those where something may run, and names the
-// tasks, so that the next owner waits for those only. It also stores pending progress: losses above
-// all, which would be forgotten, as the narrowed record may not name the lost worker.
+// tasks, so that the next owner waits for those only. It also stores pending progress: the narrowed
+// record may not name a lost worker, so its loss must not be left unstored.
 func (o *Owner) releaseTxn() (txn platform.RowTxn, err error) {
 	b := &batch{}
 	b.txn.Expect = []platform.Row{{RowKey: commitKey(o.cfg.Pool), Version: o.commitVersion}}
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -28,31 +28,31 @@
 		e.workers.SetBlackhole(rapid.Bool().Draw(t, "dark"))
 		m.takeOver()
 		m.crashingTasks = rapid.Bool().Draw(t, "crashing tasks")
-		kinds := []func(){m.short, m.short, m.submit, m.restart, m.restart, m.takeOver, m.handOver, m.usurp, m.orderFault, m.heal, m.ruinIf}
+		kinds := []func(){m.submitShort, m.submitShort, m.submit, m.restart, m.restart, m.takeOver, m.handOver, m.startConcurrentOwner, m.orderFault, m.clearFaults, m.submitCrashingIfEnabled}
 		for range rapid.IntRange(3, 14).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
 			m.pause(1, 1200, "pause")
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
-// ruinIf submits a job with a crashing task if the sequence may have one.
-func (m *scenario) ruinIf() {
+// submitCrashingIfEnabled submits a job with a crashing task if the sequence may have one.
+func (m *scenario) submitCrashingIfEnabled() {
 	if m.crashingTasks {
-		m.ruin()
+		m.submitCrashing()
 	}
 }
 
-// short submits a job of tasks that may start and end between two polls.
-func (m *scenario) short() {
+// submitShort submits a job of tasks that may start and end between two polls.
+func (m *scenario) submitShort() {
 	texts := []string{"1x1000/20ms", "6x500/60ms", "2x1000/10ms 2x1000/100ms<0"}
 	m.jobs++
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// maxRestartsAtWork bounds the random restarts while a job is open. More of them could not be told
-// from crashes caused by a task.
+// maxRestartsAtWork bounds the random restarts while a job is open. More of them could not be
+// distinguished from crashes caused by a task.
 const maxRestartsAtWork = 2
 
 // restart restarts a worker under its ID; the directory may show that late.
@@ -87,8 +87,8 @@
 // TestRestarts checks the invariants while workers restart under the same ID.
 func TestRestarts(t *testing.T) { prop.Check(t, restarts(nil)) }
 
-// TestRestartsFindsPlanted checks that it detects an owner that can't tell the boots of a worker
-// apart, and one that carries end numbers over from an earlier boot.
+// TestRestartsFindsPlanted checks that it detects an owner that can't distinguish the boots of a
+// worker, and one that carries end numbers over from an earlier boot.
 func TestRestartsFindsPlanted(t *testing.T) {
 	for name, plant := range map[string]func(*testCluster){
 		"boots are not told apart": func(e *testCluster) {
@@ -129,9 +129,8 @@
 	return f.Workers.RenewLeases(ctx, w, o)
 }
 
-// TestStartReachesNextBoot guards against a start that reaches the next boot unnoticed: its end would
-// be acknowledged by the numbers of the boot before and be lost. The clock in the answer to the start
-// reveals the restart.
+// TestStartReachesNextBoot guards against a start that reaches the next boot unnoticed: its end
+// would be acknowledged by the numbers of the boot before and be lost.
 func TestStartReachesNextBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -147,7 +146,7 @@
 		time.Sleep(100 * time.Millisecond)
 		e.restart("w1", true, time.Second)
 		time.Sleep(5 * time.Second)
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 		state, _ := e.owners["a"].State("j1", shard.Requester{Operator: true})
 		c.Check(state, qt.Equals, jobs.StateCompleted)
 	})
@@ -171,7 +170,7 @@
 			}()
 			qt.Assert(t, e.submit("a", "", "j1", "3x500/50ms 1x2000/10ms<0"), qt.Equals, "ok\n")
 			time.Sleep(5 * time.Second)
-			qt.Check(t, e.witness.invariants(), qt.Equals, "kept\n", qt.Commentf("started again after %s", at))
+			qt.Check(t, e.observer.invariants(), qt.Equals, "kept\n", qt.Commentf("started again after %s", at))
 		})
 	}
 }
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -22,9 +22,9 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// settleTime is how long a scenario waits at the end, without faults, for every accepted job to
+// finishTime is how long a scenario waits at the end, without faults, for every accepted job to
 // become final; it covers leases of former owners, late orders and the work itself.
-const settleTime = 60 * time.Second
+const finishTime = 60 * time.Second
 
 // scenario draws the events of one run: what happens to the owners and their workers.
 type scenario struct {
@@ -64,7 +64,7 @@
 	return m
 }
 
-// ownerScenario runs one drawn sequence of events and checks the witness' guarantees.
+// ownerScenario runs one drawn sequence of events and checks the guarantees that the observer checks.
 func ownerScenario(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newScenario(t, plant)
@@ -79,7 +79,7 @@
 			m.step()
 			m.pause(1, 900, "pause")
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
@@ -94,7 +94,7 @@
 	m.e.limit(limitedAccount, limitedCPU)
 	m.e.grant(m.currentOwner, 1, 1, limitedAccount, 0.5)
 	time.Sleep(time.Second)
-	m.e.locked(func() { m.e.witness.allowed[limitedAccount] = limitedCPU / 2 })
+	m.e.locked(func() { m.e.observer.allowed[limitedAccount] = limitedCPU / 2 })
 }
 
 // accountOf returns the account of a job: every other job is of the limited account.
@@ -106,7 +106,7 @@
 }
 
 func (m *scenario) step() {
-	kinds := []func(){m.submit, m.submit, m.submit, m.cancel, m.again, m.boot, m.crash, m.takeOver, m.handOver, m.usurp, m.orderFault, m.rowFault, m.heal, m.fail, m.ruin, m.resize, m.doze}
+	kinds := []func(){m.submit, m.submit, m.submit, m.cancel, m.resubmit, m.boot, m.crash, m.takeOver, m.handOver, m.startConcurrentOwner, m.orderFault, m.rowFault, m.clearFaults, m.failTask, m.submitCrashing, m.resize, m.suspendOwner}
 	kinds[rapid.IntRange(0, len(kinds)-1).Draw(m.t, "kind")]()
 }
 
@@ -127,14 +127,14 @@
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// again repeats an earlier submission, as a caller without an answer does.
-func (m *scenario) again() {
+// resubmit repeats an earlier submission, as a caller without an answer does.
+func (m *scenario) resubmit() {
 	if m.jobs == 0 {
 		return
 	}
 	id := jobID(rapid.IntRange(1, m.jobs).Draw(m.t, "job"))
 	var text string
-	m.e.locked(func() { text = m.e.witness.steps[id] })
+	m.e.locked(func() { text = m.e.observer.steps[id] })
 	m.submitJob(id, text)
 }
 
@@ -144,8 +144,8 @@
 	}
 	out := schema.CallOutcome(strings.TrimSpace(m.e.submit(m.currentOwner, accountOf(id), id, text)))
 	m.e.locked(func() {
-		before, known := m.e.witness.refused[id]
-		m.e.witness.refused[id] = (before || !known) && (out == schema.CallOutcomeRefused || out == schema.CallOutcomeNotOwner)
+		before, known := m.e.observer.refused[id]
+		m.e.observer.refused[id] = (before || !known) && (out == schema.CallOutcomeRefused || out == schema.CallOutcomeNotOwner)
 	})
 	if out == schema.CallOutcomeOk {
 		m.accepted[id] = true
@@ -160,7 +160,7 @@
 	job := m.e.owners[m.currentOwner]
 	state, _ := job.State(id, shard.Requester{Operator: true})
 	if out := job.Cancel(context.Background(), id, shard.Requester{Operator: true}); out == schema.CallOutcomeOk && !state.Final() {
-		m.e.locked(func() { m.e.witness.cancelled[id] = time.Now() })
+		m.e.locked(func() { m.e.observer.cancelled[id] = time.Now() })
 	}
 }
 
@@ -208,8 +208,8 @@
 	m.startNextOwner()
 }
 
-// usurp starts the next owner while the current one continues, as one does that is partitioned.
-func (m *scenario) usurp() { m.startNextOwner() }
+// startConcurrentOwner starts the next owner while the current one continues, as one does that is partitioned.
+func (m *scenario) startConcurrentOwner() { m.startNextOwner() }
 
 func (m *scenario) startNextOwner() {
 	m.entries++
@@ -238,9 +238,9 @@
 	m.e.locked(func() { m.e.faults["rows "+string(op)+" "+entry] = fault })
 }
 
-func (m *scenario) heal() { m.e.locked(func() { clear(m.e.faults) }) }
+func (m *scenario) clearFaults() { m.e.locked(func() { clear(m.e.faults) }) }
 
-func (m *scenario) fail() {
+func (m *scenario) failTask() {
 	if m.jobs == 0 {
 		return
 	}
@@ -249,9 +249,9 @@
 	m.e.locked(func() { m.e.failing[task] = times })
 }
 
-// ruin submits a job with a task that crashes each worker that starts it: alone, beside others
+// submitCrashing submits a job with a task that crashes each worker that starts it: alone, beside others
 // of its step, long-running, with copies, or in a gang.
-func (m *scenario) ruin() {
+func (m *scenario) submitCrashing() {
 	after := rapid.SampledFrom([]time.Duration{0, 10 * time.Millisecond, 150 * time.Millisecond}).Draw(m.t, "after")
 	texts := []string{"1x1000/300ms", "3x1000/700ms 2x1500/300ms<0", "1x1000/0s", "2x1000/800ms+copies", "2x1000/400ms+gang"}
 	m.jobs++
@@ -270,9 +270,9 @@
 	m.e.resize(boot, rapid.SampledFrom([]int{0, 500, 2000, 4000, 6000}).Draw(m.t, "cpu"))
 }
 
-// doze suspends the current owner's machine for up to 20 s; meanwhile another entry may take
+// suspendOwner suspends the current owner's machine for up to 20 s; meanwhile another entry may take
 // over, possibly unable to reach one worker.
-func (m *scenario) doze() {
+func (m *scenario) suspendOwner() {
 	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
@@ -292,9 +292,9 @@
 	sleeper.wake()
 }
 
-// settle ends all faults and checks that each accepted job becomes final and no guarantee was violated.
-func (m *scenario) settle() {
-	m.heal()
+// finish ends all faults and checks that each accepted job becomes final and no guarantee was violated.
+func (m *scenario) finish() {
+	m.clearFaults()
 	m.boot()
 	m.takeOver()
 	for range 20 {
@@ -304,11 +304,11 @@
 		time.Sleep(time.Second)
 		m.startNextOwner()
 	}
-	time.Sleep(settleTime)
+	time.Sleep(finishTime)
 	synctest.Wait()
 	m.e.mu.Lock()
 	defer m.e.mu.Unlock()
-	if broken := m.e.witness.violations; len(broken) > 0 {
+	if broken := m.e.observer.violations; len(broken) > 0 {
 		m.t.Fatalf("violated: %s\n%s", strings.Join(broken, "\n"), m.e.log.String())
 	}
 	for id := range m.accepted {
@@ -317,15 +317,15 @@
 			m.t.Fatalf("job %s is %s %s at the end\n%s", id, out, state, m.e.log.String())
 		}
 		task := id + ".0.0.0"
-		if state == jobs.StateFailed && m.e.witness.failures[task] < maxAttempts && !m.e.witness.mayBeGivenUp(task) {
+		if state == jobs.StateFailed && m.e.observer.failures[task] < maxAttempts && !m.e.observer.mayFailForLosses(task) {
 			m.t.Fatalf("job %s failed after %d failures at %d workers, of which it crashed %d\n%s", id,
-				m.e.witness.failures[task], m.e.witness.workersLostWith[task], m.e.witness.crashedBy[task], m.e.log.String())
+				m.e.observer.failures[task], m.e.observer.workersLostWith[task], m.e.observer.crashedBy[task], m.e.log.String())
 		}
 	}
 }
 
 // TestOwner checks the guarantees over drawn submissions, cancels, crashes, takeovers,
-// usurpations and lost or late answers.
+// replacements without notice and lost or late answers.
 func TestOwner(t *testing.T) { prop.Check(t, ownerScenario(nil)) }
 
 // TestLimitOfCancelledJob replays a run in which an account exceeded its limit; see
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -209,7 +209,7 @@
 		return ""
 	case "allowed":
 		cpu, _ := strconv.Atoi(arg("cpu", "0"))
-		e.locked(func() { e.witness.allowed[arg("account", "")] = cpu })
+		e.locked(func() { e.observer.allowed[arg("account", "")] = cpu })
 		return ""
 	case "grant":
 		term, _ := strconv.ParseInt(arg("term", "1"), 10, 64)
@@ -220,9 +220,9 @@
 	case "accounts":
 		return e.accounts(entry)
 	case "check":
-		return e.witness.report()
+		return e.observer.report()
 	case "promises":
-		return e.witness.invariants()
+		return e.observer.invariants()
 	case "log":
 		return e.log.String()
 	default:
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -18,12 +18,12 @@
 		defer e.close()
 		e.workers.SetOmitEvery(rapid.IntRange(2, 5).Draw(t, "short every"))
 		m.takeOver()
-		kinds := []func(){m.short, m.submit, m.submit, m.cancel, m.restart, m.takeOver, m.handOver, m.rowFault, m.heal, m.fail}
+		kinds := []func(){m.submitShort, m.submit, m.submit, m.cancel, m.restart, m.takeOver, m.handOver, m.rowFault, m.clearFaults, m.failTask}
 		for range rapid.IntRange(3, 12).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
 			m.pause(1, 1200, "pause")
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -80,14 +80,14 @@
 			got.open++
 		}
 	}
-	got.workersDown = slices.Collect(maps.Values(e.witness.crashedBy))
+	got.workersDown = slices.Collect(maps.Values(e.observer.crashedBy))
 	for i := range stormLongRunning {
 		for k := range 5 {
-			got.longRunning += len(e.witness.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
+			got.longRunning += len(e.observer.running[fmt.Sprintf("c%015x.0.0.%d", i, k)])
 		}
 	}
-	if kept := e.witness.invariants(); kept != "kept\n" {
-		t.Fatalf("violated: %s", kept)
+	if report := e.observer.invariants(); report != "kept\n" {
+		t.Fatalf("violated: %s", report)
 	}
 	return got
 }
@@ -151,12 +151,12 @@
 
 func (s *stormResult) String() string {
 	slices.Sort(s.detectedAfter)
-	caught := time.Duration(0)
+	median := time.Duration(0)
 	if len(s.detectedAfter) > 0 {
-		caught = s.detectedAfter[len(s.detectedAfter)/2]
+		median = s.detectedAfter[len(s.detectedAfter)/2]
 	}
 	return fmt.Sprintf("in time %d, late %d, open %d, wrongly failed %d; workers lost %d, most by one task %d; caught %d of %d, half within %s; long-running tasks at work %d",
-		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.workersDown, 0)), len(s.detectedAfter), len(s.detectedAfter)+s.undetected, caught.Round(100*time.Millisecond), s.longRunning)
+		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.workersDown, 0)), len(s.detectedAfter), len(s.detectedAfter)+s.undetected, median.Round(100*time.Millisecond), s.longRunning)
 }
 
 // BenchmarkStorm reports, for each seed, the jobs in time, failed and not done, and the workers lost.
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -135,11 +135,11 @@
 				m.submitJob(fmt.Sprintf("%016x", m.jobs), text)
 			}
 			m.pause(1, 300, "pause")
-			m.doze()
+			m.suspendOwner()
 			m.boot()
 			m.pause(1, 3000, "awake")
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -49,7 +49,8 @@
 	return c.ReleaseWith(ctx, rows, pool, to, platform.RowTxn{})
 }
 
-// ReleaseWith does what Release does, as part of txn. The row keeps the term and names the next entry.
+// ReleaseWith does what Release does, as part of txn. The row keeps the term, and names the next
+// entry if there is one.
 func (c Claim) ReleaseWith(ctx context.Context, rows platform.Rows, pool string, to Handover, txn platform.RowTxn) (err error) {
 	defer func() { err = errors.Wrapf(err, "release shard %s", pool) }()
 	raw, err := encode(OwnerRow{Term: c.Term, Next: to.Entry, FormerGrace: to.FormerGrace})
@@ -131,8 +132,8 @@
 	return c, nil
 }
 
-// decodePredecessor decodes the owner row found at a takeover. If the row is malformed, the term comes from the commit row,
-// which each takeover writes as well, so that terms keep rising.
+// decodePredecessor decodes the owner row found at a takeover. If the row is malformed, the term
+// comes from the commit row, which each takeover writes as well, so that terms keep rising.
 func decodePredecessor(owner, commit platform.Row) (predecessor OwnerRow, err error) {
 	if predecessor, err = DecodeOwner(owner.Value); err == nil {
 		return predecessor, nil
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -34,7 +34,7 @@
 		time.Sleep(time.Second)
 		e.locked(func() { clear(e.faults) })
 		time.Sleep(10 * time.Second)
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 	})
 }
 
--- a/pkg/shard/witness_test.go
+++ b/pkg/shard/witness_test.go
@@ -14,16 +14,16 @@
 // cancelBound is how long after a confirmed cancellation a task may still start.
 const cancelBound = 3 * time.Second
 
-// maxWorkersDown is how many workers a task may crash: two more than the three after which its job
+// maxWorkersCrashed is how many workers a task may crash: two more than the three after which its job
 // is expected to fail.
-const maxWorkersDown = 5
+const maxWorkersCrashed = 5
 
 // minWorkersLost is how many workers have to be lost with a task before its job may fail for it.
 const minWorkersLost = 2
 
-// witness checks the invariants against what workers do and what callers were told.
-type witness struct {
-	estate          *testCluster
+// observer checks the invariants against what workers do and what callers were told.
+type observer struct {
+	cluster         *testCluster
 	running         map[string][]string  // boots, by task
 	ended           map[string]bool      // tasks that ended as done at a worker
 	done            map[string]bool      // tasks with an acknowledged end as done
@@ -41,24 +41,24 @@
 	starts          int
 }
 
-func newWitness(e *testCluster) *witness {
-	return &witness{
-		estate: e, running: map[string][]string{}, ended: map[string]bool{}, done: map[string]bool{}, failed: map[string]int{}, failures: map[string]int{},
+func newObserver(e *testCluster) *observer {
+	return &observer{
+		cluster: e, running: map[string][]string{}, ended: map[string]bool{}, done: map[string]bool{}, failed: map[string]int{}, failures: map[string]int{},
 		refused: map[string]bool{}, steps: map[string]string{}, cancelled: map[string]time.Time{}, copies: map[string]bool{},
 		accounts: map[string]string{}, allowed: map[string]int{}, crashedBy: map[string]int{}, workersLostWith: map[string]int{},
 	}
 }
 
-func (w *witness) violated(format string, args ...any) {
+func (w *observer) violated(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// Started implements fake.Witness.
-func (w *witness) Started(boot, task string, attempt int64) {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
+// Started implements fake.WorkersObserver.
+func (w *observer) Started(boot, task string, attempt int64) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	w.starts++
-	w.estate.logWorkerEvent("began", boot, task, attempt)
+	w.cluster.logWorkerEvent("began", boot, task, attempt)
 	job, _, _ := strings.Cut(task, ".")
 	if others := w.running[task]; len(others) > 0 && !w.copies[job] {
 		w.violated("%s attempt %d started at %s while it runs at %s", task, attempt, boot, others)
@@ -69,7 +69,7 @@
 	if w.failed[task] >= maxAttempts {
 		w.violated("%s attempt %d started at %s after %d failures", task, attempt, boot, w.failed[task])
 	}
-	if w.crashedBy[task] >= maxWorkersDown {
+	if w.crashedBy[task] >= maxWorkersCrashed {
 		w.violated("%s attempt %d started at %s after it had brought %d workers down", task, attempt, boot, w.crashedBy[task])
 	}
 	if w.refused[job] {
@@ -78,7 +78,7 @@
 	if at, ok := w.cancelled[job]; ok && time.Since(at) > cancelBound {
 		w.violated("%s started at %s %s after its job was cancelled", task, boot, time.Since(at))
 	}
-	if zone, since, ok := w.estate.zones.outSince(boot); ok && since > evacuateBound {
+	if zone, since, ok := w.cluster.zones.outSince(boot); ok && since > evacuateBound {
 		w.violated("%s started at %s %s after its zone %s was taken out of use", task, boot, since, zone)
 	}
 	w.checkOrder(task, job)
@@ -87,7 +87,7 @@
 }
 
 // checkLimit checks that the account stays within its limit.
-func (w *witness) checkLimit(task, account string) {
+func (w *observer) checkLimit(task, account string) {
 	allowed, ok := w.allowed[account]
 	if !ok {
 		return
@@ -104,7 +104,7 @@
 }
 
 // needs returns the CPU needs of a task.
-func (w *witness) needs(task string) int {
+func (w *observer) needs(task string) int {
 	parts := strings.Split(task, ".")
 	step, _ := strconv.Atoi(parts[2])
 	st, _ := parseStep(strings.Fields(w.steps[parts[0]])[step])
@@ -112,7 +112,7 @@
 }
 
 // checkOrder checks that the preceding steps are done.
-func (w *witness) checkOrder(task, job string) {
+func (w *observer) checkOrder(task, job string) {
 	text, ok := w.steps[job]
 	if !ok {
 		w.violated("%s started though no such job was submitted", task)
@@ -131,11 +131,11 @@
 	}
 }
 
-// Ended implements fake.Witness.
-func (w *witness) Ended(boot, task string, attempt int64, reason platform.EndReason) {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
-	w.estate.logWorkerEvent("ended_"+string(reason), boot, task, attempt)
+// Ended implements fake.WorkersObserver.
+func (w *observer) Ended(boot, task string, attempt int64, reason platform.EndReason) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	w.cluster.logWorkerEvent("ended_"+string(reason), boot, task, attempt)
 	w.running[task] = slices.DeleteFunc(w.running[task], func(b string) bool { return b == boot })
 	switch reason {
 	case platform.EndDone:
@@ -147,31 +147,31 @@
 	}
 }
 
-// mayBeGivenUp reports whether the job of a task may fail for lost workers: the task crashes them,
+// mayFailForLosses reports whether the job of a task may fail for lost workers: the task crashes them,
 // and enough were lost.
-func (w *witness) mayBeGivenUp(task string) bool {
+func (w *observer) mayFailForLosses(task string) bool {
 	return w.crashedBy[task] > 0 && w.workersLostWith[task] >= minWorkersLost
 }
 
-// Overfilled implements fake.Witness.
-func (w *witness) Overcommitted(boot, task string) {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
+// Overcommitted implements fake.WorkersObserver.
+func (w *observer) Overcommitted(boot, task string) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	w.violated("%s started at %s, which has no room for it", task, boot)
 }
 
-// BroughtDown implements fake.Witness.
-func (w *witness) Crashed(_, task string) {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
+// Crashed implements fake.WorkersObserver.
+func (w *observer) Crashed(_, task string) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	w.crashedBy[task]++
 }
 
-// Acked implements fake.Witness.
-func (w *witness) Acked(boot, task string, reason platform.EndReason) {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
-	w.estate.logWorkerEvent("acknowledged_"+string(reason), boot, task, 0)
+// Acked implements fake.WorkersObserver.
+func (w *observer) Acked(boot, task string, reason platform.EndReason) {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
+	w.cluster.logWorkerEvent("acknowledged_"+string(reason), boot, task, 0)
 	switch reason {
 	case platform.EndDone:
 		w.done[task] = true
@@ -180,9 +180,9 @@
 	}
 }
 
-func (w *witness) report() string {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
+func (w *observer) report() string {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	if len(w.violations) == 0 {
 		return fmt.Sprintf("%d starts, nothing broken\n", w.starts)
 	}
@@ -190,9 +190,9 @@
 }
 
 // invariants returns "kept", or the violations, whatever the number of starts.
-func (w *witness) invariants() string {
-	w.estate.mu.Lock()
-	defer w.estate.mu.Unlock()
+func (w *observer) invariants() string {
+	w.cluster.mu.Lock()
+	defer w.cluster.mu.Unlock()
 	if len(w.violations) == 0 {
 		return "kept\n"
 	}
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -21,8 +21,8 @@
 	mu  sync.Mutex // separate from the cluster's, since owners ask while holding their own lock
 	vms map[string]string
 	out map[string]time.Time // zones out of use, and since when
-	// wrapReport alters what an entry is told, to inject a bug; nil for unaltered.
-	wrapReport func(told func(zone string) bool) func(zone string) bool
+	// wrapReport alters what an entry learns of zones, to inject a bug; nil for unaltered.
+	wrapReport func(zoneOut func(zone string) bool) func(zone string) bool
 }
 
 // put sets the zone of a VM.
@@ -69,20 +69,20 @@
 
 // reportTo returns the function by which an entry learns the zones out of use.
 func (z *zones) reportTo(string) func(zone string) bool {
-	told := func(zone string) bool {
+	zoneOut := func(zone string) bool {
 		z.mu.Lock()
 		defer z.mu.Unlock()
 		_, out := z.out[zone]
 		return out
 	}
 	if z.wrapReport != nil {
-		return z.wrapReport(told)
+		return z.wrapReport(zoneOut)
 	}
-	return told
+	return zoneOut
 }
 
 // evacuations takes zones out of use and back while the owner is closed, handed over or
-// usurped, orders and transactions are lost or late, and workers crash; some jobs are scheduled.
+// replaced without notice, orders and transactions are lost or late, and workers crash; some jobs are scheduled.
 func evacuations(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newScenario(t, plant)
@@ -93,7 +93,7 @@
 		}
 		m.bootAll(4)
 		m.takeOver()
-		kinds := []func(){m.submit, m.scheduled, m.lasting, m.takeZoneOut, m.takeZoneOut, m.takeZoneBack, m.crash, m.takeOver, m.handOver, m.usurp, m.orderFault, m.rowFault, m.heal}
+		kinds := []func(){m.submit, m.submitScheduled, m.submitLongRunning, m.takeZoneOut, m.takeZoneOut, m.takeZoneBack, m.crash, m.takeOver, m.handOver, m.startConcurrentOwner, m.orderFault, m.rowFault, m.clearFaults}
 		for range rapid.IntRange(4, 16).Draw(t, "steps") {
 			kinds[rapid.IntRange(0, len(kinds)-1).Draw(t, "kind")]()
 			m.pause(1, 1500, "pause")
@@ -101,19 +101,19 @@
 		m.pause(1, 9000, "until zones are back")
 		e.zones.takeBack("z1")
 		e.zones.takeBack("z2")
-		m.settle()
+		m.finish()
 	}
 }
 
-// scheduled submits a job that runs at set times.
-func (m *scenario) scheduled() {
+// submitScheduled submits a job that runs at set times.
+func (m *scenario) submitScheduled() {
 	m.e.schedule = schedule{times: rapid.IntRange(1, 5).Draw(m.t, "times"), interval: time.Duration(rapid.IntRange(100, 1500).Draw(m.t, "interval")) * time.Millisecond}
 	m.submit()
 	m.e.schedule = schedule{}
 }
 
-// lasting submits a job of long-running tasks, which restart wherever they end.
-func (m *scenario) lasting() {
+// submitLongRunning submits a job of long-running tasks, which restart wherever they end.
+func (m *scenario) submitLongRunning() {
 	m.jobs++
 	m.submitJob(jobID(m.jobs), rapid.SampledFrom([]string{"2x1000/0s+miss:1", "1x500/0s"}).Draw(m.t, "text"))
 	id := jobID(m.jobs)
@@ -134,12 +134,12 @@
 // TestEvacuationsFindsPlanted checks that evacuations detects an owner that never learns of zones,
 // and one that learns of them only when it takes over.
 func TestEvacuationsFindsPlanted(t *testing.T) {
-	for name, wrap := range map[string]func(told func(string) bool) func(string) bool{
+	for name, wrap := range map[string]func(zoneOut func(string) bool) func(string) bool{
 		"never informed": func(func(string) bool) func(string) bool {
 			return func(string) bool { return false }
 		},
-		"informed at the takeover only": func(told func(string) bool) func(string) bool {
-			known := map[string]bool{"z1": told("z1"), "z2": told("z2")}
+		"informed at the takeover only": func(zoneOut func(string) bool) func(string) bool {
+			known := map[string]bool{"z1": zoneOut("z1"), "z2": zoneOut("z2")}
 			return func(zone string) bool { return known[zone] }
 		},
 	} {
