--- a/pkg/shard/cluster_test.go
+++ b/pkg/shard/cluster_test.go
@@ -343,7 +343,7 @@
 	return string(out) + "\n"
 }
 
-// limit sets an account's CPU limit, in thousandths of a core. The observer' allowance is set
+// limit sets an account's CPU limit, in thousandths of a core. The observer's limit is set
 // separately, since shares may be lower.
 func (e *testCluster) limit(account string, cpu int) {
 	e.limits = slices.DeleteFunc(slices.Clone(e.limits), func(a catalog.Account) bool { return a.Name == account })
--- a/pkg/shard/doc.go
+++ b/pkg/shard/doc.go
@@ -6,6 +6,8 @@
 // It polls each worker to renew the leases of its tasks there and to receive the running and the
 // ended attempts. A worker ends tasks whose lease no owner renews.
 //
+// The owner of the term before is the predecessor; former owners are all owners before.
+//
 // Two fences stop former owners without relying on clocks. Each transaction expects
 // the version of the shard's commit row, which every transaction and every
 // takeover rewrites. Each order to a worker carries a fencing token derived from the
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -75,7 +75,8 @@
 		Int("failures", s.unansweredCalls).Send()
 }
 
-// spareRoom is the room at other workers for tasks to be moved. It is computed on first use, since most drained workers have no task to move.
+// spareRoom is the room at other workers for tasks to be moved. It is computed on first use, since
+// most drained workers have no task to move.
 type spareRoom struct {
 	owner *Owner
 	now   time.Duration
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -78,7 +78,7 @@
 	}
 	for _, name := range s.former.names {
 		t := o.registry.Task(name)
-		if t == nil || t.Done || t.Step.Job.State.Final() || s.departsByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
+		if t == nil || t.Done || t.Step.Job.State.Final() || s.leavesAsPlanned(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
 			continue
 		}
 		// The attempt is unknown; a negative number can't clash with one.
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -208,7 +208,7 @@
 	m.startNextOwner()
 }
 
-// startConcurrentOwner starts the next owner while the current one continues, as one does that is partitioned.
+// startConcurrentOwner starts the next owner while the current one continues, as after a partition.
 func (m *scenario) startConcurrentOwner() { m.startNextOwner() }
 
 func (m *scenario) startNextOwner() {
@@ -276,8 +276,8 @@
 	if m.e.owners[m.currentOwner] == nil {
 		return
 	}
-	sleeper := m.e.suspendable[m.currentOwner]
-	sleeper.suspend()
+	machine := m.e.suspendable[m.currentOwner]
+	machine.suspend()
 	m.pause(1, 10_000, "before")
 	if rapid.Bool().Draw(m.t, "followed") {
 		m.startNextOwner()
@@ -289,7 +289,7 @@
 		}
 	}
 	m.pause(1, 10_000, "after")
-	sleeper.wake()
+	machine.wake()
 }
 
 // finish ends all faults and checks that each accepted job becomes final and no guarantee was violated.
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -123,17 +123,17 @@
 
 // leaving reports whether the worker is about to leave without announcing it: its directory
 // entry is gone, and not because of a recent outage of the table service.
-func (s *session) leaving(now, storeSteady time.Duration) bool {
+func (s *session) leaving(now, storeUptime time.Duration) bool {
 	if s.listed || s.unlistedAt == 0 {
 		return false
 	}
 	missing := now - s.unlistedAt
-	return missing > relistDelay || storeSteady-missing > relistDelay
+	return missing > relistDelay || storeUptime-missing > relistDelay
 }
 
 // needsPoll reports whether there is a reason to poll the worker.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
+	return !s.ended && (!s.synced || s.reportAwaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
 }
 
 // idle reports whether nothing of this shard is or may be at the worker.
--- a/pkg/shard/short_test.go
+++ b/pkg/shard/short_test.go
@@ -8,9 +8,8 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// incompleteLists runs workers whose reports omit an entry now and then, each at most once, while
-// owners are replaced and workers restart. Starts are always answered, since a single report
-// decides on one that is not.
+// incompleteLists has reports omit entries, each at most once, while owners are replaced and workers
+// restart. Starts are always answered, since a single report decides on one that is not.
 func incompleteLists(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newRestartScenario(t, plant)
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -83,8 +83,8 @@
 	if float64(remaining) <= restartGainFactor*float64(restartCost) {
 		return remaining, false // too short to restart, however fast the others are
 	}
-	usual := patience * o.typicalDuration(s, r)
-	return remaining, float64(total) > siblingFactor*float64(usual) && float64(remaining) > restartGainFactor*float64(usual+restartCost)
+	typical := patience * o.typicalDuration(s, r)
+	return remaining, float64(total) > siblingFactor*float64(typical) && float64(remaining) > restartGainFactor*float64(typical+restartCost)
 }
 
 // projectedDuration returns how long the attempt takes in total at its present speed.
@@ -113,11 +113,11 @@
 		slices.Sort(totals)
 		return totals[len(totals)/2]
 	}
-	usual := estimateFactor * max(step.Spec.Estimate, o.durations[step.Job.Queue].expected(step.Spec.Estimate))
+	typical := estimateFactor * max(step.Spec.Estimate, o.durations[step.Job.Queue].expected(step.Spec.Estimate))
 	if step.Spec.DataRack != "" && step.Spec.DataRack != rackOf(s.info.Labels) {
-		usual *= remoteDataFactor
+		typical *= remoteDataFactor
 	}
-	return usual
+	return typical
 }
 
 // findAttempt returns the session's view of an attempt, nil if it is not at its worker.
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -21,7 +21,7 @@
 // countLosses counts the loss of a worker against the tasks there.
 func (o *Owner) countLosses(s *session) {
 	now := o.now()
-	if s.lossCounted || s.departsByPlan(now) {
+	if s.lossCounted || s.leavesAsPlanned(now) {
 		return
 	}
 	s.lossCounted = true
@@ -40,10 +40,10 @@
 	}
 }
 
-// departsByPlan reports whether a worker was about to leave before it was lost, so that the loss is
+// leavesAsPlanned reports whether a worker was about to leave before it was lost, so that the loss is
 // not counted. A worker that leaves unannounced still answers after its directory row has gone; the
 // row of one that crashed may go before its silence is noticed.
-func (s *session) departsByPlan(now time.Duration) bool {
+func (s *session) leavesAsPlanned(now time.Duration) bool {
 	return s.draining || s.cordonedUntil > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
 
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -81,8 +81,8 @@
 	return zoneOut
 }
 
-// evacuations takes zones out of use and back while the owner is closed, handed over or
-// replaced without notice, orders and transactions are lost or late, and workers crash; some jobs are scheduled.
+// evacuations takes zones out of use and back while the owner is replaced, calls are
+// lost or late, and workers crash; some jobs are scheduled.
 func evacuations(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newScenario(t, plant)
