--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -165,7 +165,7 @@
 		// that is gone would never expire.
 		order.LeaseUntil = s.extendLease(now)
 	}
-	if s.synced && !s.reportAwaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
+	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
 		if s.hasSuspectedTask() {
 			order.Wait = suspectPollWait
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -122,11 +122,9 @@
 	}
 }
 
-// reportAwaited reports whether tasks wait for the next report of a worker, which lists the attempts
+// awaited reports whether tasks wait for the next report of a worker, which lists the attempts
 // that former owners have started there. Such a poll must not wait for an attempt to end.
-func (s *session) reportAwaited(now time.Duration) bool {
-	return s.former.pending && now >= s.former.safeAt
-}
+func (s *session) awaited(now time.Duration) bool { return s.former.pending && now >= s.former.safeAt }
 
 // listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
 // a former owner could start any.
