--- a/pkg/quarantine/doc.go
+++ b/pkg/quarantine/doc.go
@@ -2,8 +2,8 @@
 // suspected tasks may start.
 //
 // A crashing task takes down every worker that starts it, and with the worker up to a dozen
-// attempts of other tasks. The loss is counted against each of them; the way they are started
-// next tells them apart:
+// attempts of other tasks. The loss is counted against each of them, and their next starts
+// are restricted to find the crashing one:
 //
 //   - After one early loss a task is kept separate: no other suspected task starts on its worker
 //     until it has run longer than it had when the worker was lost, which clears it.
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -14,8 +14,8 @@
 	"github.com/gannetwell/gannetwell/pkg/startrate"
 )
 
-// takeoverReadTimeout bounds a takeover, including the reads of the stored state.
-const takeoverReadTimeout = 15 * time.Second
+// takeoverTimeout bounds a takeover, including the reads of the stored state.
+const takeoverTimeout = 15 * time.Second
 
 // Metrics receives the counters of an owner.
 type Metrics interface {
@@ -145,7 +145,7 @@
 // stored state and starts the owner. It fails if another entry has written the owner
 // row or the stored rows can't be read in time.
 func Open(ctx context.Context, cfg Config, seen ObservedOwner, cat *catalog.Catalog, workers []platform.Worker) (o *Owner, err error) {
-	ctx, done := context.WithTimeout(ctx, takeoverReadTimeout)
+	ctx, done := context.WithTimeout(ctx, takeoverTimeout)
 	defer done()
 	if cfg.MaxRowBytes == 0 {
 		cfg.MaxRowBytes = platform.DefaultMaxRowBytes
--- a/pkg/shard/planted_test.go
+++ b/pkg/shard/planted_test.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// The services below have planted faults, to check that random sequences detect them.
+// The services below have injected bugs, to check that random scenarios detect them.
 
 // unfenced gives all orders the same fencing token.
 type unfenced struct{ platform.Workers }
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -94,7 +94,7 @@
 	})
 }
 
-// TestPartsFindPlanted checks that random sequences detect an owner that does not see some parts of
+// TestPartsFindPlanted checks that random scenarios detect an owner that does not see some parts of
 // the record, or any.
 func TestPartsFindPlanted(t *testing.T) {
 	for name, hidden := range map[string]int{"no parts": 64, "all but the first": 1} {
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -14,8 +14,8 @@
 const refusedRetryDelay = time.Second
 
 // batchRefused handles a transaction whose content the table service will always refuse. Its items
-// are written one by one, to find the item that is refused; the progress of a job that is refused
-// alone is not written again unless failRefused fails the job.
+// are written one by one, to find the one that is refused; a job whose progress is refused alone is
+// left to failRefused.
 func (o *Owner) batchRefused(b *batch, cause error) {
 	o.log.Error().Str("event", "transaction_refused").Int("rows", len(b.txn.Put)+len(b.txn.Remove)).Int("bytes", b.size).
 		Int("longest_row", b.longestRow()).Int("things", b.itemCount()).Err(cause).Send()
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -17,7 +17,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// restarts runs random sequences in which workers restart under the same ID, idle or not, while short
+// restarts runs random scenarios in which workers restart under the same ID, idle or not, while short
 // and crashing tasks start, orders are lost or late, and the owner is replaced.
 func restarts(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
@@ -37,7 +37,7 @@
 	}
 }
 
-// submitCrashingIfEnabled submits a job with a crashing task if the sequence may have one.
+// submitCrashingIfEnabled submits a job with a crashing task if the scenario may have one.
 func (m *scenario) submitCrashingIfEnabled() {
 	if m.crashingTasks {
 		m.submitCrashing()
@@ -175,7 +175,7 @@
 	}
 }
 
-// TestStartInFirstMillisecondDrawn runs a random sequence that showed the same failure.
+// TestStartInFirstMillisecondDrawn runs a random scenario that showed the same failure.
 func TestStartInFirstMillisecondDrawn(t *testing.T) {
 	defer func(before uint64) { *salt = before }(*salt)
 	*salt = 18
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -64,7 +64,7 @@
 	return m
 }
 
-// ownerScenario runs one drawn sequence of events and checks the guarantees that the observer checks.
+// ownerScenario runs a random scenario with faults of all kinds.
 func ownerScenario(plant func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
 		m := newScenario(t, plant)
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -19,7 +19,7 @@
 // stands still and no calls go out.
 type entryMachine struct {
 	since  time.Time
-	steady bool // planted fault: the clock does not count suspended time
+	steady bool // injected bug: the clock does not count suspended time
 
 	mu    sync.Mutex
 	from  time.Time // start of the present suspension
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -11,7 +11,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Identity is one incarnation (process) of an entry.
+// Identity identifies one process of an entry.
 type Identity struct {
 	Entry   string
 	Start   int64  // tells incarnations of the entry apart
--- a/pkg/shard/throttle.go
+++ b/pkg/shard/throttle.go
@@ -8,9 +8,9 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Filler tasks use the resources that serving tasks leave free. They are throttled at
-// once when the tail latency of a serving task nears its target, and sped up gradually when it
-// is well below.
+// Filler tasks use the resources that serving tasks leave free. They are throttled at once
+// when the tail latency of a serving task nears its target, and sped up gradually when it is well
+// below.
 const (
 	throttleDownShare  = 0.85 // share of the target above which filler tasks are throttled
 	throttleUpShare    = 0.6  // share of the target below which they are sped up
@@ -23,8 +23,8 @@
 	throttleDownInterval = 500 * time.Millisecond
 )
 
-// adjustThrottles adapts the processor share of a worker's filler tasks to the latency of the serving tasks
-// beside them; the caller holds the lock.
+// adjustThrottles adapts the processor share of a worker's filler tasks to the tail latency of the
+// serving tasks beside them; the caller holds the lock.
 func (o *Owner) adjustThrottles(s *session, now time.Duration) {
 	worst := 0.0 // highest ratio of tail latency to target
 	for _, r := range s.attempts {
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -38,5 +38,5 @@
 	})
 }
 
-// TestReplacedOwnerAtNextBootDrawn runs a random sequence that showed the same failure.
+// TestReplacedOwnerAtNextBootDrawn runs a random scenario that showed the same failure.
 func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.CheckSeed(t, 94954, restarts(nil)) }
