--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -238,7 +238,7 @@
 	now := r.now()
 	if !r.formerOrdersKnown || now < r.noOrdersBefore {
 		// The former holder's orders are unknown: keep its announcement for the next holder.
-		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next})
+		return r.claim.Release(ctx, r.cfg.Rows, Partition, shard.Handover{Entry: next})
 	}
 	orders := map[string]time.Duration{}
 	for vm, until := range r.mergedAnnouncement(nil) {
@@ -255,5 +255,5 @@
 	if err != nil {
 		return err
 	}
-	return r.claim.ReleaseWith(ctx, r.cfg.Rows, Partition, shard.Successor{Entry: next}, txn)
+	return r.claim.ReleaseWith(ctx, r.cfg.Rows, Partition, shard.Handover{Entry: next}, txn)
 }
--- a/pkg/blame/bench_test.go
+++ b/pkg/quarantine/bench_test.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"testing"
@@ -15,19 +15,19 @@
 	for i := range b.N {
 		for k, counted := range Counted(attempts) {
 			if counted {
-				_ = Losses{}.With(Loss{Attempt: int64(i), Boot: "boot", Ran: attempts[k].Ran}).Verdict()
+				_ = Losses{}.With(Loss{Attempt: int64(i), Boot: "boot", Ran: attempts[k].Ran}).Restriction()
 			}
 		}
 	}
 }
 
-// BenchmarkVerdictClear measures the verdict on a task without losses, which every placement
+// BenchmarkRestriction measures the restriction of a task without losses, which every placement
 // pass asks for.
-func BenchmarkVerdictClear(b *testing.B) {
+func BenchmarkRestriction(b *testing.B) {
 	var ls Losses
 	b.ReportAllocs()
 	for range b.N {
-		if ls.Verdict() != Clear {
+		if ls.Restriction() != Unrestricted {
 			b.Fatal("not clear")
 		}
 	}
--- a/pkg/blame/loss.go
+++ b/pkg/quarantine/loss.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"slices"
@@ -13,14 +13,14 @@
 	earlyLossWindow = 200 * time.Millisecond
 	// clearMargin is added to the longest run of a lost attempt to get the run time that clears a task.
 	clearMargin = 200 * time.Millisecond
-	// trialThreshold is the number of early losses after which a task is started on trial only;
+	// trialThreshold is the number of early losses after which a task starts only in a trial;
 	// if the losses are not early, it takes one more.
 	trialThreshold = 2
 	// maxLosses is the number of workers known to have ended after which a task is poison even
-	// without a trial. With as many losses of any kind it is held.
+	// without a trial. With as many losses of any kind it is blocked.
 	maxLosses = 4
-	// minDelivered is the number of lost workers that certainly had the task before a trial counts
-	// as proof. A start that timed out may never have arrived.
+	// minDelivered is the number of lost workers that certainly had the task before a loss in
+	// a trial makes the task poison. A start that timed out may never have arrived.
 	minDelivered = 2
 )
 
@@ -29,7 +29,7 @@
 	Attempt   int64         `msgpack:"n"`           // number of the attempt
 	Boot      string        `msgpack:"b"`           // boot of the worker
 	Ran       time.Duration `msgpack:"r,omitempty"` // how long the attempt had run, 0 if its start was not answered
-	Trial     bool          `msgpack:"t,omitempty"` // the attempt was on trial
+	Trial     bool          `msgpack:"t,omitempty"` // the attempt was in a trial
 	Ended     bool          `msgpack:"s,omitempty"` // the boot is known to have ended; otherwise it only stopped answering
 	Delivered bool          `msgpack:"f,omitempty"` // the worker certainly had the attempt
 	// Provisional marks a loss recorded before the start is sent. It does not count until a new
@@ -40,24 +40,24 @@
 // early reports whether the worker was lost right after the start, or during a trial.
 func (l Loss) early() bool { return l.Trial || l.Ran < earlyLossWindow }
 
-// Verdict tells where a task may be started.
-type Verdict string
+// Restriction tells where a task may start.
+type Restriction string
 
-// The verdicts.
+// The restrictions, from the least to the strictest.
 const (
-	Clear   Verdict = "clear"    // on any worker
-	Watched Verdict = "watched"  // on a worker without another watched task
-	OnTrial Verdict = "on_trial" // on a worker where nothing else starts
-	Held    Verdict = "held"     // nowhere until it is known whether the lost workers have ended
-	Poison  Verdict = "guilty"   // nowhere; its job fails
+	Unrestricted Restriction = "clear"    // on any worker
+	Separate     Restriction = "watched"  // on a worker without another suspected task
+	TrialOnly    Restriction = "on_trial" // on a worker reserved for it
+	Blocked      Restriction = "held"     // nowhere until it is known whether the lost workers have ended
+	Poison       Restriction = "guilty"   // nowhere; its job fails
 )
 
-// severity lists the verdicts from the least to the most restrictive.
-var severity = []Verdict{Clear, Watched, OnTrial, Held, Poison}
+// byStrictness lists the restrictions from the least to the strictest.
+var byStrictness = []Restriction{Unrestricted, Separate, TrialOnly, Blocked, Poison}
 
-// Worse returns the more restrictive of two verdicts.
-func Worse(a, b Verdict) Verdict {
-	if slices.Index(severity, b) > slices.Index(severity, a) {
+// Stricter returns the stricter of two restrictions.
+func Stricter(a, b Restriction) Restriction {
+	if slices.Index(byStrictness, b) > slices.Index(byStrictness, a) {
 		return b
 	}
 	return a
@@ -66,36 +66,36 @@
 // Losses are the losses counted against a task.
 type Losses []Loss
 
-// Verdict returns where the task may be started.
-func (ls Losses) Verdict() Verdict {
-	n, sure, firm, strong, proven := 0, 0, 0, 0, false
+// Restriction returns where the task may start.
+func (ls Losses) Restriction() Restriction {
+	n, ended, delivered, early, endedInTrial := 0, 0, 0, 0, false
 	for _, l := range ls {
 		if l.Provisional {
 			continue
 		}
 		n++
 		if l.Ended {
-			sure++
+			ended++
 		}
 		if l.Delivered {
-			firm++
+			delivered++
 		}
 		if l.early() {
-			strong++
+			early++
 		}
-		proven = proven || l.Trial && l.Ended
+		endedInTrial = endedInTrial || l.Trial && l.Ended
 	}
 	switch {
-	case proven && n > trialThreshold && firm >= minDelivered || sure >= maxLosses:
+	case endedInTrial && n > trialThreshold && delivered >= minDelivered || ended >= maxLosses:
 		return Poison
 	case n >= maxLosses:
-		return Held
-	case strong >= trialThreshold || n > trialThreshold:
-		return OnTrial
-	case strong > 0 || n >= trialThreshold:
-		return Watched
+		return Blocked
+	case early >= trialThreshold || n > trialThreshold:
+		return TrialOnly
+	case early > 0 || n >= trialThreshold:
+		return Separate
 	default:
-		return Clear
+		return Unrestricted
 	}
 }
 
@@ -152,11 +152,11 @@
 // provisional one of the attempt that still runs there. Otherwise the next owner would not know of
 // that attempt.
 func (ls Losses) ResetProvisional(boot string, attempt int64) Losses {
-	return append(ls.WithoutBoot(boot), Loss{Attempt: attempt, Boot: boot, Trial: ls.OnTrialAt(boot, attempt), Provisional: true})
+	return append(ls.WithoutBoot(boot), Loss{Attempt: attempt, Boot: boot, Trial: ls.InTrialAt(boot, attempt), Provisional: true})
 }
 
-// OnTrialAt reports whether an attempt was on trial at a boot.
-func (ls Losses) OnTrialAt(boot string, attempt int64) bool {
+// InTrialAt reports whether an attempt was in a trial at a boot.
+func (ls Losses) InTrialAt(boot string, attempt int64) bool {
 	return slices.ContainsFunc(ls, func(l Loss) bool { return l.Boot == boot && l.Attempt == attempt && l.Trial })
 }
 
@@ -167,11 +167,11 @@
 
 // MarkEnded returns the losses with those of a boot marked as ended.
 func (ls Losses) MarkEnded(boot string) Losses {
-	sure := slices.Clone(ls)
-	for i := range sure {
-		sure[i].Ended = sure[i].Ended || sure[i].Boot == boot
+	marked := slices.Clone(ls)
+	for i := range marked {
+		marked[i].Ended = marked[i].Ended || marked[i].Boot == boot
 	}
-	return sure
+	return marked
 }
 
 // HasEarly reports whether a worker was lost right after a start of the task.
@@ -187,11 +187,11 @@
 // Attempt is an attempt that was at a worker when the worker was lost.
 type Attempt struct {
 	Ran   time.Duration
-	Trial bool // it was on trial
+	Trial bool // it was in a trial
 }
 
 // Counted reports for each attempt at a lost worker whether the loss counts against its task:
-// the attempts on trial if there are any, else those that had not run for long.
+// the attempts in a trial if there are any, else those that had not run for long.
 func Counted(attempts []Attempt) []bool {
 	counted := make([]bool, len(attempts))
 	trial := slices.ContainsFunc(attempts, func(a Attempt) bool { return a.Trial })
--- a/pkg/blame/loss_test.go
+++ b/pkg/quarantine/loss_test.go
@@ -1,4 +1,4 @@
-package blame
+package quarantine
 
 import (
 	"testing"
@@ -8,42 +8,42 @@
 	"pgregory.net/rapid"
 )
 
-// TestVerdict checks the verdict for each kind of loss history.
-func TestVerdict(t *testing.T) {
+// TestRestriction checks the restriction for each kind of loss history.
+func TestRestriction(t *testing.T) {
 	shared, trial := Loss{Delivered: true}, Loss{Trial: true, Ended: true}
 	late, ended := Loss{Delivered: true, Ran: time.Second}, Loss{Delivered: true, Ended: true}
 	silentTrial, provisional, undelivered := Loss{Trial: true}, Loss{Provisional: true}, Loss{}
 	for _, tc := range []struct {
 		name   string
 		losses Losses
-		want   Verdict
+		want   Restriction
 	}{
-		{"none", nil, Clear},
-		{"one", Losses{shared}, Watched},
-		{"two", Losses{shared, shared}, OnTrial},
+		{"none", nil, Unrestricted},
+		{"one", Losses{shared}, Separate},
+		{"two", Losses{shared, shared}, TrialOnly},
 		{"the third on trial", Losses{shared, shared, trial}, Poison},
-		{"a trial's worker only silent", Losses{shared, shared, silentTrial}, OnTrial},
-		{"a trial alone", Losses{trial}, Watched},
-		{"four, some workers only silent", Losses{shared, shared, silentTrial, silentTrial}, Held},
+		{"a trial's worker only silent", Losses{shared, shared, silentTrial}, TrialOnly},
+		{"a trial alone", Losses{trial}, Separate},
+		{"four, some workers only silent", Losses{shared, shared, silentTrial, silentTrial}, Blocked},
 		{"four whose workers have ended", Losses{ended, ended, ended, ended}, Poison},
-		{"four, one worker only silent", Losses{ended, ended, ended, shared}, Held},
+		{"four, one worker only silent", Losses{ended, ended, ended, shared}, Blocked},
 		{"five, one worker only silent", Losses{ended, ended, ended, ended, shared}, Poison},
-		{"three and one provisional", Losses{shared, shared, silentTrial, provisional}, OnTrial},
-		{"a trial after starts that may not have arrived", Losses{undelivered, shared, trial}, OnTrial},
-		{"three that may not have arrived", Losses{undelivered, undelivered, undelivered}, OnTrial},
-		{"four that may not have arrived", Losses{undelivered, undelivered, undelivered, undelivered}, Held},
-		{"one long after its start", Losses{late}, Clear},
-		{"two long after their starts", Losses{late, late}, Watched},
-		{"one soon, one long after its start", Losses{late, shared}, Watched},
-		{"three long after their starts", Losses{late, late, late}, OnTrial},
+		{"three and one provisional", Losses{shared, shared, silentTrial, provisional}, TrialOnly},
+		{"a trial after starts that may not have arrived", Losses{undelivered, shared, trial}, TrialOnly},
+		{"three that may not have arrived", Losses{undelivered, undelivered, undelivered}, TrialOnly},
+		{"four that may not have arrived", Losses{undelivered, undelivered, undelivered, undelivered}, Blocked},
+		{"one long after its start", Losses{late}, Unrestricted},
+		{"two long after their starts", Losses{late, late}, Separate},
+		{"one soon, one long after its start", Losses{late, shared}, Separate},
+		{"three long after their starts", Losses{late, late, late}, TrialOnly},
 		{"four, the last on trial", Losses{late, late, late, trial}, Poison},
-		{"provisional only", Losses{provisional, provisional}, Clear},
+		{"provisional only", Losses{provisional, provisional}, Unrestricted},
 	} {
-		qt.Check(t, tc.losses.Verdict(), qt.Equals, tc.want, qt.Commentf(tc.name))
+		qt.Check(t, tc.losses.Restriction(), qt.Equals, tc.want, qt.Commentf(tc.name))
 	}
 }
 
-// TestCounted checks that only the attempts on trial are counted if there are any, and that
+// TestCounted checks that only the attempts in a trial are counted if there are any, and that
 // attempts that had run for long are not.
 func TestCounted(t *testing.T) {
 	qt.Check(t, Counted([]Attempt{{Ran: 0}, {Ran: maxCountedRun}, {Ran: time.Second}}), qt.DeepEquals, []bool{true, false, true})
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -26,7 +26,7 @@
 	}
 	b := d.budgets[account]
 	if b == nil {
-		b = placement.NewBudget(limit, 1, d.o.book.Allocated(account))
+		b = placement.NewBudget(limit, 1, d.o.registry.Allocated(account))
 		d.budgets[account] = b
 	}
 	return b.TakeUpTo(s.Spec, n)
@@ -37,30 +37,30 @@
 func (o *Owner) reportAccounts(full bool) quota.Report {
 	r := o.accounts.shares.Report()
 	r.Full = full
-	unbooked := o.unbookedUsage()
+	unregistered := o.unregisteredUsage()
 	uses := map[string]*quota.Usage{}
 	use := func(account string) *quota.Usage {
 		u := uses[account]
 		if u == nil {
-			running := placement.MaxFraction(o.book.Allocated(account).Add(unbooked[account]), o.limitOf(account))
+			running := placement.MaxFraction(o.registry.Allocated(account).Add(unregistered[account]), o.limitOf(account))
 			u = &quota.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
 		return u
 	}
 	limited := func(account string) bool { return o.limitOf(account) != (platform.Resources{}) }
-	// Tasks that wait for the takeover to complete are counted in unbookedUsage.
-	o.eachStartable(false, func(s *jobs.StepRun, idle []*jobs.Task) {
+	// Tasks that wait until the takeover is complete are counted in unregisteredUsage.
+	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
 		if account := s.Job.Account; limited(account) {
-			addWaiting(use(account), s.Spec, len(idle), o.limitOf(account))
+			addWaiting(use(account), s.Spec, len(startable), o.limitOf(account))
 		}
 	})
-	o.book.EachAllocated(func(account string) {
+	o.registry.EachAllocated(func(account string) {
 		if limited(account) {
 			use(account)
 		}
 	})
-	for account := range unbooked {
+	for account := range unregistered {
 		if limited(account) {
 			use(account)
 		}
--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -13,7 +13,7 @@
 // limitLogInterval is the minimum time between two log lines on an account that is at its limit.
 const limitLogInterval = time.Second
 
-// accounts is the state of client accounts, beyond the catalog.
+// accounts is the state of client accounts that is not in the catalog.
 type accounts struct {
 	shares     *quota.ShardShares            // of the limits of accounts
 	changed    bool                          // the shares are to be written
@@ -33,8 +33,8 @@
 // have submitted still run.
 func (a *accounts) retainRemoved(old, c *catalog.Catalog) {
 	for i := range old.Accounts {
-		if was := &old.Accounts[i]; c.Account(was.Name) == nil {
-			a.removed[was.Name] = was.Limit
+		if account := &old.Accounts[i]; c.Account(account.Name) == nil {
+			a.removed[account.Name] = account.Limit
 		}
 	}
 }
@@ -50,7 +50,7 @@
 	return o.accounts.removed[account]
 }
 
-// ApplyGrant takes over granted shares of the limits of accounts.
+// ApplyGrant applies granted shares of the limits of accounts.
 func (o *Owner) ApplyGrant(g quota.Grant) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -79,10 +79,10 @@
 	return nil
 }
 
-// unbookedUsage returns what each account has or may have running beyond the attempts in the book:
-// attempts of a former owner that are being stopped, and tasks that may be at workers that have not
-// reported since the takeover.
-func (o *Owner) unbookedUsage() map[string]platform.Resources {
+// unregisteredUsage returns what each account has or may have running besides the attempts in the
+// registry: attempts of former owners that are being stopped, and tasks that may be at workers that
+// have not reported since the takeover.
+func (o *Owner) unregisteredUsage() map[string]platform.Resources {
 	sum := map[string]platform.Resources{}
 	add := func(account string, needs platform.Resources) {
 		if account != "" && needs != (platform.Resources{}) {
@@ -95,12 +95,12 @@
 		}
 	}
 	if o.formerAnyTask {
-		o.book.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
+		o.registry.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
 		return sum
 	}
 	for _, s := range o.sessions {
 		for _, name := range s.former.names {
-			if t := o.book.Task(name); t != nil {
+			if t := o.registry.Task(name); t != nil {
 				add(t.Step.Job.Account, t.Step.Spec.Needs)
 			}
 		}
@@ -110,13 +110,13 @@
 
 // budgets are what accounts may still start in one placement pass.
 type budgets struct {
-	o        *Owner
-	unbooked map[string]platform.Resources
-	byName   map[string]*placement.Budget
+	o            *Owner
+	unregistered map[string]platform.Resources
+	byName       map[string]*placement.Budget
 }
 
 func (o *Owner) newBudgets() *budgets {
-	return &budgets{o: o, unbooked: o.unbookedUsage(), byName: map[string]*placement.Budget{}}
+	return &budgets{o: o, unregistered: o.unregisteredUsage(), byName: map[string]*placement.Budget{}}
 }
 
 // of returns the budget of an account, nil if it has no limit.
@@ -127,14 +127,14 @@
 	var budget *placement.Budget
 	limit := b.o.limitOf(account)
 	if limit != (platform.Resources{}) && b.o.accounts.shares.Enforced() {
-		running := b.o.book.Allocated(account).Add(b.unbooked[account])
+		running := b.o.registry.Allocated(account).Add(b.unregistered[account])
 		budget = placement.NewBudget(limit, b.o.accounts.shares.Share(account), running)
 	}
 	b.byName[account] = budget
 	return budget
 }
 
-// logAtLimit logs the accounts with tasks that their limit held back.
+// logAtLimit logs the accounts with tasks that did not start because of their limit.
 func (o *Owner) logAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -38,8 +38,8 @@
 	states      []jobs.State                 // of jobs, as written
 	evidence    []int                        // Job.Evidence of jobs, as written
 	workers     []*session                   // that become recorded
-	record      bool                         // parts of the record of leased workers are written
-	parts       []int                        // numbers of these parts
+	record      bool                         // the record of leased workers is written
+	parts       []int                        // numbers of the parts of the record that are written
 	leased      *[recordParts][]leasedWorker // content of the record
 	shares      *quota.Row                   // quota shares of accounts as written, nil if unchanged
 	acks        map[*session]int64           // number of the last end to acknowledge, by worker
@@ -145,7 +145,7 @@
 	}
 }
 
-// collectAcks notes the ends that may be acknowledged after the commit. There are none if changed
+// collectAcks collects the ends that may be acknowledged after the commit. There are none if changed
 // jobs are left for a later batch.
 func (o *Owner) collectAcks(b *batch) {
 	if len(o.dirty)+len(o.refusedProgress) > 0 {
@@ -192,7 +192,7 @@
 // failUnstorable fails a job whose progress can't be stored: no state of it could be reported, and
 // its finished tasks would run again after the next takeover.
 func (o *Owner) failUnstorable(j *jobs.Job, cause error) {
-	if !o.book.Fail(j) {
+	if !o.registry.Fail(j) {
 		return
 	}
 	o.cfg.Metrics.Job("not_kept")
@@ -200,21 +200,21 @@
 	o.jobEnded(j)
 }
 
-// putUnheard stores that a worker of a former owner was lost before it reported to a later one, for
-// as long as a restored job is active.
-func (o *Owner) putUnheard(b *batch) error {
-	if !o.unheardLoss {
+// putUnreportedLoss stores that a worker of a former owner was lost before it reported to a later
+// one, for as long as a restored job is active.
+func (o *Owner) putUnreportedLoss(b *batch) error {
+	if !o.unreportedLoss {
 		return nil
 	}
-	if !slices.ContainsFunc(o.book.Active(), func(j *jobs.Job) bool { return j.Restored }) {
-		o.unheardLoss = false
-		b.txn.Remove = append(b.txn.Remove, unheardRowKey(o.cfg.Pool))
+	if !slices.ContainsFunc(o.registry.Active(), func(j *jobs.Job) bool { return j.Restored }) {
+		o.unreportedLoss = false
+		b.txn.Remove = append(b.txn.Remove, unreportedLossRowKey(o.cfg.Pool))
 		return nil
 	}
-	raw, err := encode(unheardRow{Term: o.claim.Term})
+	raw, err := encode(unreportedLossRow{Term: o.claim.Term})
 	if err != nil {
 		return err
 	}
-	b.put(unheardRowKey(o.cfg.Pool), raw)
+	b.put(unreportedLossRowKey(o.cfg.Pool), raw)
 	return nil
 }
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// ConfirmationTTL is how long after its ownership was last confirmed an owner may grant leases and
-// send orders. One that is cut off from the table service stops then, so that the next owner knows
-// when the leases it has granted run out.
+// ConfirmationTTL is how long after its ownership was last confirmed an owner may renew leases
+// and send orders. One that can't reach the table service stops then, so that the next owner knows
+// when the leases it has renewed run out.
 const ConfirmationTTL = 1500 * time.Millisecond
 
-// confirmed reports whether this entry may grant leases and send orders.
-func (o *Owner) confirmed(now time.Duration) bool { return now-o.confirmedAt < ConfirmationTTL }
+// confirmed reports whether this entry may renew leases and send orders.
+func (o *Owner) confirmed(now time.Duration) bool { return now-o.lastOwnedAt < ConfirmationTTL }
 
 // Confirm records that this entry was the owner at a time on the owner's clock.
 func (o *Owner) Confirm(at time.Duration) {
@@ -22,12 +22,12 @@
 
 // noteConfirmed does what Confirm does; the lock is held.
 func (o *Owner) noteConfirmed(at time.Duration) {
-	if at <= o.confirmedAt {
+	if at <= o.lastOwnedAt {
 		return
 	}
 	now := o.now()
 	regained := !o.confirmed(now) && now-at < ConfirmationTTL
-	o.confirmedAt = at
+	o.lastOwnedAt = at
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
 		o.kickPlacement()
@@ -37,15 +37,15 @@
 	}
 }
 
-// checkOwnership reads the owner row if ownership has not been confirmed recently, or while the
-// table service is in trouble; the lock is held.
+// checkOwnership reads the owner row if ownership has not been confirmed recently, or while
+// transactions fail; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
-	if o.readingOwnerRow || !o.commitsFailing && now-o.confirmedAt < ConfirmationTTL/2 {
+	if o.readingOwnerRow || !o.commitsFailing && now-o.lastOwnedAt < ConfirmationTTL/2 {
 		return
 	}
 	if !o.confirmed(now) && !o.unconfirmedLogged {
 		o.unconfirmedLogged = true
-		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.confirmedAt).Send()
+		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.lastOwnedAt).Send()
 	}
 	o.readingOwnerRow = true
 	o.wg.Go(func() {
@@ -67,7 +67,7 @@
 		o.unconfirmedLogged = false
 		if o.commitsFailing && len(o.dirty) == 0 {
 			// There is nothing to write that would show that the table service is back.
-			o.setTroubledLocked(false, nil)
+			o.setCommitsFailingLocked(false, nil)
 		}
 		o.noteConfirmed(sentAt)
 	})
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -73,7 +73,7 @@
 	wait := orderTimeout
 	if d.prepareStart != nil {
 		// A start must not outlast the right to send it.
-		wait = min(wait, o.confirmedAt+ConfirmationTTL-sentAt)
+		wait = min(wait, o.lastOwnedAt+ConfirmationTTL-sentAt)
 	}
 	o.mu.Unlock()
 	ctx, cancel := context.WithTimeout(o.ctx, wait)
@@ -89,7 +89,7 @@
 	d.onAnswer(err)
 }
 
-// clockOf returns the worker's clock from the answer to an order, platform.NoClock for none.
+// clockOf returns the worker's clock from the answer to an order, platform.ClockUnknown for none.
 func clockOf(ms int64, err error) int64 {
 	var refused platform.ErrOrderRefused
 	switch {
--- a/pkg/shard/foreign.go
+++ b/pkg/shard/foreign.go
@@ -26,8 +26,8 @@
 	number int64
 }
 
-// adoptOrStop decides on a reported attempt that this owner has no record of: a former owner
-// started it, or our start was taken for lost. It returns nil if the attempt is not wanted.
+// adoptOrStop decides on a reported attempt that this owner has no record of: a former
+// owner started it, or this owner has dropped it as lost. It returns nil if the attempt is not wanted.
 func (o *Owner) adoptOrStop(s *session, r *platform.RunningAttempt, now time.Duration) *workerAttempt {
 	key := foreignKey{task: r.Task, number: r.Attempt}
 	if fa := s.foreign[key]; fa != nil {
@@ -36,12 +36,12 @@
 		}
 		return nil
 	}
-	t := o.book.Task(r.Task)
+	t := o.registry.Task(r.Task)
 	wanted := t != nil && o.canAdopt(t) && s.attempts[r.Task] == nil // one attempt of a task at a time is held at a worker
 	o.log.Info().Str("event", "attempt_found").Str("task", r.Task).Int64("attempt", r.Attempt).
 		Str("boot", s.ref.Boot).Bool("adopted", wanted).Send()
 	if wanted {
-		a := &workerAttempt{Attempt: o.book.Adopt(t, r.Attempt, s.ref.Boot, now), confirmedAt: now}
+		a := &workerAttempt{Attempt: o.registry.Adopt(t, r.Attempt, s.ref.Boot, now), startConfirmedAt: now}
 		s.addAttempt(r.Task, a)
 		if s.trial != nil && slices.Contains(s.trial.tasks, t) {
 			s.trial.attempts = append(s.trial.attempts, a.Attempt)
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// canAdopt reports whether a task can use an attempt that was found.
+// canAdopt reports whether a task needs the attempt that was found at a worker.
 func (o *Owner) canAdopt(t *jobs.Task) bool {
 	if t.Step.Job.State.Final() {
 		return false
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -7,25 +7,25 @@
 	"slices"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/pause"
 	"github.com/gannetwell/gannetwell/pkg/placement"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
-// missedObjectiveFactor is the multiple of its objective after which a job no longer counts
-// as served.
+// missedObjectiveFactor is the multiple of its latency objective after which the result of a job
+// is hardly of use, so that other jobs are placed first.
 const missedObjectiveFactor = 3
 
-// maxExcessDelay is how long a job beyond its account's promise waits behind jobs of others;
-// the bound prevents starvation.
+// maxExcessDelay is how long a job over the guaranteed rate of its account is placed after the jobs
+// of other accounts; the bound prevents starvation.
 const maxExcessDelay = 10 * time.Second
 
 // placementTimeDivisor bounds placement to one part in this many of the time. Changes during
 // a pause are placed together, since each pass scans all workers and waiting tasks.
 const placementTimeDivisor = 5
 
-// maxPlacementPause bounds the pause after a pass that took long, as on an overloaded host.
+// maxPlacementPause bounds the pause after a pass that took long, as on an overloaded machine.
 const maxPlacementPause = 20 * time.Millisecond
 
 // placeLoop runs a placement pass whenever something has changed.
@@ -42,7 +42,7 @@
 	}
 }
 
-// place starts the tasks that fit.
+// place starts the tasks that fit; see pkg/placement for the order.
 func (o *Owner) place() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -56,20 +56,20 @@
 	o.advanceSchedules()
 	o.clearSuspects()
 	o.endTrials(now)
-	candidates, onTrial := o.candidates(now)
-	o.tasksWaiting = len(candidates)+len(onTrial) > 0
-	if !o.tasksWaiting {
+	candidates, trialOnly := o.candidates(now)
+	o.hasWaitingTasks = len(candidates)+len(trialOnly) > 0
+	if !o.hasWaitingTasks {
 		return
 	}
 	placement.Sort(candidates, now)
 	hosts := o.hosts(now)
-	for _, cs := range [][]placement.Candidate{candidates, onTrial} {
+	for _, cs := range [][]placement.Candidate{candidates, trialOnly} {
 		for i := range cs {
 			o.applyAdvice(&cs[i], hosts, now)
 		}
 	}
-	if len(onTrial) > 0 {
-		o.startTrials(onTrial, now)
+	if len(trialOnly) > 0 {
+		o.startTrials(trialOnly, now)
 		hosts = o.hosts(now) // without the workers reserved for trials
 	}
 	starts := placement.Plan(candidates, hosts, o.rate.Available(now))
@@ -85,10 +85,10 @@
 			boots[step] = append(boots[step], st.Host.Boot)
 			continue
 		}
-		o.orderStart(o.book.StartAttempt(st.Task, st.Host.Boot, now))
+		o.orderStart(o.registry.StartAttempt(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
-		for _, a := range o.book.StartGang(step, boots[step], now) {
+		for _, a := range o.registry.StartGang(step, boots[step], now) {
 			o.orderStart(a)
 		}
 	}
@@ -97,15 +97,15 @@
 // advanceSchedules creates the due occurrences of scheduled jobs and drops past ones.
 func (o *Owner) advanceSchedules() {
 	wall := time.Duration(time.Now().UnixNano())
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Advance(wall) {
 			delete(o.advices, s)
 		}
 	}
 }
 
-// hosts returns the workers that accept tasks, by boot. The hosts are cached: starts
-// placed on them must be ordered before the lock is released.
+// hosts returns placement's view of the workers that accept tasks, by boot. The hosts are cached:
+// starts placed on them must be ordered before the lock is released.
 func (o *Owner) hosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
 		if s.acceptsTasks(now) {
@@ -134,35 +134,35 @@
 	return o.sortedSessions
 }
 
-// candidates returns the steps with tasks that may start now, and separately those that may
-// start only on trial: one task each, or a gang.
-func (o *Owner) candidates(now time.Duration) (cs, onTrial []placement.Candidate) {
-	left := map[*jobs.Job]time.Duration{}
+// candidates returns the steps with startable tasks, and separately those that may start only
+// in a trial: one task each, or a gang.
+func (o *Owner) candidates(now time.Duration) (cs, trialOnly []placement.Candidate) {
+	remaining := map[*jobs.Job]time.Duration{}
 	budgets := o.newBudgets()
-	o.eachStartable(false, func(s *jobs.StepRun, idle []*jobs.Task) {
-		if _, ok := left[s.Job]; !ok {
-			left[s.Job] = o.remainingPath(s.Job, now)
+	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
+		if _, ok := remaining[s.Job]; !ok {
+			remaining[s.Job] = o.remainingPath(s.Job, now)
 		}
-		c := o.candidate(s, idle, left[s.Job], now)
+		c := o.candidate(s, startable, remaining[s.Job], now)
 		c.Budget = budgets.of(s.Job.Account)
 		if len(o.suspects) == 0 {
 			cs = append(cs, c)
 			return
 		}
-		free, trials := splitByVerdict(c)
-		cs, onTrial = append(cs, free...), append(onTrial, trials...)
+		free, trials := splitByRestriction(c)
+		cs, trialOnly = append(cs, free...), append(trialOnly, trials...)
 	})
-	return cs, onTrial
+	return cs, trialOnly
 }
 
-// splitByVerdict divides a step's tasks by how they may start. The tasks of a gang start
-// together, so they are on trial together and are not watched.
-func splitByVerdict(c placement.Candidate) (free, onTrial []placement.Candidate) {
+// splitByRestriction divides a step's tasks by where they may start. The tasks of a gang start
+// together, so they share one trial and are not kept separate.
+func splitByRestriction(c placement.Candidate) (free, trialOnly []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
-		case blame.OnTrial:
+		case quarantine.TrialOnly:
 			return nil, []placement.Candidate{c}
-		case blame.Held, blame.Poison:
+		case quarantine.Blocked, quarantine.Poison:
 			return nil, nil
 		default:
 			return []placement.Candidate{c}, nil
@@ -174,47 +174,47 @@
 		one := c
 		one.Tasks = []*jobs.Task{t}
 		switch t.Verdict() {
-		case blame.Clear:
+		case quarantine.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
-		case blame.Watched:
-			one.Watched = true
+		case quarantine.Separate:
+			one.Separate = true
 			free = append(free, one)
-		case blame.OnTrial:
-			onTrial = append(onTrial, one)
-		case blame.Held: // until its workers answer or are known to have ended
-		case blame.Poison: // given up once its last worker is known to be lost
+		case quarantine.TrialOnly:
+			trialOnly = append(trialOnly, one)
+		case quarantine.Blocked: // until the lost workers answer or are known to have ended
+		case quarantine.Poison: // its job fails once its last worker is known to be lost
 		}
 	}
 	if len(clean.Tasks) > 0 {
 		free = append(free, clean)
 	}
-	return free, onTrial
+	return free, trialOnly
 }
 
-// eachStartable calls f for each step with tasks that may start, in order of acceptance;
-// with withHeld also those that wait for a takeover to complete.
-func (o *Owner) eachStartable(withHeld bool, f func(s *jobs.StepRun, idle []*jobs.Task)) {
+// eachStartable calls f for each step with startable tasks, in order of acceptance; with
+// includeAwaiting also those that wait until the takeover is complete.
+func (o *Owner) eachStartable(includeAwaiting bool, f func(s *jobs.StepRun, startable []*jobs.Task)) {
 	wall := time.Duration(time.Now().UnixNano())
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Steps {
 			if !s.Ready() || s.Finished() || s.Due() > wall {
 				continue
 			}
-			if idle := o.startableTasks(s, withHeld); len(idle) > 0 {
-				f(s, idle)
+			if startable := o.startableTasks(s, includeAwaiting); len(startable) > 0 {
+				f(s, startable)
 			}
 		}
 	}
 }
 
-// startableTasks returns the tasks of a step that may start now; with withHeld also those
-// that wait for a takeover to complete.
-func (o *Owner) startableTasks(s *jobs.StepRun, withHeld bool) (tasks []*jobs.Task) {
+// startableTasks returns the waiting tasks of a step, and the running stragglers that want a
+// speculative copy; with includeAwaiting also those that wait until the takeover is complete.
+func (o *Owner) startableTasks(s *jobs.StepRun, includeAwaiting bool) (tasks []*jobs.Task) {
 	if s.CountWaiting() == 0 && !s.Spec.Speculative {
 		return nil
 	}
 	for _, t := range s.Tasks {
-		if !withHeld && o.mayRunElsewhere(t) {
+		if !includeAwaiting && o.mayRunElsewhere(t) {
 			continue
 		}
 		if t.Idle() || t.WantsCopy && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
@@ -224,9 +224,9 @@
 	return tasks
 }
 
-func (o *Owner) candidate(s *jobs.StepRun, idle []*jobs.Task, left, now time.Duration) placement.Candidate {
+func (o *Owner) candidate(s *jobs.StepRun, startable []*jobs.Task, remaining, now time.Duration) placement.Candidate {
 	j := s.Job
-	c := placement.Candidate{Step: s, Tasks: idle, RemainingWork: left, Deadline: j.AddedAt + left}
+	c := placement.Candidate{Step: s, Tasks: startable, RemainingPath: remaining, Deadline: j.AddedAt + remaining}
 	if q := o.catalog.Queue(j.Queue); q != nil {
 		objective := q.TargetLatency + time.Duration(q.Stretch*float64(o.criticalPath(j)))
 		c.Priority = q.Priority
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -10,7 +10,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// An owner that does not know that it was replaced may act for ConfirmationTTL after the takeover.
+// An owner that has not noticed its replacement may act for ConfirmationTTL after the takeover.
 // Workers tell the two owners apart by fencing tokens, but forget these when they restart, and a
 // task could run twice. The protocol of a takeover is therefore:
 //
@@ -23,7 +23,7 @@
 	// maxConfirmedWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
 	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
-	// doesn't divide upkeepInterval, so that the log order is deterministic.
+	// doesn't divide checkInterval, so that the log order is deterministic.
 	predecessorPollInterval = 47 * time.Millisecond
 	// standDownTimeout bounds one call that tells the predecessor that it was replaced.
 	standDownTimeout = 400 * time.Millisecond
@@ -49,7 +49,7 @@
 
 // remainingGrace returns how long from now on an owner before the one in the row may still act.
 // The age of the row is a lower bound, since a process may have seen it late. An owner therefore
-// records in its commit row that all its predecessors are gone.
+// records in its commit row that no former owner can act any more.
 func remainingGrace(found OwnerRow, commit platform.Row, age time.Duration) time.Duration {
 	var c commitRow
 	if err := msgpack.Unmarshal(commit.Value, &c); err == nil && c.SoleOwner && c.Term == found.Term {
@@ -122,8 +122,8 @@
 	}
 }
 
-// awaited reports whether tasks wait for the next report of a worker, which shows what former owners
-// have started there. Such a poll must not wait for an attempt to end.
+// awaited reports whether tasks wait for the next report of a worker, which lists the attempts
+// that former owners have started there. Such a poll must not wait for an attempt to end.
 func (s *session) awaited(now time.Duration) bool { return s.former.pending && now >= s.former.safeAt }
 
 // listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // deferredStart is a start that waits until its provisional loss is stored.
@@ -17,28 +17,28 @@
 // recordProvisionalLoss records the loss of a worker before a suspected task is started there, so
 // that it counts even if this owner is lost with the worker; it reports whether the start has to
 // wait until that is stored. While the table service is down, starts wait only for tasks with an
-// early loss or that may have crashed a worker unseen.
+// early loss, or which may have crashed a worker without a recorded loss.
 func (o *Owner) recordProvisionalLoss(s *session, r *workerAttempt) bool {
 	t := r.Task
-	maybeLost := o.unheardLoss && t.Step.Job.Restored
-	mustWait := maybeLost || t.Verdict() == blame.OnTrial || t.Losses.HasEarly()
+	maybeLost := o.unreportedLoss && t.Step.Job.Restored
+	mustWait := maybeLost || t.Verdict() == quarantine.TrialOnly || t.Losses.HasEarly()
 	if !maybeLost && !t.Suspect() || o.commitsFailing && !mustWait {
 		return false
 	}
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.isOnTrial(r), Provisional: true}))
+	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.inTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
-	o.noted[j] = append(o.noted[j], deferredStart{session: s, running: r, evidence: j.LossesVersion()})
+	o.deferredStarts[j] = append(o.deferredStarts[j], deferredStart{session: s, running: r, evidence: j.LossesVersion()})
 	o.persist(j, true)
 	return true
 }
 
 // sendDeferred sends the deferred starts of a job whose provisional losses are stored.
 func (o *Owner) sendDeferred(j *jobs.Job) {
-	if len(o.noted[j]) == 0 {
+	if len(o.deferredStarts[j]) == 0 {
 		return
 	}
-	o.noted[j] = slices.DeleteFunc(o.noted[j], func(n deferredStart) bool {
+	o.deferredStarts[j] = slices.DeleteFunc(o.deferredStarts[j], func(n deferredStart) bool {
 		if !j.LossesPersisted(n.evidence) {
 			return false
 		}
@@ -48,8 +48,8 @@
 		}
 		return true
 	})
-	if len(o.noted[j]) == 0 {
-		delete(o.noted, j)
+	if len(o.deferredStarts[j]) == 0 {
+		delete(o.deferredStarts, j)
 	}
 }
 
@@ -64,25 +64,25 @@
 	o.persist(t.Step.Job, false)
 }
 
-// recordUnheardLoss records that a worker of a former owner was lost before it reported to this one.
+// recordUnreportedLoss records that a worker of former owners was lost before it reported to this one.
 // The loss is counted against the tasks known to have been there. If these are not known, every
 // restored task may have crashed it, and gets a provisional loss before its next start.
-func (o *Owner) recordUnheardLoss(s *session) {
+func (o *Owner) recordUnreportedLoss(s *session) {
 	if !s.former.listed {
-		if !o.unheardLoss {
-			o.unheardLoss = true
+		if !o.unreportedLoss {
+			o.unreportedLoss = true
 			o.record.markChanged(s.worker) // has it removed from the record
 			o.kickCommit()
 		}
 		return
 	}
 	for _, name := range s.former.names {
-		t := o.book.Task(name)
-		if t == nil || t.Done || t.Step.Job.State.Final() || s.departsByPlan(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
+		t := o.registry.Task(name)
+		if t == nil || t.Done || t.Step.Job.State.Final() || s.leavesAsPlanned(o.now()) || t.Losses.HasBoot(s.ref.Boot) {
 			continue
 		}
 		// The attempt is unknown; a negative number can't clash with one.
-		t.SetLosses(t.Losses.With(blame.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Ended: s.ended}))
+		t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: -o.claim.Term, Boot: s.ref.Boot, Ended: s.ended}))
 		o.suspects[t] = struct{}{}
 		o.persist(t.Step.Job, false)
 	}
--- a/pkg/shard/rows.go
+++ b/pkg/shard/rows.go
@@ -27,12 +27,12 @@
 // takeover reads both with one call.
 const sharesKey = "shares"
 
-// unheardKey is the key, in the table of workers, of the row that marks that a worker of a former
+// unreportedLossKey is the key, in the table of workers, of the row that marks that a worker of a former
 // owner was lost before it reported to a later one.
-const unheardKey = "unheard"
+const unreportedLossKey = "unheard"
 
-// unheardRow is the value of the row at unheardKey.
-type unheardRow struct {
+// unreportedLossRow is the value of the row at unreportedLossKey.
+type unreportedLossRow struct {
 	Term int64 `msgpack:"t"` // of the owner that found the loss
 }
 
@@ -43,7 +43,7 @@
 	Address string `msgpack:"a"` // of its peer listener
 	Term    int64  `msgpack:"t"` // rises with each takeover
 	Next    string `msgpack:"n"` // entry that should take over, set by a release
-	// FormerGrace is how long after the row was written an earlier owner may still act.
+	// FormerGrace is how long after the row was written a former owner may still act.
 	FormerGrace time.Duration `msgpack:"l,omitempty"`
 }
 
@@ -56,7 +56,7 @@
 	SoleOwner bool   `msgpack:"a,omitempty"` // no former owner can act any more
 }
 
-// leasedWorker is a boot that was granted a lease and may still run tasks.
+// leasedWorker is a boot with a lease, which may still run tasks.
 type leasedWorker struct {
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
@@ -80,8 +80,8 @@
 	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: sharesKey}
 }
 
-func unheardRowKey(pool string) platform.RowKey {
-	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: unheardKey}
+func unreportedLossRowKey(pool string) platform.RowKey {
+	return platform.RowKey{Table: tableWorkers, Partition: pool, Key: unreportedLossKey}
 }
 
 func jobKey(pool, id string) platform.RowKey {
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -42,7 +42,7 @@
 	orders          []*queuedOrder                 // queued, in order
 	senders         int                            // goroutines that send them
 	startsInFlight  int                            // start orders without an answer yet
-	inDoubt         bool                           // a start order got no answer; a poll with a higher token settles it
+	inDoubt         bool                           // a start order got no answer; a poll with a higher token resolves it
 	unansweredCalls int                            // polls and orders in a row without an answer
 	silentSince     time.Duration                  // when the first of those was noticed, 0 if none
 	retryNow        bool                           // a single poll failed: repeat it without a pause
@@ -58,7 +58,7 @@
 	clockMs            int64         // the worker's clock in the last answer
 	clockAt            time.Duration // when that answer arrived
 	leaseUntil         int64         // latest lease deadline sent, by the worker's clock
-	earlierLeasesUntil time.Duration // when leases given by a former owner, or by the clock of an earlier boot, have expired
+	earlierLeasesUntil time.Duration // when leases renewed by former owners, or by the clock of an earlier boot, have expired
 
 	ends endTracker // ends that it has reported
 
@@ -72,23 +72,23 @@
 // workerAttempt is an attempt at a worker.
 type workerAttempt struct {
 	*jobs.Attempt
-	sentAt        time.Duration // when the start was last sent, 0 for never
-	connLost      bool          // the start got no answer because the connection failed
-	confirmedAt   time.Duration // when the worker confirmed that it has it, 0 if it did not yet
-	stopOrderedAt time.Duration // when its stop was last ordered, 0 for never
-	reportedAt    time.Duration // when the worker last reported it
-	missing       bool          // the worker's last report lacked it
-	replaced      bool          // a replacement was ordered because it is too slow
-	lostWithBoot  string        // earlier boot it counts as lost with until this boot answers
-	pacePercent   int           // speed limit in percent, 0 for none
-	pacedAt       time.Duration // when the pace was last ordered
-}
-
-// requestPoll makes the poll loop decide again when to poll.
+	sentAt           time.Duration // when the start was last sent, 0 for never
+	connLost         bool          // the start got no answer because the connection failed
+	startConfirmedAt time.Duration // when the worker confirmed that it has it, 0 if it did not yet
+	stopOrderedAt    time.Duration // when its stop was last ordered, 0 for never
+	reportedAt       time.Duration // when the worker last reported it
+	missing          bool          // the worker's last report lacked it
+	replaced         bool          // a replacement was ordered because it is too slow
+	countedLostBoot  string        // earlier boot whose loss was counted against the task, until this boot reports the attempt
+	throttlePercent  int           // processor share ordered, in percent, 0 for all
+	throttledAt      time.Duration // when it was last ordered
+}
+
+// requestPoll makes the poll loop plan its next poll anew.
 func (s *session) requestPoll() { pause.Wake(s.wake) }
 
-// markInDoubt notes that the outcome of an order is unknown. The worker gets no tasks until a
-// poll has settled it; a poll that waits for an end is canceled so that this happens soon.
+// markInDoubt records that the outcome of an order is unknown. The worker gets no tasks until a
+// poll has resolved it; a poll that waits for an end is canceled so that this happens soon.
 func (s *session) markInDoubt() {
 	s.inDoubt = true
 	s.interruptPoll()
@@ -123,12 +123,12 @@
 
 // leaving reports whether the worker is about to leave without announcing it: its directory
 // entry is gone, and not because of a recent outage of the table service.
-func (s *session) leaving(now, storeSteady time.Duration) bool {
+func (s *session) leaving(now, storeUptime time.Duration) bool {
 	if s.listed || s.unlistedAt == 0 {
 		return false
 	}
 	missing := now - s.unlistedAt
-	return missing > relistDelay || storeSteady-missing > relistDelay
+	return missing > relistDelay || storeUptime-missing > relistDelay
 }
 
 // needsPoll reports whether there is a reason to poll the worker.
@@ -148,7 +148,7 @@
 
 // finalRecordEntry returns the stored entry that an owner writes when it releases the shard,
 // with the tasks that may be at the worker. For a worker that has not answered this owner it
-// repeats the tasks that the former owner named, or names none if they are unknown.
+// repeats the tasks that the predecessor named, or names none if they are unknown.
 func (s *session) finalRecordEntry(term int64) leasedWorker {
 	w := s.recordEntry()
 	if s.former.pending && !s.former.listed {
@@ -171,7 +171,7 @@
 	return w
 }
 
-// markEndsStored notes that ends up to a number are stored.
+// markEndsStored records that ends up to a number are stored.
 func (s *session) markEndsStored(number int64) {
 	s.ends.markStored(number)
 	s.requestPoll()
@@ -208,7 +208,7 @@
 		h.Free = h.Free.Sub(placement.Charge(a.Task.Step.Spec))
 		h.CountTask(a.Task.Step)
 		if a.Task.Suspect() {
-			h.WatchedTasks++
+			h.SuspectedTasks++
 		}
 	}
 	return h
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -21,18 +21,18 @@
 	minSiblings = 2
 	// maxSiblings bounds the tasks that are compared, sampled evenly over the step.
 	maxSiblings = 64
-	// estimateFactor widens an estimate that replaces the comparison.
+	// estimateFactor is applied to an estimate that is used in place of the comparison.
 	estimateFactor = 3
 	// roundingPercent is the largest rounding error of reported progress.
 	roundingPercent = 0.5
-	// restartGainFactor is how many times longer than a new attempt the rest must take, since
-	// estimates are rough.
+	// restartGainFactor is how many times longer than a new attempt the rest of an attempt must
+	// take to be replaced, since estimates are rough.
 	restartGainFactor = 1.5
 	// restartCost is the overhead of a stop and another start.
 	restartCost = time.Second
 	// remoteDataFactor allows for work outside the rack of its data.
 	remoteDataFactor = 3
-	// maxPatienceDoublings bounds the patience with a task that was replaced before.
+	// maxPatienceDoublings bounds the thresholds for a task that was replaced before.
 	maxPatienceDoublings = 6
 	// stallWeight is the weight of a straggler in its worker's failures.
 	stallWeight = 3
@@ -54,42 +54,42 @@
 		}
 		for _, name := range sortedKeysWhere(s.attempts, slow) {
 			r := s.attempts[name]
-			if left, straggles := o.isStraggler(s, r); straggles { // replacing earlier ones may have changed it
-				o.replaceStraggler(s, name, r, left, now)
+			if remaining, straggles := o.isStraggler(s, r); straggles { // replacing earlier ones may have changed it
+				o.replaceStraggler(s, name, r, remaining, now)
 			}
 		}
 	}
 }
 
 // isStraggler reports whether an attempt has stalled, or takes much longer than the other
-// tasks of its step and than a restart would; left is its remaining time.
-func (o *Owner) isStraggler(s *session, r *workerAttempt) (left time.Duration, straggles bool) {
+// tasks of its step and than a restart would; remaining is its remaining time.
+func (o *Owner) isStraggler(s *session, r *workerAttempt) (remaining time.Duration, straggles bool) {
 	step := r.Task.Step
-	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.confirmedAt == 0 || r.replaced {
+	if step.Spec.LongRunning || step.Spec.Gang || r.Phase != jobs.PhaseRunning || r.startConfirmedAt == 0 || r.replaced {
 		return 0, false
 	}
-	ran := r.reportedAt - r.confirmedAt
+	ran := r.reportedAt - r.startConfirmedAt
 	if ran < minStragglerRuntime {
 		return 0, false
 	}
 	total := r.projectedDuration()
-	left = max(0, total-ran)
-	// A task that is slow at each worker is slow by itself, so patience doubles with each
+	remaining = max(0, total-ran)
+	// A task that is slow at each worker has more work, so the thresholds double with each
 	// replacement.
 	patience := time.Duration(1) << min(r.Task.Replaced, maxPatienceDoublings)
 	if r.reportedAt-r.ProgressAt > patience*stallTimeout {
-		return left, true
+		return remaining, true
 	}
-	if float64(left) <= restartGainFactor*float64(restartCost) {
-		return left, false // too short to restart, however fast the others are
+	if float64(remaining) <= restartGainFactor*float64(restartCost) {
+		return remaining, false // too short to restart, however fast the others are
 	}
-	usual := patience * o.typicalDuration(s, r)
-	return left, float64(total) > siblingFactor*float64(usual) && float64(left) > restartGainFactor*float64(usual+restartCost)
+	typical := patience * o.typicalDuration(s, r)
+	return remaining, float64(total) > siblingFactor*float64(typical) && float64(remaining) > restartGainFactor*float64(typical+restartCost)
 }
 
 // projectedDuration returns how long the attempt takes in total at its present speed.
 func (r *workerAttempt) projectedDuration() time.Duration {
-	return time.Duration(float64(r.reportedAt-r.confirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
+	return time.Duration(float64(r.reportedAt-r.startConfirmedAt) * 100 / (float64(r.Percent) + roundingPercent))
 }
 
 // typicalDuration returns the median duration of the step's tasks at other workers, or a
@@ -113,11 +113,11 @@
 		slices.Sort(totals)
 		return totals[len(totals)/2]
 	}
-	usual := estimateFactor * max(step.Spec.Estimate, o.durations[step.Job.Queue].expected(step.Spec.Estimate))
+	typical := estimateFactor * max(step.Spec.Estimate, o.durations[step.Job.Queue].expected(step.Spec.Estimate))
 	if step.Spec.DataRack != "" && step.Spec.DataRack != rackOf(s.info.Labels) {
-		usual *= remoteDataFactor
+		typical *= remoteDataFactor
 	}
-	return usual
+	return typical
 }
 
 // findAttempt returns the session's view of an attempt, nil if it is not at its worker.
@@ -132,13 +132,14 @@
 	return nil
 }
 
-// replaceStraggler starts a copy where the step allows it, and stops the attempt otherwise.
-func (o *Owner) replaceStraggler(s *session, name string, r *workerAttempt, left, now time.Duration) {
+// replaceStraggler requests a speculative copy where the step allows it, and stops the attempt
+// otherwise, so that it restarts elsewhere.
+func (o *Owner) replaceStraggler(s *session, name string, r *workerAttempt, remaining, now time.Duration) {
 	r.replaced = true
 	r.Task.Replaced++
 	s.health.noteStalled(now)
 	o.log.Info().Str("event", "straggler").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.confirmedAt).Dur("left", left).Send()
+		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.startConfirmedAt).Dur("left", remaining).Send()
 	if r.Task.Step.Spec.Speculative {
 		r.Task.WantsCopy = true
 		o.kickPlacement()
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -8,9 +8,9 @@
 
 	"github.com/rs/zerolog"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/platform"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 // lossCountedAfter is the number of consecutive unanswered calls after which a worker's loss is
@@ -21,44 +21,44 @@
 // countLosses counts the loss of a worker against the tasks there.
 func (o *Owner) countLosses(s *session) {
 	now := o.now()
-	if s.lossCounted || s.departsByPlan(now) {
+	if s.lossCounted || s.leavesAsPlanned(now) {
 		return
 	}
 	s.lossCounted = true
 	var sent []*workerAttempt
-	var attempts []blame.Attempt
+	var attempts []quarantine.Attempt
 	for _, r := range sortedByKey(s.attempts) {
 		if r.sent() {
 			sent = append(sent, r)
-			attempts = append(attempts, blame.Attempt{Ran: s.ranFor(r, now), Trial: s.isOnTrial(r)})
+			attempts = append(attempts, quarantine.Attempt{Ran: s.ranFor(r, now), Trial: s.inTrial(r)})
 		}
 	}
-	for i, counted := range blame.Counted(attempts) {
+	for i, counted := range quarantine.Counted(attempts) {
 		if counted {
 			o.countLoss(s, sent[i], attempts[i])
 		}
 	}
 }
 
-// departsByPlan reports whether a worker was about to leave before it was lost, so that the loss is
+// leavesAsPlanned reports whether a worker was about to leave before it was lost, so that the loss is
 // not counted. A worker that leaves unannounced still answers after its directory row has gone; the
 // row of one that crashed may go before its silence is noticed.
-func (s *session) departsByPlan(now time.Duration) bool {
+func (s *session) leavesAsPlanned(now time.Duration) bool {
 	return s.draining || s.cordonedUntil > s.lostAt(now) || s.unlistedAt > 0 && s.clockAt > s.unlistedAt
 }
 
-func (o *Owner) countLoss(s *session, r *workerAttempt, a blame.Attempt) {
+func (o *Owner) countLoss(s *session, r *workerAttempt, a quarantine.Attempt) {
 	t := r.Task
-	t.SetLosses(t.Losses.With(blame.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.confirmedAt > 0 || r.connLost}))
+	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.startConfirmedAt > 0 || r.connLost}))
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.confirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
+		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.startConfirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
 	o.persist(t.Step.Job, true)
 }
 
 // retractBootLosses removes the losses at a boot that is alive, as its report shows. If a task with
-// other losses still runs there, a provisional loss is recorded again, and a worker on trial is
-// reserved again. Otherwise the next owner might start a crashing task beside the one on trial.
+// other losses still runs there, a provisional loss is recorded again, and a worker with a trial is
+// reserved again. Otherwise the next owner might start a crashing task beside the one in the trial.
 func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
 	s.lossCounted = false
 	for _, t := range o.sortedSuspects() {
@@ -66,8 +66,8 @@
 			continue
 		}
 		losses := t.Losses.WithoutBoot(s.ref.Boot)
-		if n, runs := runningAttempt(r, t.Name()); runs && (len(losses) > 0 || o.unheardLoss && t.Step.Job.Restored) {
-			if s.trial == nil && t.Losses.OnTrialAt(s.ref.Boot, n) {
+		if n, runs := runningAttempt(r, t.Name()); runs && (len(losses) > 0 || o.unreportedLoss && t.Step.Job.Restored) {
+			if s.trial == nil && t.Losses.InTrialAt(s.ref.Boot, n) {
 				s.trial = &trial{tasks: []*jobs.Task{t}, since: o.now()}
 			}
 			losses = t.Losses.ResetProvisional(s.ref.Boot, n)
@@ -104,7 +104,7 @@
 // failIfPoison fails the job of a task that is known to crash its workers.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != blame.Poison || !o.book.FailJobOf(t) {
+	if t.Verdict() != quarantine.Poison || !o.registry.FailJobOf(t) {
 		return
 	}
 	boots := zerolog.Arr()
@@ -117,8 +117,8 @@
 	o.jobEnded(j)
 }
 
-// failRestoredPoison fails the jobs of tasks whose losses a former owner has recorded, but not the
-// end of the job.
+// failRestoredPoison fails the jobs of poison tasks that a former owner has recorded without
+// storing the end of their jobs.
 func (o *Owner) failRestoredPoison() {
 	for _, t := range o.sortedSuspects() {
 		o.failIfPoison(t)
@@ -135,7 +135,7 @@
 
 // restoreSuspects collects the tasks with losses that former owners have recorded.
 func (o *Owner) restoreSuspects() {
-	for _, j := range o.book.Active() {
+	for _, j := range o.registry.Active() {
 		for _, s := range j.Steps {
 			for _, t := range s.Tasks {
 				if len(t.Losses) > 0 {
@@ -169,11 +169,11 @@
 		}
 		for _, a := range t.Attempts {
 			r := o.findAttempt(a)
-			if r == nil || r.confirmedAt == 0 || r.reportedAt-r.confirmedAt < t.Losses.ClearAfter() {
+			if r == nil || r.startConfirmedAt == 0 || r.reportedAt-r.startConfirmedAt < t.Losses.ClearAfter() {
 				continue
 			}
 			o.log.Info().Str("event", "task_cleared").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", a.Boot).
-				Dur("ran", r.reportedAt-r.confirmedAt).Int("losses", len(t.Losses)).Send()
+				Dur("ran", r.reportedAt-r.startConfirmedAt).Int("losses", len(t.Losses)).Send()
 			t.SetLosses(nil)
 			o.persist(t.Step.Job, false)
 			delete(o.suspects, t)
@@ -183,8 +183,8 @@
 	}
 }
 
-// hasSuspect reports whether a suspected task runs at a worker.
-func (s *session) hasSuspect() bool {
+// hasSuspectedTask reports whether a suspected task runs at a worker.
+func (s *session) hasSuspectedTask() bool {
 	for _, r := range s.attempts {
 		if r.Task.Suspect() {
 			return true
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -19,7 +19,7 @@
 // stands still and no calls go out.
 type entryMachine struct {
 	since  time.Time
-	steady bool // planted fault: the clock does not count suspended time
+	steady bool // injected bug: the clock does not count suspended time
 
 	mu    sync.Mutex
 	from  time.Time // start of the present suspension
@@ -135,11 +135,11 @@
 				m.submitJob(fmt.Sprintf("%016x", m.jobs), text)
 			}
 			m.pause(1, 300, "pause")
-			m.doze()
+			m.suspendOwner()
 			m.boot()
 			m.pause(1, 3000, "awake")
 		}
-		m.settle()
+		m.finish()
 	}
 }
 
--- a/pkg/shard/token_test.go
+++ b/pkg/shard/token_test.go
@@ -34,9 +34,9 @@
 		time.Sleep(time.Second)
 		e.locked(func() { clear(e.faults) })
 		time.Sleep(10 * time.Second)
-		c.Check(e.witness.invariants(), qt.Equals, "kept\n")
+		c.Check(e.observer.invariants(), qt.Equals, "kept\n")
 	})
 }
 
-// TestReplacedOwnerAtNextBootDrawn runs a random sequence that showed the same failure.
+// TestReplacedOwnerAtNextBootDrawn runs a random scenario that showed the same failure.
 func TestReplacedOwnerAtNextBootDrawn(t *testing.T) { prop.CheckSeed(t, 94954, restarts(nil)) }
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -4,14 +4,14 @@
 	"slices"
 	"time"
 
-	"github.com/gannetwell/gannetwell/pkg/blame"
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 	"github.com/gannetwell/gannetwell/pkg/placement"
+	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
 const (
-	// trialSettleTime is how long all other attempts at a worker have run before a trial starts there,
-	// so that a loss can be attributed to the task on trial.
+	// trialSettleTime is how long all other attempts at a worker must have run before a trial starts
+	// there, so that a loss can be attributed to the task in the trial.
 	trialSettleTime = 500 * time.Millisecond
 	// trialWorkerDivisor limits the workers reserved for trials to 1/trialWorkerDivisor of the pool.
 	trialWorkerDivisor = 3
@@ -19,19 +19,20 @@
 	trialStartTimeout = 5 * time.Second
 )
 
-// trial reserves a worker: nothing else starts there meanwhile. A gang may need several workers.
+// trial reserves a worker for one suspected task, or members of one gang, to find out whether it
+// crashes the worker: nothing else starts there meanwhile. A gang may need several workers.
 type trial struct {
 	tasks    []*jobs.Task
 	since    time.Duration
 	attempts []*jobs.Attempt // at this worker, none until they are started
 }
 
-// isOnTrial reports whether an attempt is on trial at the worker.
-func (s *session) isOnTrial(r *workerAttempt) bool {
+// inTrial reports whether an attempt is part of a trial at the worker.
+func (s *session) inTrial(r *workerAttempt) bool {
 	return s.trial != nil && slices.Contains(s.trial.attempts, r.Attempt)
 }
 
-// startTrials reserves workers for candidates that may only be started on trial, and starts those
+// startTrials reserves workers for candidates that may only start in a trial, and starts those
 // whose workers are ready.
 func (o *Owner) startTrials(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
@@ -63,9 +64,9 @@
 		for _, st := range starts {
 			boots = append(boots, st.Host.Boot)
 		}
-		attempts = o.book.StartGang(c.Step, boots, now)
+		attempts = o.registry.StartGang(c.Step, boots, now)
 	} else {
-		attempts = []*jobs.Attempt{o.book.StartAttempt(starts[0].Task, starts[0].Host.Boot, now)}
+		attempts = []*jobs.Attempt{o.registry.StartAttempt(starts[0].Task, starts[0].Host.Boot, now)}
 	}
 	for _, a := range attempts {
 		s := o.sessions[a.Boot]
@@ -138,7 +139,7 @@
 		return false
 	}
 	for _, r := range s.attempts {
-		if r.confirmedAt == 0 || now-r.confirmedAt < trialSettleTime {
+		if r.startConfirmedAt == 0 || now-r.startConfirmedAt < trialSettleTime {
 			return false
 		}
 	}
@@ -161,10 +162,10 @@
 		})
 	}
 	started := slices.ContainsFunc(s.trial.tasks, func(t *jobs.Task) bool { return !t.Idle() })
-	step, verdict := s.trial.tasks[0].Step, s.trial.tasks[0].Verdict()
+	step, restriction := s.trial.tasks[0].Step, s.trial.tasks[0].Verdict()
 	if step.Spec.Gang {
-		verdict = step.Verdict()
+		restriction = step.Verdict()
 	}
-	wanted := verdict == blame.OnTrial && !step.Job.State.Final()
+	wanted := restriction == quarantine.TrialOnly && !step.Job.State.Final()
 	return started || !wanted || !s.usable(now) || now-s.trial.since > trialStartTimeout
 }
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -9,7 +9,8 @@
 // tokensPerTerm is the number of fencing tokens reserved for each term of ownership.
 const tokensPerTerm = 1 << 20
 
-// firstToken returns this term's token for a worker whose token was never raised.
+// firstToken returns this term's first token for a worker. Later ones are higher: the token is raised
+// to invalidate unanswered orders.
 func (o *Owner) firstToken() int64 { return o.claim.Term*tokensPerTerm + 1 }
 
 // addSession creates the session of a boot and starts its poll loop.
@@ -17,7 +18,7 @@
 	ctx, cancel := context.WithCancel(o.ctx)
 	worker, _ := platform.ParseBootID(ref.Boot)
 	s := &session{
-		ref: ref, worker: worker, vm: vm, attempts: map[string]*workerAttempt{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.raisedTokens[worker]),
+		ref: ref, worker: worker, vm: vm, attempts: map[string]*workerAttempt{}, foreign: map[foreignKey]*foreignAttempt{}, token: max(o.firstToken(), o.endedBootTokens[worker]),
 		wake: make(chan struct{}, 1), cancel: cancel, earlierLeasesUntil: o.formerLeasesEnd(o.now()), zoneOut: o.cfg.ZoneOut,
 	}
 	o.sessions[ref.Boot] = s
@@ -129,7 +130,7 @@
 		o.bootEnded(s, "not listed and not answering")
 		return
 	}
-	o.checkTakeoverComplete()
+	o.resolveFormerWorkers()
 }
 
 // bootEnded handles a boot that has certainly ended; the attempts there are lost.
@@ -149,10 +150,10 @@
 	if s.token > o.firstToken() {
 		// The boot may be alive, with only its directory entry expired. It would refuse the
 		// first token, and this owner would take that for a later owner's fencing.
-		o.raisedTokens[s.worker] = s.token
+		o.endedBootTokens[s.worker] = s.token
 	}
 	o.sortedSessions = nil
 	o.record.markChanged(s.worker)
-	o.checkTakeoverComplete()
+	o.resolveFormerWorkers()
 	o.kickCommit()
 }
