--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -61,7 +61,7 @@
 
 // mayStart reports whether a start that was queued earlier may still be sent.
 func (o *Owner) mayStart(s *session, now time.Duration) bool {
-	return !o.closed && !o.releasing && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && !s.draining && !s.outOfUse() && o.confirmed(now)
+	return !o.closed && !o.releasing && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && !s.draining && !s.outOfUse() && o.confirmed(now)
 }
 
 // sendOrder sends one order and handles its answer; it releases the lock during the call.
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -120,7 +120,7 @@
 func (o *Owner) startRefused(s *session, name string, r *workerAttempt, refused platform.ErrOrderRefused, now time.Duration) {
 	switch refused.Reason {
 	case platform.RefusedStaleToken:
-		if s.inDoubt || r.Attempt.Phase == jobs.PhaseInDoubt {
+		if s.outcomeUnknown || r.Attempt.Phase == jobs.PhaseInDoubt {
 			break // our own poll has raised the token in the meantime
 		}
 		o.superseded(s)
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -41,11 +41,11 @@
 		return pollPlan{delay: pollRetryDelay, onWake: true}
 	case atLimit && s.synced && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{delay: s.polledAt + minPollInterval - now}
-	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.unansweredCalls == 0 && !s.inDoubt:
+	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.unansweredCalls == 0 && !s.outcomeUnknown:
 		// A poll that acknowledges ends waits for outstanding starts. An earlier poll could itself
 		// go unanswered.
 		return pollPlan{delay: orderTimeout}
-	case s.inDoubt && s.startsInFlight > 0:
+	case s.outcomeUnknown && s.startsInFlight > 0:
 		return pollPlan{delay: orderPollDelay, onWake: !s.ends.hasUnstored() || s.unansweredCalls > 0}
 	case s.ends.hasUnstored():
 		return pollPlan{delay: ackDelay, onWake: s.unansweredCalls > 0}
@@ -59,7 +59,7 @@
 	for ctx.Err() == nil {
 		o.mu.Lock()
 		plan := s.planPoll(o.now(), o.rate.AtLimit())
-		if o.releasing && !s.inDoubt {
+		if o.releasing && !s.outcomeUnknown {
 			// During a handover new ends stay at the worker for the next owner, so that storing
 			// them does not delay it.
 			plan = pollPlan{delay: -1}
@@ -96,7 +96,7 @@
 func (o *Owner) poll(ctx context.Context, s *session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	resolves := s.inDoubt && s.startsInFlight == 0
+	resolves := s.outcomeUnknown && s.startsInFlight == 0
 	if resolves {
 		s.token++
 	}
@@ -158,14 +158,14 @@
 // renewOrder builds the order of a poll; the caller holds the lock.
 func (o *Owner) renewOrder(s *session, now time.Duration) platform.RenewOrder {
 	// An unanswered start or poll may have reached a later boot.
-	safe := s.unansweredCalls == 0 && !s.inDoubt && s.startsInFlight == 0
+	safe := s.unansweredCalls == 0 && !s.outcomeUnknown && s.startsInFlight == 0
 	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.ackNumber(safe)}
 	if s.unansweredCalls == 0 && o.confirmed(now) {
 		// An unanswered poll may still arrive. If each renewed the leases, those of a worker
 		// that is gone would never expire.
 		order.LeaseUntil = s.extendLease(now)
 	}
-	if s.synced && !s.awaited(now) && !s.inDoubt && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
+	if s.synced && !s.awaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
 		if s.hasSuspectedTask() {
 			order.Wait = suspectPollWait
@@ -200,7 +200,7 @@
 		return
 	}
 	if order.AckedSeq > 0 && !platform.IsNotDone(err) {
-		s.inDoubt = true // a higher token prevents this acknowledgement from reaching a later boot
+		s.outcomeUnknown = true // a higher token prevents this acknowledgement from reaching a later boot
 	}
 	s.noteUnanswered(o.now())
 	s.retryNow = s.unansweredCalls == 1
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -64,7 +64,7 @@
 	for _, s := range o.sessions {
 		// Orders to a worker that does not answer are not waited for: the stored record tells
 		// the next owner about it.
-		if s.unansweredCalls == 0 && (s.startsInFlight > 0 || s.inDoubt) {
+		if s.unansweredCalls == 0 && (s.startsInFlight > 0 || s.outcomeUnknown) {
 			return false
 		}
 	}
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -139,7 +139,7 @@
 // resolveInDoubt drops the attempts whose start got no answer and that the report lacks. The
 // poll carried a higher token, so those orders can't be carried out any more.
 func (o *Owner) resolveInDoubt(s *session, sentAt time.Duration) {
-	s.inDoubt = false
+	s.outcomeUnknown = false
 	for name, a := range sortedByKey(s.attempts) {
 		if a.Phase != jobs.PhaseInDoubt || a.startConfirmedAt > 0 {
 			continue
@@ -147,7 +147,7 @@
 		// One report is enough for an unanswered start, so that its task is not delayed. Two are
 		// needed if the start may have reached the next boot.
 		if a.countedLostBoot != "" && !a.markMissing() {
-			s.inDoubt = true
+			s.outcomeUnknown = true
 			continue
 		}
 		o.log.Info().Str("event", "start_settled").Str("task", name).Int64("attempt", a.Number).
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -58,7 +58,7 @@
 		}
 		r.Boot, r.Phase, r.startConfirmedAt, r.missing = next.ref.Boot, jobs.PhaseInDoubt, 0, false
 		next.addAttempt(name, r)
-		next.inDoubt = true
+		next.outcomeUnknown = true
 	}
 }
 
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -42,7 +42,7 @@
 	orders          []*queuedOrder                 // queued, in order
 	senders         int                            // goroutines that send them
 	startsInFlight  int                            // start orders without an answer yet
-	inDoubt         bool                           // a start order got no answer; a poll with a higher token resolves it
+	outcomeUnknown  bool                           // a start order got no answer; a poll with a higher token resolves it
 	unansweredCalls int                            // polls and orders in a row without an answer
 	silentSince     time.Duration                  // when the first of those was noticed, 0 if none
 	retryNow        bool                           // a single poll failed: repeat it without a pause
@@ -90,7 +90,7 @@
 // markInDoubt records that the outcome of an order is unknown. The worker gets no tasks until a
 // poll has resolved it; a poll that waits for an end is canceled so that this happens soon.
 func (s *session) markInDoubt() {
-	s.inDoubt = true
+	s.outcomeUnknown = true
 	s.interruptPoll()
 }
 
@@ -112,7 +112,7 @@
 
 // usable reports whether new tasks may start at the worker, trials included.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
+	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
 }
 
 // outOfUse reports whether the worker's zone is out of use, so that nothing starts there.
@@ -133,12 +133,12 @@
 
 // needsPoll reports whether there is a reason to poll the worker.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
+	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.outcomeUnknown || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
 }
 
 // idle reports whether nothing of this shard is or may be at the worker.
 func (s *session) idle() bool {
-	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.inDoubt && !s.ends.hasUnstored()
+	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.outcomeUnknown && !s.ends.hasUnstored()
 }
 
 // recordEntry returns the stored entry for a worker where tasks may start at any time.
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -124,7 +124,7 @@
 	o.handleLoss(s, LossLapsed)
 	clear(s.foreign)
 	s.hostCache = nil
-	s.inDoubt = false
+	s.outcomeUnknown = false
 	s.synced = false
 	if !s.listed {
 		o.bootEnded(s, "not listed and not answering")
