--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -31,7 +31,7 @@
 		if s.vm != vm {
 			continue
 		}
-		if s.former.pending || o.formerPending && !s.synced {
+		if s.former.pending || o.formerPending && !s.attemptsKnown {
 			empty = false // tasks of former owners may be there
 			continue
 		}
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -39,7 +39,7 @@
 	if !s.former.pending {
 		return
 	}
-	if !s.synced {
+	if !s.attemptsKnown {
 		o.recordUnreportedLoss(s)
 	}
 	for _, name := range s.former.names {
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -39,9 +39,9 @@
 		return pollPlan{delay: -1}
 	case s.unansweredCalls > 0 && !s.retryNow:
 		return pollPlan{delay: pollRetryDelay, onWake: true}
-	case atLimit && s.synced && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
+	case atLimit && s.attemptsKnown && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{delay: s.polledAt + minPollInterval - now}
-	case s.ends.ackDue() && s.startsInFlight > 0 && s.synced && s.unansweredCalls == 0 && !s.outcomeUnknown:
+	case s.ends.ackDue() && s.startsInFlight > 0 && s.attemptsKnown && s.unansweredCalls == 0 && !s.outcomeUnknown:
 		// A poll that acknowledges ends waits for outstanding starts. An earlier poll could itself
 		// go unanswered.
 		return pollPlan{delay: orderTimeout}
@@ -124,8 +124,8 @@
 	if resolves && order.Token == s.token {
 		o.resolveInDoubt(s, sentAt)
 	}
-	if !s.synced && order.LeaseUntil > 0 {
-		s.synced = true
+	if !s.attemptsKnown && order.LeaseUntil > 0 {
+		s.attemptsKnown = true
 		o.log.Debug().Str("event", "worker_known").Str("boot", s.ref.Boot).Int("running", len(s.attempts)).Send()
 	}
 	if s.former.pending {
@@ -165,7 +165,7 @@
 		// that is gone would never expire.
 		order.LeaseUntil = s.extendLease(now)
 	}
-	if s.synced && !s.awaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
+	if s.attemptsKnown && !s.awaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
 		if s.hasSuspectedTask() {
 			order.Wait = suspectPollWait
@@ -180,7 +180,7 @@
 		o.log.Info().Str("event", "worker_regained").Str("boot", s.ref.Boot).Int("failures", s.unansweredCalls).Send()
 	}
 	s.unansweredCalls, s.silentSince = 0, 0
-	if s.lossCounted || !s.synced {
+	if s.lossCounted || !s.attemptsKnown {
 		o.retractBootLosses(s, report)
 	}
 	s.noteClock(report.ClockMs, o.now())
--- a/pkg/shard/poll_test.go
+++ b/pkg/shard/poll_test.go
@@ -21,16 +21,16 @@
 		atLimit bool
 		want    pollPlan
 	}{
-		"nothing to poll for":         {s: session{synced: true}, want: pollPlan{delay: -1}},
-		"a task runs":                 {s: busy(session{synced: true})},
+		"nothing to poll for":         {s: session{attemptsKnown: true}, want: pollPlan{delay: -1}},
+		"a task runs":                 {s: busy(session{attemptsKnown: true})},
 		"not synced":                  {s: session{}},
-		"one unanswered poll":         {s: busy(session{synced: true, unansweredCalls: 1, retryNow: true})},
-		"two unanswered calls":        {s: busy(session{synced: true, unansweredCalls: 2}), want: pollPlan{delay: pollRetryDelay, onWake: true}},
-		"ends not stored":             {s: busy(session{synced: true, ends: endTracker{applied: 2, stored: 1}}), want: pollPlan{delay: ackDelay}},
-		"in doubt, starts in flight":  {s: busy(session{synced: true, outcomeUnknown: true, startsInFlight: 1}), want: pollPlan{delay: orderPollDelay, onWake: true}},
-		"in doubt":                    {s: busy(session{synced: true, outcomeUnknown: true})},
-		"at the owner's limit":        {s: busy(session{synced: true, polledAt: now - 200*time.Millisecond}), atLimit: true, want: pollPlan{delay: minPollInterval - 200*time.Millisecond}},
-		"at the limit, interval over": {s: busy(session{synced: true, polledAt: now - time.Second}), atLimit: true},
+		"one unanswered poll":         {s: busy(session{attemptsKnown: true, unansweredCalls: 1, retryNow: true})},
+		"two unanswered calls":        {s: busy(session{attemptsKnown: true, unansweredCalls: 2}), want: pollPlan{delay: pollRetryDelay, onWake: true}},
+		"ends not stored":             {s: busy(session{attemptsKnown: true, ends: endTracker{applied: 2, stored: 1}}), want: pollPlan{delay: ackDelay}},
+		"in doubt, starts in flight":  {s: busy(session{attemptsKnown: true, outcomeUnknown: true, startsInFlight: 1}), want: pollPlan{delay: orderPollDelay, onWake: true}},
+		"in doubt":                    {s: busy(session{attemptsKnown: true, outcomeUnknown: true})},
+		"at the owner's limit":        {s: busy(session{attemptsKnown: true, polledAt: now - 200*time.Millisecond}), atLimit: true, want: pollPlan{delay: minPollInterval - 200*time.Millisecond}},
+		"at the limit, interval over": {s: busy(session{attemptsKnown: true, polledAt: now - time.Second}), atLimit: true},
 		"at the limit, not synced":    {s: session{polledAt: now}, atLimit: true},
 	} {
 		t.Run(name, func(t *testing.T) { qt.Check(t, tc.s.planPoll(now, tc.atLimit), qt.Equals, tc.want) })
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -128,4 +128,6 @@
 
 // listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
 // a former owner could start any.
-func (s *session) listedAfterFormer() bool { return s.synced && s.answeredPollAt >= s.former.safeAt }
+func (s *session) listedAfterFormer() bool {
+	return s.attemptsKnown && s.answeredPollAt >= s.former.safeAt
+}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -68,7 +68,7 @@
 	if !s.former.pending {
 		return
 	}
-	if !s.synced {
+	if !s.attemptsKnown {
 		o.recordUnreportedLoss(s)
 	}
 	tasks := s.former
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -27,7 +27,7 @@
 
 	listed         bool          // it is in the directory
 	recorded       bool          // the stored record names it, so that the next owner contacts it
-	synced         bool          // it has reported its attempts since our first token reached it
+	attemptsKnown  bool          // it has reported its attempts since our first token reached it
 	answeredPollAt time.Duration // when the last answered poll was sent
 	draining       bool
 	ended          bool // the boot has ended
@@ -112,7 +112,7 @@
 
 // usable reports whether new tasks may start at the worker, trials included.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
+	return s.listed && s.recorded && s.attemptsKnown && !s.draining && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
 }
 
 // outOfUse reports whether the worker's zone is out of use, so that nothing starts there.
@@ -133,7 +133,7 @@
 
 // needsPoll reports whether there is a reason to poll the worker.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.outcomeUnknown || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
+	return !s.ended && (!s.attemptsKnown || s.awaited(now) || s.unansweredCalls > 0 || s.outcomeUnknown || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
 }
 
 // idle reports whether nothing of this shard is or may be at the worker.
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -58,7 +58,7 @@
 		}
 		if s.unansweredCalls > 0 {
 			o.expireLeases(s)
-		} else if s.synced && s.idle() && !s.former.pending {
+		} else if s.attemptsKnown && s.idle() && !s.former.pending {
 			o.bootEnded(s, "not listed and idle")
 		}
 	}
@@ -125,7 +125,7 @@
 	clear(s.foreign)
 	s.hostCache = nil
 	s.outcomeUnknown = false
-	s.synced = false
+	s.attemptsKnown = false
 	if !s.listed {
 		o.bootEnded(s, "not listed and not answering")
 		return
