--- a/pkg/shard/accounts.go
+++ b/pkg/shard/accounts.go
@@ -59,8 +59,8 @@
 	}
 	o.log.Info().Str("event", "shares_taken").Int64("holder_term", g.Term).Int64("seq", g.Seq).Int("accounts", len(g.Shares)).Send()
 	o.accounts.changed = true
-	o.kickCommit()
-	o.kickPlacement()
+	o.requestCommit()
+	o.requestPlacement()
 }
 
 // putShares adds the shares of the limits of accounts to a batch if they have changed.
@@ -94,7 +94,7 @@
 			add(st.account, st.needs)
 		}
 	}
-	if o.formerAnyTask {
+	if o.formerTasksUnknown {
 		o.registry.All(func(j *jobs.Job) { add(j.Account, j.Unconfirmed()) })
 		return sum
 	}
@@ -134,8 +134,8 @@
 	return budget
 }
 
-// logAtLimit logs the accounts with tasks that did not start because of their limit.
-func (o *Owner) logAtLimit(cs []placement.Candidate, now time.Duration) {
+// logAccountsAtLimit logs the accounts with tasks that did not start because of their limit.
+func (o *Owner) logAccountsAtLimit(cs []placement.Candidate, now time.Duration) {
 	for i := range cs {
 		b, account := cs[i].Budget, cs[i].Step.Job.Account
 		if b == nil || !b.Exceeded || o.accounts.loggedAt[account] > 0 && now-o.accounts.loggedAt[account] < limitLogInterval {
--- a/pkg/shard/advice.go
+++ b/pkg/shard/advice.go
@@ -98,7 +98,7 @@
 			delete(a.denied, p.Boot)
 			a.tickets[p.Boot] = ticket{text: p.Ticket, until: now + valid}
 		}
-		o.kickPlacement()
+		o.requestPlacement()
 	})
 }
 
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -200,16 +200,16 @@
 		o.expediteCommit()
 		return
 	}
-	o.kickCommit()
+	o.requestCommit()
 }
 
 // expediteCommit has the next transaction written without delay; the lock is held.
 func (o *Owner) expediteCommit() {
 	o.urgent = true
 	pause.Wake(o.urgentWake)
-	o.kickCommit()
+	o.requestCommit()
 }
 
-func (o *Owner) kickCommit() { pause.Wake(o.commitWake) }
+func (o *Owner) requestCommit() { pause.Wake(o.commitWake) }
 
-func (o *Owner) kickPlacement() { pause.Wake(o.placeWake) }
+func (o *Owner) requestPlacement() { pause.Wake(o.placeWake) }
--- a/pkg/shard/commit.go
+++ b/pkg/shard/commit.go
@@ -86,7 +86,7 @@
 // same content until the outcome is known; the expected version of the commit row makes sure that
 // it is carried out at most once.
 func (o *Owner) commitBatch(ctx context.Context, b *batch) (version int64, err error) {
-	inDoubt := false
+	outcomeUnknown := false
 	for {
 		t := commitHedged(ctx, o.cfg.Rows, o.cfg.Clock, b.txn, o.commitLatency.hedgeDelay(), o.observeCommit)
 		var conflict platform.ErrConflict
@@ -101,11 +101,11 @@
 			return 0, t.err // the content is refused at every try, so no earlier one was carried out
 		case platform.IsNotDone(t.err):
 			o.setCommitsFailing(true, t.err)
-			if !inDoubt {
+			if !outcomeUnknown {
 				return 0, t.err
 			}
 		default:
-			inDoubt = true
+			outcomeUnknown = true
 			o.setCommitsFailing(true, t.err)
 		}
 		select {
--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -10,27 +10,29 @@
 // when the leases it has renewed run out.
 const ConfirmationTTL = 1500 * time.Millisecond
 
-// confirmed reports whether this entry may renew leases and send orders.
-func (o *Owner) confirmed(now time.Duration) bool { return now-o.lastOwnedAt < ConfirmationTTL }
+// ownershipConfirmed reports whether this entry may renew leases and send orders.
+func (o *Owner) ownershipConfirmed(now time.Duration) bool {
+	return now-o.ownershipConfirmedAt < ConfirmationTTL
+}
 
 // Confirm records that this entry was the owner at a time on the owner's clock.
 func (o *Owner) Confirm(at time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.noteConfirmed(at)
+	o.noteOwnershipConfirmed(at)
 }
 
-// noteConfirmed does what Confirm does; the lock is held.
-func (o *Owner) noteConfirmed(at time.Duration) {
-	if at <= o.lastOwnedAt {
+// noteOwnershipConfirmed does what Confirm does; the lock is held.
+func (o *Owner) noteOwnershipConfirmed(at time.Duration) {
+	if at <= o.ownershipConfirmedAt {
 		return
 	}
 	now := o.now()
-	regained := !o.confirmed(now) && now-at < ConfirmationTTL
-	o.lastOwnedAt = at
+	regained := !o.ownershipConfirmed(now) && now-at < ConfirmationTTL
+	o.ownershipConfirmedAt = at
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
-		o.kickPlacement()
+		o.requestPlacement()
 		for _, s := range o.sessionsByBoot() {
 			s.requestPoll()
 		}
@@ -40,12 +42,12 @@
 // checkOwnership reads the owner row if ownership has not been confirmed recently, or while
 // transactions fail; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
-	if o.readingOwnerRow || !o.commitsFailing && now-o.lastOwnedAt < ConfirmationTTL/2 {
+	if o.readingOwnerRow || !o.commitsFailing && now-o.ownershipConfirmedAt < ConfirmationTTL/2 {
 		return
 	}
-	if !o.confirmed(now) && !o.unconfirmedLogged {
+	if !o.ownershipConfirmed(now) && !o.unconfirmedLogged {
 		o.unconfirmedLogged = true
-		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.lastOwnedAt).Send()
+		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.ownershipConfirmedAt).Send()
 	}
 	o.readingOwnerRow = true
 	o.wg.Go(func() {
@@ -69,6 +71,6 @@
 			// There is nothing to write that would show that the table service is back.
 			o.setCommitsFailingLocked(false, nil)
 		}
-		o.noteConfirmed(sentAt)
+		o.noteOwnershipConfirmed(sentAt)
 	})
 }
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -61,7 +61,7 @@
 
 // mayStart reports whether a start that was queued earlier may still be sent.
 func (o *Owner) mayStart(s *session, now time.Duration) bool {
-	return !o.closed && !o.releasing && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && !s.draining && !s.outOfUse() && o.confirmed(now)
+	return !o.closed && !o.releasing && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && !s.draining && !s.outOfUse() && o.ownershipConfirmed(now)
 }
 
 // sendOrder sends one order and handles its answer; it releases the lock during the call.
@@ -73,7 +73,7 @@
 	wait := orderTimeout
 	if d.prepareStart != nil {
 		// A start must not outlast the right to send it.
-		wait = min(wait, o.lastOwnedAt+ConfirmationTTL-sentAt)
+		wait = min(wait, o.ownershipConfirmedAt+ConfirmationTTL-sentAt)
 	}
 	o.mu.Unlock()
 	ctx, cancel := context.WithTimeout(o.ctx, wait)
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -23,7 +23,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	if o.closed || !o.confirmed(now) {
+	if o.closed || !o.ownershipConfirmed(now) {
 		return false
 	}
 	empty = true
@@ -31,7 +31,7 @@
 		if s.vm != vm {
 			continue
 		}
-		if s.former.pending || o.formerPending && !s.attemptsKnown {
+		if s.former.pending || o.formerWorkersPending && !s.attemptsKnown {
 			empty = false // tasks of former owners may be there
 			continue
 		}
@@ -49,7 +49,7 @@
 			// The worker may leave now: the next owner need not contact it.
 			s.recorded = false
 			o.record.markChanged(s.worker)
-			o.kickCommit()
+			o.requestCommit()
 		}
 	}
 	return empty
@@ -104,7 +104,7 @@
 			w.stopping++
 		case !step.Spec.LongRunning:
 			w.finishing++
-		case limited && step.Spec.HasMaxUnavailable && (o.formerPending || room.now-o.tookOverAt < evacuationDelay || !o.mayMiss(step, r.Task)):
+		case limited && step.Spec.HasMaxUnavailable && (o.formerWorkersPending || room.now-o.tookOverAt < evacuationDelay || !o.withinMaxUnavailable(step, r.Task)):
 			w.limited++
 		case !room.reserve(step):
 			w.noRoom++
@@ -128,9 +128,9 @@
 	return hosts
 }
 
-// mayMiss reports whether a task may be stopped: fewer other tasks of its step are missing
+// withinMaxUnavailable reports whether a task may be stopped: fewer other tasks of its step are missing
 // than the step allows, for whatever cause.
-func (o *Owner) mayMiss(step *jobs.StepRun, t *jobs.Task) bool {
+func (o *Owner) withinMaxUnavailable(step *jobs.StepRun, t *jobs.Task) bool {
 	missing := 0
 	for _, other := range step.Tasks {
 		if other != t && !o.serves(other) {
--- a/pkg/shard/hedge.go
+++ b/pkg/shard/hedge.go
@@ -67,28 +67,28 @@
 		}()
 	}
 	send()
-	underWay, sends := 1, 1
+	outstanding, sends := 1, 1
 	resend := time.NewTicker(delay)
 	defer resend.Stop()
-	inDoubt := false
-	for underWay > 0 {
+	outcomeUnknown := false
+	for outstanding > 0 {
 		select {
 		case <-resend.C:
 			if sends < maxTries {
 				send()
-				underWay++
+				outstanding++
 				sends++
 			}
 		case t = <-results:
-			underWay--
+			outstanding--
 			observe(t.took, t.err)
 			if t.definite() {
 				return t
 			}
-			inDoubt = inDoubt || !platform.IsNotDone(t.err)
+			outcomeUnknown = outcomeUnknown || !platform.IsNotDone(t.err)
 		}
 	}
-	if inDoubt && platform.IsNotDone(t.err) {
+	if outcomeUnknown && platform.IsNotDone(t.err) {
 		t.err = platform.ErrUnknown{Op: "commit rows", Cause: "an earlier try was not answered; the last one failed: " + t.err.Error()}
 	}
 	return t
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -25,8 +25,8 @@
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
 		s.former.listed, s.former.names = true, w.Tasks
 	}
-	o.formerPending = true
-	o.formerAnyTask = o.formerAnyTask || !s.former.listed
+	o.formerWorkersPending = true
+	o.formerTasksUnknown = o.formerTasksUnknown || !s.former.listed
 	for _, name := range s.former.names {
 		if t := o.registry.Task(name); t != nil {
 			t.PossibleWorkers++
@@ -53,27 +53,27 @@
 // resolveFormerWorkers resolves the workers of former owners that have reported or whose leases
 // have expired, and completes the takeover after the last one.
 func (o *Owner) resolveFormerWorkers() {
-	if !o.formerPending {
+	if !o.formerWorkersPending {
 		return
 	}
 	now := o.now()
 	// Without a readable record, any worker may run any task until the last lease has run out.
 	o.recordUnreadable = o.recordUnreadable && now < o.formerLeasesUntil
-	o.formerPending, o.formerAnyTask = o.recordUnreadable, o.recordUnreadable
+	o.formerWorkersPending, o.formerTasksUnknown = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsByBoot() {
 		if s.listedAfterFormer() || now >= s.former.leasesEnd {
 			o.resolveFormer(s)
 		}
 		if s.former.pending {
-			o.formerPending = true
-			o.formerAnyTask = o.formerAnyTask || !s.former.listed
+			o.formerWorkersPending = true
+			o.formerTasksUnknown = o.formerTasksUnknown || !s.former.listed
 		}
 	}
-	if !o.formerPending {
+	if !o.formerWorkersPending {
 		o.finishTakeover()
 		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.tookOverAt).Send()
 	}
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // finishTakeover does what has to wait until all workers of former owners are resolved.
@@ -82,8 +82,8 @@
 	o.failRestoredPoison()
 }
 
-// mayRunElsewhere reports whether a task may be running, or have ended, at a worker that has not
+// mayRunAtPendingWorker reports whether a task may be running, or have ended, at a worker that has not
 // reported since the takeover.
-func (o *Owner) mayRunElsewhere(t *jobs.Task) bool {
-	return t.PossibleWorkers > 0 || o.formerAnyTask && t.Step.Job.Restored
+func (o *Owner) mayRunAtPendingWorker(t *jobs.Task) bool {
+	return t.PossibleWorkers > 0 || o.formerTasksUnknown && t.Step.Job.Restored
 }
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -63,7 +63,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	if o.closed || !o.confirmed(now) {
+	if o.closed || !o.ownershipConfirmed(now) {
 		return l, false
 	}
 	l = o.load(now)
--- a/pkg/shard/machines.go
+++ b/pkg/shard/machines.go
@@ -19,7 +19,7 @@
 // worker or is in another pool no longer runs the boot. The directory can't tell, since a delayed
 // heartbeat may overwrite the row of the boot that followed. The lock is held.
 func (o *Owner) checkVMList(now time.Duration) {
-	if !o.formerPending || now < o.tookOverAt+vmListDelay || now < o.machinesReadAt+vmListInterval {
+	if !o.formerWorkersPending || now < o.tookOverAt+vmListDelay || now < o.machinesReadAt+vmListInterval {
 		return
 	}
 	o.machinesReadAt = now
--- a/pkg/shard/orders.go
+++ b/pkg/shard/orders.go
@@ -25,8 +25,8 @@
 	stopTimeout = 1200 * time.Millisecond
 )
 
-// orderStart registers an attempt and has its start sent; the caller holds the lock.
-func (o *Owner) orderStart(a *jobs.Attempt) {
+// dispatchStart registers an attempt and has its start sent; the caller holds the lock.
+func (o *Owner) dispatchStart(a *jobs.Attempt) {
 	s := o.sessions[a.Boot]
 	name := a.Task.Name()
 	r := &workerAttempt{Attempt: a}
@@ -94,7 +94,7 @@
 		}
 	default:
 		s.health.noteUnanswered(now)
-		s.markInDoubt()
+		s.markOutcomeUnknown()
 		if current && r.startConfirmedAt == 0 {
 			r.Phase = jobs.PhaseInDoubt
 			r.connLost = now-r.sentAt < orderTimeout
@@ -207,11 +207,11 @@
 	}
 	r.Phase = jobs.PhaseStopped
 	o.log.Info().Str("event", "stop_ordered").Str("task", r.Task.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).Str("why", why).Send()
-	o.orderStop(s, r)
+	o.dispatchStop(s, r)
 }
 
-// orderStop queues the stop of an attempt and records when.
-func (o *Owner) orderStop(s *session, r *workerAttempt) {
+// dispatchStop queues the stop of an attempt and records when.
+func (o *Owner) dispatchStop(s *session, r *workerAttempt) {
 	r.stopOrderedAt = o.now()
 	o.enqueueStop(s, r.Task.Name(), r.Number)
 }
@@ -234,6 +234,6 @@
 func (o *Owner) retryStops(s *session, now time.Duration) {
 	overdue := func(r *workerAttempt) bool { return r.Phase == jobs.PhaseStopped && now-r.stopOrderedAt > stopTimeout }
 	for _, name := range sortedKeysWhere(s.attempts, overdue) {
-		o.orderStop(s, s.attempts[name])
+		o.dispatchStop(s, s.attempts[name])
 	}
 }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -37,7 +37,7 @@
 	}
 	o.acknowledge(b)
 	o.failRefused()
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 func (o *Owner) acknowledge(b *batch) {
@@ -62,7 +62,7 @@
 		return
 	}
 	o.refuseQueued()
-	time.AfterFunc(commitRetryDelay, o.kickCommit)
+	time.AfterFunc(commitRetryDelay, o.requestCommit)
 }
 
 // requeue has the content of a failed batch written again, except for submissions.
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -112,16 +112,16 @@
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
 	hasWaitingTasks  bool                          // startable tasks were found by the last placement pass
 
-	lastOwnedAt       time.Duration // last time at which the table service confirmed that this entry is the owner
-	readingOwnerRow   bool          // a read of the owner row is in progress
-	unconfirmedLogged bool          // the missing confirmation was logged
+	ownershipConfirmedAt time.Duration // last time at which the table service confirmed that this entry is the owner
+	readingOwnerRow      bool          // a read of the owner row is in progress
+	unconfirmedLogged    bool          // the missing confirmation was logged
 
-	formerPending     bool          // a worker of a former owner has not reported yet
-	formerAnyTask     bool          // any restored task may be running at such a worker
-	formerLeasesUntil time.Duration // when all leases renewed by former owners have expired
-	tookOverAt        time.Duration // when this entry took over
-	soleOwnerAt       time.Duration // from when on no former owner can act
-	machinesReadAt    time.Duration // when the VM list was last requested, 0 for never
+	formerWorkersPending bool          // a worker of a former owner has not reported yet
+	formerTasksUnknown   bool          // any restored task may be running at such a worker
+	formerLeasesUntil    time.Duration // when all leases renewed by former owners have expired
+	tookOverAt           time.Duration // when this entry took over
+	soleOwnerAt          time.Duration // from when on no former owner can act
+	machinesReadAt       time.Duration // when the VM list was last requested, 0 for never
 
 	pending         map[string]*submission       // by job ID, until their row is written or refused
 	queued          []*submission                // pending submissions not in a transaction yet
@@ -174,7 +174,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.lastOwnedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
+	o.tookOverAt, o.ownershipConfirmedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
 	o.start(stored, workers, cfg.Clock.Now())
 	return o, nil
 }
@@ -200,25 +200,25 @@
 		s.recorded = true
 		o.inheritWorker(s, w)
 	}
-	o.formerPending = o.formerPending || stored.workersUnreadable
-	o.formerAnyTask = o.formerAnyTask || stored.workersUnreadable
+	o.formerWorkersPending = o.formerWorkersPending || stored.workersUnreadable
+	o.formerTasksUnknown = o.formerTasksUnknown || stored.workersUnreadable
 	o.arrivals.since = now
 	o.restoreSuspects()
 	o.setWorkers(workers)
 	o.log.Info().Str("event", "shard_owned").Int("jobs", jobCount).Int("active", len(o.registry.Active())).
 		Int("workers", len(o.sessions)).Int("leased", len(stored.workers)).Send()
 	o.resolveFormerWorkers()
-	if !o.formerPending {
+	if !o.formerWorkersPending {
 		o.finishTakeover()
 	}
 	o.wg.Go(func() { o.commitLoop(o.ctx) })
 	o.wg.Go(func() { o.placeLoop(o.ctx) })
 	o.wg.Go(func() { o.checkLoop(o.ctx) })
-	if o.formerPending && o.soleOwnerAt > now {
+	if o.formerWorkersPending && o.soleOwnerAt > now {
 		o.wg.Go(o.awaitPredecessor)
 	}
 	o.checkOwnership(now)
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 func (o *Owner) now() time.Duration { return o.cfg.Clock.Now() }
@@ -235,7 +235,7 @@
 	defer o.mu.Unlock()
 	o.accounts.retainRemoved(o.catalog, c)
 	o.catalog = c
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // superseded gives the shard up because a worker has seen a higher fencing token.
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -50,7 +50,7 @@
 		return
 	}
 	now := o.now()
-	if !o.confirmed(now) {
+	if !o.ownershipConfirmed(now) {
 		return
 	}
 	o.advanceSchedules()
@@ -73,7 +73,7 @@
 		hosts = o.hosts(now) // without the workers reserved for trials
 	}
 	starts := placement.Plan(candidates, hosts, o.rate.Available(now))
-	o.logAtLimit(candidates, now)
+	o.logAccountsAtLimit(candidates, now)
 	o.rate.Spend(len(starts))
 	var gangs []*jobs.StepRun
 	boots := map[*jobs.StepRun][]string{}
@@ -85,11 +85,11 @@
 			boots[step] = append(boots[step], st.Host.Boot)
 			continue
 		}
-		o.orderStart(o.registry.StartAttempt(st.Task, st.Host.Boot, now))
+		o.dispatchStart(o.registry.StartAttempt(st.Task, st.Host.Boot, now))
 	}
 	for _, step := range gangs {
 		for _, a := range o.registry.StartGang(step, boots[step], now) {
-			o.orderStart(a)
+			o.dispatchStart(a)
 		}
 	}
 }
@@ -214,7 +214,7 @@
 		return nil
 	}
 	for _, t := range s.Tasks {
-		if !includeAwaiting && o.mayRunElsewhere(t) {
+		if !includeAwaiting && o.mayRunAtPendingWorker(t) {
 			continue
 		}
 		if t.Idle() || t.WantsCopy && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -33,13 +33,13 @@
 }
 
 // planPoll decides when to poll next; the caller holds the lock.
-func (s *session) planPoll(now time.Duration, atLimit bool) pollPlan {
+func (s *session) planPoll(now time.Duration, saturated bool) pollPlan {
 	switch {
 	case !s.needsPoll(now):
 		return pollPlan{delay: -1}
 	case s.unansweredCalls > 0 && !s.retryNow:
 		return pollPlan{delay: pollRetryDelay, onWake: true}
-	case atLimit && s.attemptsKnown && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
+	case saturated && s.attemptsKnown && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{delay: s.polledAt + minPollInterval - now}
 	case s.ends.ackDue() && s.startsInFlight > 0 && s.attemptsKnown && s.unansweredCalls == 0 && !s.outcomeUnknown:
 		// A poll that acknowledges ends waits for outstanding starts. An earlier poll could itself
@@ -96,13 +96,13 @@
 func (o *Owner) poll(ctx context.Context, s *session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	resolves := s.outcomeUnknown && s.startsInFlight == 0
-	if resolves {
+	raisesToken := s.outcomeUnknown && s.startsInFlight == 0
+	if raisesToken {
 		s.token++
 	}
 	sentAt := o.now()
 	s.polledAt = sentAt
-	order := o.renewOrder(s, sentAt)
+	order := o.buildRenewOrder(s, sentAt)
 	report, err := o.sendPoll(ctx, s, order)
 	if ctx.Err() != nil || errors.Is(err, errPollInterrupted) {
 		return
@@ -121,8 +121,8 @@
 	s.ends.markAcknowledged(order.AckedSeq)
 	s.answeredPollAt = sentAt
 	o.pollAnswered(s, &report, sentAt)
-	if resolves && order.Token == s.token {
-		o.resolveInDoubt(s, sentAt)
+	if raisesToken && order.Token == s.token {
+		o.resolveUnknownStarts(s, sentAt)
 	}
 	if !s.attemptsKnown && order.LeaseUntil > 0 {
 		s.attemptsKnown = true
@@ -131,7 +131,7 @@
 	if s.former.pending {
 		o.resolveFormerWorkers()
 	}
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // errPollInterrupted reports a poll that was canceled so that another can resolve an order in doubt.
@@ -155,17 +155,17 @@
 	return report, err
 }
 
-// renewOrder builds the order of a poll; the caller holds the lock.
-func (o *Owner) renewOrder(s *session, now time.Duration) platform.RenewOrder {
+// buildRenewOrder builds the order of a poll; the caller holds the lock.
+func (o *Owner) buildRenewOrder(s *session, now time.Duration) platform.RenewOrder {
 	// An unanswered start or poll may have reached a later boot.
-	safe := s.unansweredCalls == 0 && !s.outcomeUnknown && s.startsInFlight == 0
-	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.ackNumber(safe)}
-	if s.unansweredCalls == 0 && o.confirmed(now) {
+	bootCertain := s.unansweredCalls == 0 && !s.outcomeUnknown && s.startsInFlight == 0
+	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.ackNumber(bootCertain)}
+	if s.unansweredCalls == 0 && o.ownershipConfirmed(now) {
 		// An unanswered poll may still arrive. If each renewed the leases, those of a worker
 		// that is gone would never expire.
 		order.LeaseUntil = s.extendLease(now)
 	}
-	if s.attemptsKnown && !s.awaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
+	if s.attemptsKnown && !s.reportAwaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
 		order.Wait = pollWait
 		if s.hasSuspectedTask() {
 			order.Wait = suspectPollWait
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -20,8 +20,8 @@
 //  3. Each worker is polled once more, to learn what was started there in the meantime.
 
 const (
-	// maxConfirmedWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
-	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
+	// confirmationTTLWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
+	confirmationTTLWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
 	// doesn't divide checkInterval, so that the log order is deterministic.
 	predecessorPollInterval = 47 * time.Millisecond
@@ -64,7 +64,7 @@
 	ctx, done := context.WithTimeout(o.ctx, o.soleOwnerAt-o.now())
 	defer done()
 	end := PredecessorLapsed
-	if pause.For(ctx, o.claim.earlierGrace) == nil {
+	if pause.For(ctx, o.claim.graceWithoutPredecessor) == nil {
 		end = o.watchPredecessor(ctx)
 	}
 	o.mu.Lock()
@@ -122,9 +122,11 @@
 	}
 }
 
-// awaited reports whether tasks wait for the next report of a worker, which lists the attempts
+// reportAwaited reports whether tasks wait for the next report of a worker, which lists the attempts
 // that former owners have started there. Such a poll must not wait for an attempt to end.
-func (s *session) awaited(now time.Duration) bool { return s.former.pending && now >= s.former.safeAt }
+func (s *session) reportAwaited(now time.Duration) bool {
+	return s.former.pending && now >= s.former.safeAt
+}
 
 // listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
 // a former owner could start any.
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -72,7 +72,7 @@
 		if !o.unreportedLoss {
 			o.unreportedLoss = true
 			o.record.markChanged(s.worker) // has it removed from the record
-			o.kickCommit()
+			o.requestCommit()
 		}
 		return
 	}
--- a/pkg/shard/refused.go
+++ b/pkg/shard/refused.go
@@ -23,7 +23,7 @@
 		o.singleItemTxns += n
 		o.queued = append(b.submissions, o.queued...)
 		o.requeue(b)
-		o.kickCommit()
+		o.requestCommit()
 		return
 	}
 	for _, s := range b.submissions {
@@ -38,7 +38,7 @@
 		// The rows are needed: no tasks start at workers that are not recorded.
 		o.setCommitsFailingLocked(true, cause)
 		o.requeue(b)
-		time.AfterFunc(refusedRetryDelay, o.kickCommit)
+		time.AfterFunc(refusedRetryDelay, o.requestCommit)
 	}
 }
 
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -19,7 +19,7 @@
 	if s.ends.hasUnstored() {
 		// An end that changes no job is acknowledged only after a commit has run, which
 		// nothing else would request.
-		o.kickCommit()
+		o.requestCommit()
 	}
 	seen := make(map[string]bool, len(r.Running)+len(r.Ended))
 	for i := range r.Ended {
@@ -136,9 +136,9 @@
 		Int64("end", e.Seq).Int64("acknowledged", s.ends.stored).Str("reason", string(e.Reason)).Send()
 }
 
-// resolveInDoubt drops the attempts whose start got no answer and that the report lacks. The
+// resolveUnknownStarts drops the attempts whose start got no answer and that the report lacks. The
 // poll carried a higher token, so those orders can't be carried out any more.
-func (o *Owner) resolveInDoubt(s *session, sentAt time.Duration) {
+func (o *Owner) resolveUnknownStarts(s *session, sentAt time.Duration) {
 	s.outcomeUnknown = false
 	for name, a := range sortedByKey(s.attempts) {
 		if a.Phase != jobs.PhaseInDoubt || a.startConfirmedAt > 0 {
@@ -165,7 +165,7 @@
 		if a.countedLostBoot != "" {
 			o.confirmLoss(a.Task, a.countedLostBoot)
 		}
-		o.kickPlacement()
+		o.requestPlacement()
 	}
 }
 
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -139,7 +139,7 @@
 	if s.clockWentBack(ms, sentAt) {
 		o.log.Warn().Str("event", "worker_clock_fell_back").Str("boot", s.ref.Boot).Int64("clock_ms", ms).Int64("before_ms", s.clockMs).
 			Dur("age", o.now()-s.clockAt).Send()
-		s.markInDoubt()
+		s.markOutcomeUnknown()
 		return
 	}
 	s.noteClock(ms, o.now())
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -32,8 +32,8 @@
 	restartCost = time.Second
 	// remoteDataFactor allows for work outside the rack of its data.
 	remoteDataFactor = 3
-	// maxPatienceDoublings bounds the thresholds for a task that was replaced before.
-	maxPatienceDoublings = 6
+	// maxThresholdDoublings bounds the thresholds for a task that was replaced before.
+	maxThresholdDoublings = 6
 	// stallWeight is the weight of a straggler in its worker's failures.
 	stallWeight = 3
 )
@@ -41,7 +41,7 @@
 // checkStragglers replaces attempts that have stalled or are much slower than others, by the
 // progress that workers report; the caller holds the lock.
 func (o *Owner) checkStragglers(now time.Duration) {
-	if !o.confirmed(now) || o.formerPending {
+	if !o.ownershipConfirmed(now) || o.formerWorkersPending {
 		return
 	}
 	for _, s := range o.sessionsByBoot() {
@@ -76,14 +76,14 @@
 	remaining = max(0, total-ran)
 	// A task that is slow at each worker has more work, so the thresholds double with each
 	// replacement.
-	patience := time.Duration(1) << min(r.Task.Replaced, maxPatienceDoublings)
-	if r.reportedAt-r.ProgressAt > patience*stallTimeout {
+	thresholdFactor := time.Duration(1) << min(r.Task.Replaced, maxThresholdDoublings)
+	if r.reportedAt-r.ProgressAt > thresholdFactor*stallTimeout {
 		return remaining, true
 	}
 	if float64(remaining) <= restartGainFactor*float64(restartCost) {
 		return remaining, false // too short to restart, however fast the others are
 	}
-	typical := patience * o.typicalDuration(s, r)
+	typical := thresholdFactor * o.typicalDuration(s, r)
 	return remaining, float64(total) > siblingFactor*float64(typical) && float64(remaining) > restartGainFactor*float64(typical+restartCost)
 }
 
@@ -142,7 +142,7 @@
 		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.startConfirmedAt).Dur("left", remaining).Send()
 	if r.Task.Step.Spec.Speculative {
 		r.Task.WantsCopy = true
-		o.kickPlacement()
+		o.requestPlacement()
 		return
 	}
 	o.stop(s, r, "straggler")
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -28,14 +28,14 @@
 
 // Claim is the ownership that a takeover of a shard has just established.
 type Claim struct {
-	Term          int64
-	OwnerVersion  int64         // of the owner row
-	commitVersion int64         // of the commit row
-	sentAt        time.Duration // when the transaction was sent
-	predecessor   OwnerRow      // last owner before this one
-	row           platform.Row  // owner row as written
-	formerGrace   time.Duration // how long after the takeover a former owner, the predecessor included, may still act
-	earlierGrace  time.Duration // the same without the predecessor
+	Term                    int64
+	OwnerVersion            int64         // of the owner row
+	commitVersion           int64         // of the commit row
+	sentAt                  time.Duration // when the transaction was sent
+	predecessor             OwnerRow      // last owner before this one
+	row                     platform.Row  // owner row as written
+	formerGrace             time.Duration // how long after the takeover a former owner, the predecessor included, may still act
+	graceWithoutPredecessor time.Duration // the same without the predecessor
 }
 
 // Handover is what an owner that releases its shard writes for the next one.
@@ -101,10 +101,10 @@
 		return c, ErrNotOwner{Owner: predecessor}
 	}
 	c.Term = predecessor.Term + 1
-	c.predecessor, c.earlierGrace = predecessor, remainingGrace(predecessor, commit, seen.Age)
-	c.formerGrace = c.earlierGrace
+	c.predecessor, c.graceWithoutPredecessor = predecessor, remainingGrace(predecessor, commit, seen.Age)
+	c.formerGrace = c.graceWithoutPredecessor
 	if predecessor.Entry != "" && (ended == nil || !ended(predecessor)) {
-		c.formerGrace = max(c.formerGrace, maxConfirmedWithDrift)
+		c.formerGrace = max(c.formerGrace, confirmationTTLWithDrift)
 	}
 	ownerRaw, err := encode(OwnerRow{Entry: self.Entry, Start: self.Start, Address: self.Address, Term: c.Term, FormerGrace: c.formerGrace})
 	if err != nil {
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -73,7 +73,7 @@
 		s.trial.attempts = append(s.trial.attempts, a)
 		o.log.Info().Str("event", "trial_started").Str("task", a.Task.Name()).Int64("attempt", a.Number).Str("boot", a.Boot).
 			Int("losses", len(a.Task.Losses)).Int("beside", len(s.attempts)).Dur("kept", now-s.trial.since).Send()
-		o.orderStart(a)
+		o.dispatchStart(a)
 	}
 	for _, s := range reserved {
 		if len(s.trial.attempts) == 0 {
--- a/pkg/shard/upkeep.go
+++ b/pkg/shard/upkeep.go
@@ -38,7 +38,7 @@
 		o.retryStops(s, now)
 		if s.listed && !s.recorded && now >= s.cordonedUntil {
 			o.record.markChanged(s.worker)
-			o.kickCommit()
+			o.requestCommit()
 		}
 		if s.draining {
 			o.evacuate(s, false, "its worker is draining")
@@ -53,7 +53,7 @@
 	o.updateRateLimit(now)
 	o.logLoad(now)
 	if o.hasWaitingTasks || o.registry.HasOccurrences() {
-		o.kickPlacement()
+		o.requestPlacement()
 	}
 }
 
@@ -77,6 +77,6 @@
 		}
 		o.registry.Remove(d.id)
 		o.removals = append(o.removals, d)
-		o.kickCommit()
+		o.requestCommit()
 	}
 }
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -63,9 +63,9 @@
 		}
 	}
 	if o.record.dirty {
-		o.kickCommit()
+		o.requestCommit()
 	}
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // listWorker applies a boot's directory entry and returns its session, nil if the entry is
@@ -155,5 +155,5 @@
 	o.sortedSessions = nil
 	o.record.markChanged(s.worker)
 	o.resolveFormerWorkers()
-	o.kickCommit()
+	o.requestCommit()
 }
