--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -49,7 +49,7 @@
 		return u
 	}
 	limited := func(account string) bool { return o.limitOf(account) != (platform.Resources{}) }
-	// Tasks that wait until the takeover is complete are counted in unregisteredUsage.
+	// Tasks that may be at a worker that has not reported are counted in unregisteredUsage.
 	o.eachStartable(false, func(s *jobs.StepRun, startable []*jobs.Task) {
 		if account := s.Job.Account; limited(account) {
 			addWaiting(use(account), s.Spec, len(startable), o.limitOf(account))
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -72,7 +72,7 @@
 	sentAt := o.now()
 	wait := orderTimeout
 	if d.prepareStart != nil {
-		// A start must not outlast the right to send it.
+		// A start must not outlast the confirmation of ownership.
 		wait = min(wait, o.ownershipConfirmedAt+ConfirmationTTL-sentAt)
 	}
 	o.mu.Unlock()
--- a/pkg/shard/ends.go
+++ b/pkg/shard/ends.go
@@ -45,7 +45,7 @@
 
 // ackNumber returns the number up to which a poll sent now acknowledges ends, 0 for none. An
 // acknowledgement carries only a number, so a later boot would drop ends of its own. It is
-// withheld while an order may have reached an unknown boot (safe is false).
+// withheld unless it is certain which boot receives it.
 func (e *endTracker) ackNumber(bootCertain bool) int64 {
 	if !e.ackDue() {
 		return 0
--- a/pkg/shard/evacuate.go
+++ b/pkg/shard/evacuate.go
@@ -128,8 +128,8 @@
 	return hosts
 }
 
-// withinMaxUnavailable reports whether a task may be stopped: fewer other tasks of its step are missing
-// than the step allows, for whatever cause.
+// withinMaxUnavailable reports whether a task may be stopped: fewer other tasks of its step are
+// missing, for whatever cause, than the step allows.
 func (o *Owner) withinMaxUnavailable(step *jobs.StepRun, t *jobs.Task) bool {
 	missing := 0
 	for _, other := range step.Tasks {
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -6,15 +6,15 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// formerTasks are the tasks that former owners may have left at a worker. They are resolved when
-// the worker reports after safeAt, has ended, or its leases have run out.
+// formerTasks are the tasks that former owners may have left at a worker. They are known when
+// the worker reports after safeAt, has ended, or its leases have expired.
 type formerTasks struct {
 	pending bool
 	listed  bool     // only the tasks in names can be there
 	names   []string // of tasks
 
 	safeAt    time.Duration // from when on no former owner starts anything there
-	leasesEnd time.Duration // when its leases there have run out
+	leasesEnd time.Duration // when its leases from former owners have expired
 }
 
 // inheritWorker tracks the tasks that former owners may have left at a recorded worker. A planned
@@ -82,7 +82,7 @@
 	o.failRestoredPoison()
 }
 
-// mayRunAtPendingWorker reports whether a task may be running, or have ended, at a worker that has not
+// mayRunAtPendingWorker reports whether a former owner may have started a task at a worker that has not
 // reported since the takeover.
 func (o *Owner) mayRunAtPendingWorker(t *jobs.Task) bool {
 	return t.PossibleWorkers > 0 || o.formerTasksUnknown && t.Step.Job.Restored
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -21,7 +21,7 @@
 type Metrics interface {
 	// Commit counts an attempt to commit a transaction that took d.
 	Commit(d time.Duration, err error)
-	// Poll counts a poll of a worker, with which the owner renews the leases of its tasks there.
+	// Poll counts a poll of a worker.
 	Poll(err error)
 	// Order counts an order to start, stop or throttle an attempt.
 	Order(err error)
@@ -61,7 +61,7 @@
 	Rows     platform.Rows
 	Workers  platform.Workers
 	Machines platform.Machines
-	Adviser  platform.Adviser // of the advice service, which permits steps to run at boots
+	Adviser  platform.Adviser // of the advice service, which permits steps to run on workers
 
 	Metrics Metrics
 	Log     zerolog.Logger
@@ -99,14 +99,14 @@
 	unreadableJobs   map[string]bool               // IDs of stored jobs that could not be decoded
 	recordUnreadable bool                          // the stored record of leased workers could not be decoded
 	accounts         accounts                      // quota shares and limits of client accounts
-	sessions         map[string]*session           // by boot
+	sessions         map[string]*session           // by boot; each tracks the attempts, leases and orders at one boot of a worker
 	currentSessions  map[string]*session           // latest boot of each worker, by worker ID
-	endedBootTokens  map[string]int64              // tokens above firstToken of workers whose boot has ended, by worker ID
+	endedBootTokens  map[string]int64              // last token of workers whose boot has ended, by worker ID, if it was raised above firstToken
 	sortedSessions   []*session                    // sessions by boot, nil when stale
 	advices          map[*jobs.StepRun]*advice     // of the advice service, on steps whose queue requires it
 	durations        map[string]*durationStats     // by queue
 	suspects         map[*jobs.Task]struct{}       // tasks with worker losses counted against them
-	deferredStarts   map[*jobs.Job][]deferredStart // starts that wait until their provisional loss is stored
+	deferredStarts   map[*jobs.Job][]deferredStart // starts to be sent once the provisional loss of their worker is stored
 	unreportedLoss   bool                          // a former owner's worker was lost before it reported to this owner
 	rate             startrate.Limiter             // limits starts while the CPU or network link of this owner is saturated
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
@@ -116,11 +116,11 @@
 	readingOwnerRow      bool          // a read of the owner row is in progress
 	unconfirmedLogged    bool          // the missing confirmation was logged
 
-	formerWorkersPending bool          // a worker of a former owner has not reported yet
-	formerTasksUnknown   bool          // any restored task may be running at such a worker
+	formerWorkersPending bool          // the takeover is incomplete: a worker of a former owner has not reported yet
+	formerTasksUnknown   bool          // any restored task may be at such a worker, not only listed ones
 	formerLeasesUntil    time.Duration // when all leases renewed by former owners have expired
 	tookOverAt           time.Duration // when this entry took over
-	soleOwnerAt          time.Duration // from when on no former owner can act
+	soleOwnerAt          time.Duration // from when on no former owner can act; answers to earlier polls do not complete the takeover
 	machinesReadAt       time.Duration // when the VM list was last requested, 0 for never
 
 	pending         map[string]*submission       // by job ID, until their row is written or refused
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -21,8 +21,9 @@
 // of other accounts; the bound prevents starvation.
 const maxExcessDelay = 10 * time.Second
 
-// placementTimeDivisor bounds placement to one part in this many of the time. Changes during
-// a pause are placed together, since each pass scans all workers and waiting tasks.
+// placementTimeDivisor limits placement passes to 1/placementTimeDivisor of the time, as far as
+// maxPlacementPause allows. Changes during a pause share a pass, since each pass scans all
+// workers and waiting tasks.
 const placementTimeDivisor = 5
 
 // maxPlacementPause bounds the pause after a pass that took long, as on an overloaded machine.
@@ -104,8 +105,8 @@
 	}
 }
 
-// hosts returns placement's view of the workers that accept tasks, by boot. The hosts are cached:
-// starts placed on them must be ordered before the lock is released.
+// hosts returns placement's view of the workers that accept tasks, by boot. The hosts are cached
+// and planning changes them, so planned starts must be dispatched before the lock is released.
 func (o *Owner) hosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
 		if s.acceptsTasks(now) {
@@ -115,8 +116,7 @@
 	return hosts
 }
 
-// scratchHosts returns the same workers as hosts, without the cache, for trying placements
-// that may not be ordered.
+// scratchHosts returns uncached copies of hosts, for plans that are not carried out.
 func (o *Owner) scratchHosts(now time.Duration) (hosts []*placement.Host) {
 	for _, s := range o.sessionsByBoot() {
 		if s.acceptsTasks(now) {
@@ -135,7 +135,7 @@
 }
 
 // candidates returns the steps with startable tasks, and separately those that may start only
-// in a trial: one task each, or a gang.
+// in a trial, since they may crash their worker: one task each, or a gang.
 func (o *Owner) candidates(now time.Duration) (cs, trialOnly []placement.Candidate) {
 	remaining := map[*jobs.Job]time.Duration{}
 	budgets := o.newBudgets()
@@ -155,8 +155,8 @@
 	return cs, trialOnly
 }
 
-// splitByRestriction divides a step's tasks by where they may start. The tasks of a gang start
-// together, so they share one trial and are not kept separate.
+// splitByRestriction divides a step's tasks by where the losses counted against them let them
+// start. The tasks of a gang start together, so they share one trial and may share a worker.
 func splitByRestriction(c placement.Candidate) (free, trialOnly []placement.Candidate) {
 	if c.Step.Spec.Gang {
 		switch c.Step.Verdict() {
@@ -177,12 +177,12 @@
 		case quarantine.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
 		case quarantine.Separate:
-			one.Separate = true
+			one.Separate = true // from other suspected tasks
 			free = append(free, one)
 		case quarantine.TrialOnly:
 			trialOnly = append(trialOnly, one)
-		case quarantine.Blocked: // until the lost workers answer or are known to have ended
-		case quarantine.Poison: // its job fails once its last worker is known to be lost
+		case quarantine.Blocked: // until each unreachable worker answers or is known to have ended
+		case quarantine.Poison: // failIfPoison fails its job
 		}
 	}
 	if len(clean.Tasks) > 0 {
@@ -192,7 +192,7 @@
 }
 
 // eachStartable calls f for each step with startable tasks, in order of acceptance; with
-// includeAwaiting also those that wait until the takeover is complete.
+// includeAwaiting also those that wait for a worker's first report after the takeover.
 func (o *Owner) eachStartable(includeAwaiting bool, f func(s *jobs.StepRun, startable []*jobs.Task)) {
 	wall := time.Duration(time.Now().UnixNano())
 	for _, j := range o.registry.Active() {
@@ -208,7 +208,8 @@
 }
 
 // startableTasks returns the waiting tasks of a step, and the running stragglers that want a
-// speculative copy; with includeAwaiting also those that wait until the takeover is complete.
+// speculative copy; with includeAwaiting also those that wait for a worker's first report after
+// the takeover.
 func (o *Owner) startableTasks(s *jobs.StepRun, includeAwaiting bool) (tasks []*jobs.Task) {
 	if s.CountWaiting() == 0 && !s.Spec.Speculative {
 		return nil
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -11,17 +11,18 @@
 
 // Timing of polls.
 const (
-	// pollWait is how long a poll waits at the worker for an attempt to end, less than leases last.
+	// pollWait is how long a worker delays its answer until an attempt ends, less than leases last.
 	pollWait = time.Second
-	// pollRetryDelay is the pause after a failed poll.
+	// pollRetryDelay is the pause before polls of a worker that does not answer; only its first
+	// failed poll is repeated at once.
 	pollRetryDelay = 250 * time.Millisecond
-	// orderPollDelay is the pause while other start orders must be answered before a poll can
-	// resolve the one in doubt.
+	// orderPollDelay is the pause while an outcome is unknown and starts are in flight; a poll can
+	// resolve it only after these are answered.
 	orderPollDelay = 30 * time.Millisecond
 	// minPollInterval is the least time between two polls of a worker while the owner is
 	// saturated, less than leases last.
 	minPollInterval = 600 * time.Millisecond
-	// ackDelay is how long a poll waits for ends to be stored, so that it can acknowledge them.
+	// ackDelay is how long a poll is put off until ends are stored, so that it can acknowledge them.
 	ackDelay = 500 * time.Millisecond
 )
 
@@ -32,7 +33,8 @@
 	onWake bool
 }
 
-// planPoll decides when to poll next; the caller holds the lock.
+// planPoll decides when to poll next; saturated reports that starts are limited because the owner
+// is overloaded. The caller holds the lock.
 func (s *session) planPoll(now time.Duration, saturated bool) pollPlan {
 	switch {
 	case !s.needsPoll(now):
@@ -42,8 +44,8 @@
 	case saturated && s.attemptsKnown && s.unansweredCalls == 0 && now < s.polledAt+minPollInterval:
 		return pollPlan{delay: s.polledAt + minPollInterval - now}
 	case s.ends.ackDue() && s.startsInFlight > 0 && s.attemptsKnown && s.unansweredCalls == 0 && !s.outcomeUnknown:
-		// A poll that acknowledges ends waits for outstanding starts. An earlier poll could itself
-		// go unanswered.
+		// A poll can't acknowledge ends while starts are in flight. Sent now, it would delay the
+		// acknowledgement further if it got no answer.
 		return pollPlan{delay: orderTimeout}
 	case s.outcomeUnknown && s.startsInFlight > 0:
 		return pollPlan{delay: orderPollDelay, onWake: !s.ends.hasUnstored() || s.unansweredCalls > 0}
@@ -61,7 +63,7 @@
 		plan := s.planPoll(o.now(), o.rate.AtLimit())
 		if o.releasing && !s.outcomeUnknown {
 			// During a handover new ends stay at the worker for the next owner, so that storing
-			// them does not delay it.
+			// them does not delay it. Leases outlast the handover without renewal.
 			plan = pollPlan{delay: -1}
 		}
 		o.mu.Unlock()
@@ -92,13 +94,13 @@
 	}
 }
 
-// poll renews the leases at a worker and applies its report.
+// poll polls a worker, renews the leases there if the owner may, and applies the report.
 func (o *Owner) poll(ctx context.Context, s *session) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	raisesToken := s.outcomeUnknown && s.startsInFlight == 0
 	if raisesToken {
-		s.token++
+		s.token++ // the worker then refuses unanswered orders that arrive later
 	}
 	sentAt := o.now()
 	s.polledAt = sentAt
@@ -134,7 +136,7 @@
 	o.requestPlacement()
 }
 
-// errPollInterrupted reports a poll that was canceled so that another can resolve an order in doubt.
+// errPollInterrupted reports a poll that was canceled so that another is sent at once.
 var errPollInterrupted = errors.New("poll interrupted")
 
 // sendPoll sends a poll and waits for the report; it releases the lock during the call.
@@ -155,14 +157,14 @@
 	return report, err
 }
 
-// buildRenewOrder builds the order of a poll; the caller holds the lock.
+// buildRenewOrder builds the request of a poll; the caller holds the lock.
 func (o *Owner) buildRenewOrder(s *session, now time.Duration) platform.RenewOrder {
-	// An unanswered start or poll may have reached a later boot.
+	// After an unanswered start or poll, a later boot may receive the acknowledgement.
 	bootCertain := s.unansweredCalls == 0 && !s.outcomeUnknown && s.startsInFlight == 0
 	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.ackNumber(bootCertain)}
 	if s.unansweredCalls == 0 && o.ownershipConfirmed(now) {
-		// An unanswered poll may still arrive. If each renewed the leases, those of a worker
-		// that is gone would never expire.
+		// Polls of an unreachable worker renew nothing: an unanswered renewal may still arrive, so
+		// each would postpone the time at which the tasks may start elsewhere.
 		order.LeaseUntil = s.extendLease(now)
 	}
 	if s.attemptsKnown && !s.reportAwaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
@@ -187,7 +189,8 @@
 	o.applyReport(s, report, sentAt)
 }
 
-// pollFailed handles a poll without a report; the caller holds the lock.
+// pollFailed handles a poll without a report. The worker is unreachable from the first one, and its
+// loss is counted against its tasks from lossCountedAfter unanswered calls. The caller holds the lock.
 func (o *Owner) pollFailed(s *session, order *platform.RenewOrder, err error) {
 	var other platform.ErrOtherBoot
 	var refused platform.ErrOrderRefused
@@ -200,7 +203,7 @@
 		return
 	}
 	if order.AckedSeq > 0 && !platform.IsNotDone(err) {
-		s.outcomeUnknown = true // a higher token prevents this acknowledgement from reaching a later boot
+		s.outcomeUnknown = true // a poll with a higher token keeps a later boot from accepting this acknowledgement
 	}
 	s.noteUnanswered(o.now())
 	s.retryNow = s.unansweredCalls == 1
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -14,13 +14,14 @@
 // Workers tell the two owners apart by fencing tokens, but forget these when they restart, and a
 // task could run twice. The protocol of a takeover is therefore:
 //
-//  1. The new owner starts no job stored before the takeover while a former owner may act.
-//  2. This ends when the predecessor's confirmation has expired, its process is known to have
-//     ended, or it confirms that it has stopped. A planned release leaves nothing to wait for.
-//  3. Each worker is polled once more, to learn what was started there in the meantime.
+//  1. Tasks of jobs stored before the takeover wait while a worker that may run them has not
+//     reported. A planned release lists these tasks; otherwise it is all of them.
+//  2. The new owner waits until no former owner can act: the predecessor's confirmation has
+//     expired, its process is known to have ended, or it confirms that it has stopped.
+//  3. Each worker is then polled once more, to learn what was started there in the meantime.
 
 const (
-	// confirmationTTLWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
+	// confirmationTTLWithDrift is how long ConfirmationTTL by another entry's clock may last by ours.
 	confirmationTTLWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
 	// doesn't divide checkInterval, so that the log order is deterministic.
@@ -123,7 +124,7 @@
 }
 
 // reportAwaited reports whether tasks wait for the next report of a worker, which lists the attempts
-// that former owners have started there. Such a poll must not wait for an attempt to end.
+// that former owners have started there. The worker must answer that poll at once.
 func (s *session) reportAwaited(now time.Duration) bool {
 	return s.former.pending && now >= s.former.safeAt
 }
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -16,7 +16,7 @@
 
 // recordProvisionalLoss records the loss of a worker before a suspected task is started there, so
 // that it counts even if this owner is lost with the worker; it reports whether the start has to
-// wait until that is stored. While the table service is down, starts wait only for tasks with an
+// wait until the record is stored. While the table service is down, starts wait only for tasks with an
 // early loss, or which may have crashed a worker without a recorded loss.
 func (o *Owner) recordProvisionalLoss(s *session, r *workerAttempt) bool {
 	t := r.Task
@@ -54,7 +54,7 @@
 }
 
 // dropProvisionalLoss removes the provisional loss of an attempt that did not start, or has ended
-// without taking its worker down.
+// while its worker kept running.
 func (o *Owner) dropProvisionalLoss(a *jobs.Attempt) {
 	t := a.Task
 	if !t.Losses.HasProvisional(a.Number) {
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -18,7 +18,7 @@
 // rackLabelPrefix starts the labels that name a rack.
 const rackLabelPrefix = "r"
 
-// session is the owner's view of one boot of a worker, guarded by the owner's lock.
+// session is the owner's state of one boot of a worker, guarded by the owner's lock.
 type session struct {
 	ref    platform.WorkerRef
 	worker string // ID, shared by all boots of the worker
@@ -38,14 +38,14 @@
 	attempts        map[string]*workerAttempt      // by task name; changed by addAttempt and removeAttempt only
 	foreign         map[foreignKey]*foreignAttempt // running there and not wanted
 	hostCache       *placement.Host                // placement's view, nil when stale
-	token           int64                          // fencing token of the orders
+	token           int64                          // fencing token of the orders, raised when the outcome of one is unknown
 	orders          []*queuedOrder                 // queued, in order
 	senders         int                            // goroutines that send them
 	startsInFlight  int                            // start orders without an answer yet
-	outcomeUnknown  bool                           // a start order got no answer; a poll with a higher token resolves it
+	outcomeUnknown  bool                           // the worker may have accepted an unanswered start or acknowledgement; a poll with a higher token resolves it
 	unansweredCalls int                            // polls and orders in a row without an answer
 	silentSince     time.Duration                  // when the first of those was noticed, 0 if none
-	retryNow        bool                           // a single poll failed: repeat it without a pause
+	retryNow        bool                           // the last poll was the first to fail: repeat it without a pause
 	health          workerHealth                   // recent failures of attempts there
 	lossCounted     bool                           // its loss was counted against the tasks there
 	trial           *trial                         // trial that it is reserved for, nil for none
@@ -87,8 +87,8 @@
 // requestPoll makes the poll loop plan its next poll anew.
 func (s *session) requestPoll() { pause.Wake(s.wake) }
 
-// markOutcomeUnknown records that the outcome of an order is unknown. The worker gets no tasks until a
-// poll has resolved it; a poll that waits for an end is canceled so that this happens soon.
+// markOutcomeUnknown records that the outcome of an order is unknown, and cancels a poll that waits for
+// an end. The worker gets no tasks until another poll has resolved the outcome.
 func (s *session) markOutcomeUnknown() {
 	s.outcomeUnknown = true
 	s.interruptPoll()
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -32,7 +32,7 @@
 	restartCost = time.Second
 	// remoteDataFactor allows for work outside the rack of its data.
 	remoteDataFactor = 3
-	// maxThresholdDoublings bounds the thresholds for a task that was replaced before.
+	// maxThresholdDoublings bounds the doublings of the thresholds for a task that was replaced before.
 	maxThresholdDoublings = 6
 	// stallWeight is the weight of a straggler in its worker's failures.
 	stallWeight = 3
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -148,7 +148,7 @@
 }
 
 // markUnrecordedEnded marks the losses at boots that the record of workers no longer names as ended.
-// The record names each boot that was sent a start until the boot has ended or runs nothing of ours.
+// The record names each boot that was sent a start until the boot has ended or runs no task of this shard.
 func (o *Owner) markUnrecordedEnded(t *jobs.Task) {
 	if o.recordUnreadable {
 		return
--- a/pkg/shard/takeover.go
+++ b/pkg/shard/takeover.go
@@ -11,7 +11,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// Identity identifies one process of an entry.
+// Identity identifies one incarnation of an entry, from the start of its process to its end.
 type Identity struct {
 	Entry   string
 	Start   int64  // tells incarnations of the entry apart
@@ -34,14 +34,14 @@
 	sentAt                  time.Duration // when the transaction was sent
 	predecessor             OwnerRow      // last owner before this one
 	row                     platform.Row  // owner row as written
-	formerGrace             time.Duration // how long after the takeover a former owner, the predecessor included, may still act
-	graceWithoutPredecessor time.Duration // the same without the predecessor
+	formerGrace             time.Duration // how long after the takeover any former owner may still act
+	graceWithoutPredecessor time.Duration // the same for former owners other than the predecessor
 }
 
 // Handover is what an owner that releases its shard writes for the next one.
 type Handover struct {
 	Entry       string        // entry that should take over, empty for any
-	FormerGrace time.Duration // how long a former owner of the releasing one may still act
+	FormerGrace time.Duration // how long owners before the releasing one may still act
 }
 
 // Release writes an owner row without an owner, so that another entry can take over at once.
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -9,8 +9,8 @@
 // tokensPerTerm is the number of fencing tokens reserved for each term of ownership.
 const tokensPerTerm = 1 << 20
 
-// firstToken returns this term's first token for a worker. Later ones are higher: the token is raised
-// to invalidate unanswered orders.
+// firstToken returns this term's first fencing token for a worker. It is raised to have the worker
+// refuse unanswered orders that arrive late.
 func (o *Owner) firstToken() int64 { return o.claim.Term*tokensPerTerm + 1 }
 
 // addSession creates the session of a boot and starts its poll loop.
