--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -12,7 +12,7 @@
 
 // ownershipConfirmed reports whether this entry may renew leases and send orders.
 func (o *Owner) ownershipConfirmed(now time.Duration) bool {
-	return now-o.ownershipConfirmedAt < ConfirmationTTL
+	return now-o.confirmedAt < ConfirmationTTL
 }
 
 // Confirm records that this entry was the owner at a time on the owner's clock.
@@ -24,12 +24,12 @@
 
 // noteOwnershipConfirmed does what Confirm does; the lock is held.
 func (o *Owner) noteOwnershipConfirmed(at time.Duration) {
-	if at <= o.ownershipConfirmedAt {
+	if at <= o.confirmedAt {
 		return
 	}
 	now := o.now()
 	regained := !o.ownershipConfirmed(now) && now-at < ConfirmationTTL
-	o.ownershipConfirmedAt = at
+	o.confirmedAt = at
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
 		o.requestPlacement()
@@ -42,12 +42,12 @@
 // checkOwnership reads the owner row if ownership has not been confirmed recently, or while
 // transactions fail; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
-	if o.readingOwnerRow || !o.commitsFailing && now-o.ownershipConfirmedAt < ConfirmationTTL/2 {
+	if o.readingOwnerRow || !o.commitsFailing && now-o.confirmedAt < ConfirmationTTL/2 {
 		return
 	}
 	if !o.ownershipConfirmed(now) && !o.unconfirmedLogged {
 		o.unconfirmedLogged = true
-		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.ownershipConfirmedAt).Send()
+		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.confirmedAt).Send()
 	}
 	o.readingOwnerRow = true
 	o.wg.Go(func() {
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -61,7 +61,7 @@
 	o.recordUnreadable = o.recordUnreadable && now < o.formerLeasesUntil
 	o.formerWorkersPending, o.formerTasksUnknown = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsByBoot() {
-		if s.listedAfterFormer() || now >= s.former.leasesEnd {
+		if s.listedAll() || now >= s.former.leasesEnd {
 			o.resolveFormer(s)
 		}
 		if s.former.pending {
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -123,14 +123,10 @@
 	}
 }
 
-// reportAwaited reports whether tasks wait for the next report of a worker, which lists the attempts
+// awaited reports whether tasks wait for the next report of a worker, which lists the attempts
 // that former owners have started there. The worker must answer that poll at once.
-func (s *session) reportAwaited(now time.Duration) bool {
-	return s.former.pending && now >= s.former.safeAt
-}
+func (s *session) awaited(now time.Duration) bool { return s.former.pending && now >= s.former.safeAt }
 
-// listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
-// a former owner could start any.
-func (s *session) listedAfterFormer() bool {
-	return s.attemptsKnown && s.answeredPollAt >= s.former.safeAt
-}
+// listedAll reports whether a worker has listed its attempts since no former owner can start any
+// more there.
+func (s *session) listedAll() bool { return s.attemptsKnown && s.answeredPollAt >= s.former.safeAt }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -133,7 +133,7 @@
 
 // needsPoll reports whether there is a reason to poll the worker.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.attemptsKnown || s.reportAwaited(now) || s.unansweredCalls > 0 || s.outcomeUnknown || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
+	return !s.ended && (!s.attemptsKnown || s.awaited(now) || s.unansweredCalls > 0 || s.outcomeUnknown || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
 }
 
 // idle reports whether nothing of this shard is or may be at the worker.
