--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -11,9 +11,7 @@
 const ConfirmationTTL = 1500 * time.Millisecond
 
 // ownershipConfirmed reports whether this entry may renew leases and send orders.
-func (o *Owner) ownershipConfirmed(now time.Duration) bool {
-	return now-o.confirmedAt < ConfirmationTTL
-}
+func (o *Owner) ownershipConfirmed(now time.Duration) bool { return now-o.ownedAt < ConfirmationTTL }
 
 // Confirm records that this entry was the owner at a time on the owner's clock.
 func (o *Owner) Confirm(at time.Duration) {
@@ -24,12 +22,12 @@
 
 // noteOwnershipConfirmed does what Confirm does; the lock is held.
 func (o *Owner) noteOwnershipConfirmed(at time.Duration) {
-	if at <= o.confirmedAt {
+	if at <= o.ownedAt {
 		return
 	}
 	now := o.now()
 	regained := !o.ownershipConfirmed(now) && now-at < ConfirmationTTL
-	o.confirmedAt = at
+	o.ownedAt = at
 	if regained {
 		o.log.Info().Str("event", "ownership_confirmed").Dur("age", now-at).Send()
 		o.requestPlacement()
@@ -42,12 +40,12 @@
 // checkOwnership reads the owner row if ownership has not been confirmed recently, or while
 // transactions fail; the lock is held.
 func (o *Owner) checkOwnership(now time.Duration) {
-	if o.readingOwnerRow || !o.commitsFailing && now-o.confirmedAt < ConfirmationTTL/2 {
+	if o.readingOwnerRow || !o.commitsFailing && now-o.ownedAt < ConfirmationTTL/2 {
 		return
 	}
 	if !o.ownershipConfirmed(now) && !o.unconfirmedLogged {
 		o.unconfirmedLogged = true
-		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.confirmedAt).Send()
+		o.log.Warn().Str("event", "ownership_unconfirmed").Dur("age", now-o.ownedAt).Send()
 	}
 	o.readingOwnerRow = true
 	o.wg.Go(func() {
--- a/pkg/shard/dispatch.go
+++ b/pkg/shard/dispatch.go
@@ -73,7 +73,7 @@
 	wait := orderTimeout
 	if d.prepareStart != nil {
 		// A start must not outlast the confirmation of ownership.
-		wait = min(wait, o.confirmedAt+ConfirmationTTL-sentAt)
+		wait = min(wait, o.ownedAt+ConfirmationTTL-sentAt)
 	}
 	o.mu.Unlock()
 	ctx, cancel := context.WithTimeout(o.ctx, wait)
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -112,7 +112,7 @@
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
 	hasWaitingTasks  bool                          // startable tasks were found by the last placement pass
 
-	confirmedAt       time.Duration // last time at which the table service confirmed that this entry is the owner
+	ownedAt           time.Duration // last time at which the table service confirmed that this entry is the owner
 	readingOwnerRow   bool          // a read of the owner row is in progress
 	unconfirmedLogged bool          // the missing confirmation was logged
 
@@ -174,7 +174,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.confirmedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
+	o.tookOverAt, o.ownedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
 	o.start(stored, workers, cfg.Clock.Now())
 	return o, nil
 }
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -164,7 +164,7 @@
 	order := platform.RenewOrder{Token: s.token, AckedSeq: s.ends.ackNumber(bootCertain)}
 	if s.unansweredCalls == 0 && o.ownershipConfirmed(now) {
 		// Polls of an unreachable worker renew nothing: an unanswered renewal may still arrive, so
-		// each would postpone the time at which the tasks may start elsewhere.
+		// each would postpone the time from which its tasks may start elsewhere (leasesExpired).
 		order.LeaseUntil = s.extendLease(now)
 	}
 	if s.attemptsKnown && !s.awaited(now) && !s.outcomeUnknown && s.ends.applied == max(s.ends.acknowledged, order.AckedSeq) && s.unansweredCalls == 0 && order.LeaseUntil > 0 {
