--- a/pkg/shard/confirm.go
+++ b/pkg/shard/confirm.go
@@ -7,7 +7,7 @@
 
 // ConfirmationTTL is how long after its ownership was last confirmed an owner may renew leases
 // and send orders. One that can't reach the table service stops then, so that the next owner knows
-// when the leases it has renewed run out.
+// when the leases it has renewed expire.
 const ConfirmationTTL = 1500 * time.Millisecond
 
 // ownershipConfirmed reports whether this entry may renew leases and send orders.
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -57,7 +57,7 @@
 		return
 	}
 	now := o.now()
-	// Without a readable record, any worker may run any task until the last lease has run out.
+	// Without a readable record, any worker may run any task until the last lease has expired.
 	o.recordUnreadable = o.recordUnreadable && now < o.formerLeasesUntil
 	o.formerWorkersPending, o.formerTasksUnknown = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsByBoot() {
--- a/pkg/shard/lost.go
+++ b/pkg/shard/lost.go
@@ -11,8 +11,8 @@
 
 // Values of LossKind.
 const (
-	LossEnded  LossKind = "worker_ended"  // the boot has ended
-	LossLapsed LossKind = "leases_lapsed" // the boot does not answer, and its leases have run out
+	LossEnded         LossKind = "worker_ended"  // the boot has ended
+	LossLeasesExpired LossKind = "leases_lapsed" // the boot does not answer, and its leases have expired
 	// LossVanished is the loss of a single attempt: its worker answers but lists neither the attempt
 	// nor its end.
 	LossVanished LossKind = "vanished"
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -37,7 +37,7 @@
 
 // Values of PredecessorEnd.
 const (
-	PredecessorLapsed    PredecessorEnd = "right_lapsed"  // its confirmation of ownership has expired
+	PredecessorExpired   PredecessorEnd = "right_lapsed"  // its confirmation of ownership has expired
 	PredecessorEnded     PredecessorEnd = "process_ended" // its process has ended
 	PredecessorStoodDown PredecessorEnd = "stood_down"    // it has confirmed that it stopped
 )
@@ -64,7 +64,7 @@
 func (o *Owner) awaitPredecessor() {
 	ctx, done := context.WithTimeout(o.ctx, o.soleOwnerAt-o.now())
 	defer done()
-	end := PredecessorLapsed
+	end := PredecessorExpired
 	if pause.For(ctx, o.claim.graceWithoutPredecessor) == nil {
 		end = o.watchPredecessor(ctx)
 	}
@@ -104,7 +104,7 @@
 		case <-poll.C:
 		case <-ctx.Done():
 			poll.Stop()
-			return PredecessorLapsed
+			return PredecessorExpired
 		}
 	}
 }
--- a/pkg/shard/record.go
+++ b/pkg/shard/record.go
@@ -115,11 +115,11 @@
 }
 
 // applyOutcome records whether the transaction that wrote the parts was carried out.
-func (r *workerRecord) applyOutcome(b *batch, happened bool) {
+func (r *workerRecord) applyOutcome(b *batch, committed bool) {
 	if !b.record {
 		return
 	}
-	if !happened {
+	if !committed {
 		for _, i := range b.parts {
 			r.changed[i] = true
 		}
--- a/pkg/shard/restart.go
+++ b/pkg/shard/restart.go
@@ -13,19 +13,19 @@
 
 // respondingBoot returns the boot that sent a report with the given start time, 0 for none. Any
 // other start time than its own means a later boot, since the worker's clock may have been set back.
-func (s *session) respondingBoot(born int64) string {
+func (s *session) respondingBoot(bootStart int64) string {
 	worker, own := platform.ParseBootID(s.ref.Boot)
-	if born == 0 || born == own {
+	if bootStart == 0 || bootStart == own {
 		return s.ref.Boot
 	}
-	return platform.BootID(worker, born)
+	return platform.BootID(worker, bootStart)
 }
 
 // startedAfter reports whether boot a of a worker started after boot b.
 func startedAfter(a, b string) bool {
-	_, bornA := platform.ParseBootID(a)
-	_, bornB := platform.ParseBootID(b)
-	return bornA > bornB
+	_, startA := platform.ParseBootID(a)
+	_, startB := platform.ParseBootID(b)
+	return startA > startB
 }
 
 // handleRestart ends the session of a boot whose worker has restarted under its ID, and opens one
@@ -110,7 +110,7 @@
 	return false
 }
 
-// otherBootLeasesEnd returns when leases computed from the clock of another boot have run out: they
+// otherBootLeasesEnd returns when leases computed from the clock of another boot have expired: they
 // may last as long as the longest lease that a worker accepts.
 func (o *Owner) otherBootLeasesEnd(now time.Duration) time.Duration {
 	return now + maxLocalDuration(o.cfg.MaxLease)
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -56,7 +56,7 @@
 	o.persist(t.Step.Job, true)
 }
 
-// retractBootLosses removes the losses at a boot that is alive, as its report shows. If a task with
+// retractBootLosses removes the losses at a boot that still runs, as its report shows. If a task with
 // other losses still runs there, a provisional loss is recorded again, and a worker with a trial is
 // reserved again. Otherwise the next owner might start a crashing task beside the one in the trial.
 func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -94,9 +94,9 @@
 	if s = o.sessions[w.Boot]; s != nil && o.currentSessions[s.worker] == s {
 		return s, false // fast path for unchanged entries
 	}
-	id, born := platform.ParseBootID(w.Boot)
+	id, bootStart := platform.ParseBootID(w.Boot)
 	s = o.currentSessions[id]
-	if s != nil && born == 0 {
+	if s != nil && bootStart == 0 {
 		return s, false
 	}
 	if s != nil && !startedAfter(w.Boot, s.ref.Boot) {
@@ -121,7 +121,7 @@
 	if len(s.attempts) > 0 {
 		o.log.Warn().Str("event", "leases_lapsed").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Send()
 	}
-	o.handleLoss(s, LossLapsed)
+	o.handleLoss(s, LossLeasesExpired)
 	clear(s.foreign)
 	s.hostCache = nil
 	s.outcomeUnknown = false
@@ -148,7 +148,7 @@
 		delete(o.currentSessions, s.worker)
 	}
 	if s.token > o.firstToken() {
-		// The boot may be alive, with only its directory entry expired. It would refuse the
+		// The boot may still run, with only its directory entry expired. It would refuse the
 		// first token, and this owner would take that for a later owner's fencing.
 		o.endedBootTokens[s.worker] = s.token
 	}
