--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -6,15 +6,15 @@
 	"github.com/gannetwell/gannetwell/pkg/jobs"
 )
 
-// formerTasks are the tasks that former owners may have left at a worker. They are resolved when
-// the worker reports after safeAt, has ended, or its leases have run out.
+// formerTasks are the tasks that former owners may have left at a worker. They are known when
+// the worker reports after safeAt, has ended, or its leases have expired.
 type formerTasks struct {
 	pending bool
 	listed  bool     // only the tasks in names can be there
 	names   []string // of tasks
 
 	safeAt    time.Duration // from when on no former owner starts anything there
-	leasesEnd time.Duration // when its leases there have run out
+	leasesEnd time.Duration // when its leases from former owners have expired
 }
 
 // inheritWorker tracks the tasks that former owners may have left at a recorded worker. A planned
@@ -25,8 +25,8 @@
 	if w.ReleaseTerm > 0 && w.ReleaseTerm == o.claim.Term-1 {
 		s.former.listed, s.former.names = true, w.Tasks
 	}
-	o.formerPending = true
-	o.formerAnyTask = o.formerAnyTask || !s.former.listed
+	o.formerWorkersPending = true
+	o.formerTasksUnknown = o.formerTasksUnknown || !s.former.listed
 	for _, name := range s.former.names {
 		if t := o.registry.Task(name); t != nil {
 			t.PossibleWorkers++
@@ -39,7 +39,7 @@
 	if !s.former.pending {
 		return
 	}
-	if !s.synced {
+	if !s.attemptsKnown {
 		o.recordUnreportedLoss(s)
 	}
 	for _, name := range s.former.names {
@@ -53,27 +53,27 @@
 // resolveFormerWorkers resolves the workers of former owners that have reported or whose leases
 // have expired, and completes the takeover after the last one.
 func (o *Owner) resolveFormerWorkers() {
-	if !o.formerPending {
+	if !o.formerWorkersPending {
 		return
 	}
 	now := o.now()
-	// Without a readable record, any worker may run any task until the last lease has run out.
+	// Without a readable record, any worker may run any task until the last lease has expired.
 	o.recordUnreadable = o.recordUnreadable && now < o.formerLeasesUntil
-	o.formerPending, o.formerAnyTask = o.recordUnreadable, o.recordUnreadable
+	o.formerWorkersPending, o.formerTasksUnknown = o.recordUnreadable, o.recordUnreadable
 	for _, s := range o.sessionsByBoot() {
-		if s.listedAfterFormer() || now >= s.former.leasesEnd {
+		if s.listedAll() || now >= s.former.leasesEnd {
 			o.resolveFormer(s)
 		}
 		if s.former.pending {
-			o.formerPending = true
-			o.formerAnyTask = o.formerAnyTask || !s.former.listed
+			o.formerWorkersPending = true
+			o.formerTasksUnknown = o.formerTasksUnknown || !s.former.listed
 		}
 	}
-	if !o.formerPending {
+	if !o.formerWorkersPending {
 		o.finishTakeover()
 		o.log.Info().Str("event", "takeover_complete").Dur("after", now-o.tookOverAt).Send()
 	}
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // finishTakeover does what has to wait until all workers of former owners are resolved.
@@ -82,8 +82,8 @@
 	o.failRestoredPoison()
 }
 
-// mayRunElsewhere reports whether a task may be running, or have ended, at a worker that has not
+// mayRunAtPendingWorker reports whether a former owner may have started a task at a worker that has not
 // reported since the takeover.
-func (o *Owner) mayRunElsewhere(t *jobs.Task) bool {
-	return t.PossibleWorkers > 0 || o.formerAnyTask && t.Step.Job.Restored
+func (o *Owner) mayRunAtPendingWorker(t *jobs.Task) bool {
+	return t.PossibleWorkers > 0 || o.formerTasksUnknown && t.Step.Job.Restored
 }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -19,7 +19,7 @@
 		s.resolve(schema.CallOutcomeOk)
 	}
 	for i, j := range b.jobs {
-		j.MarkLossesPersisted(b.evidence[i])
+		j.MarkLossesPersisted(b.lossesVersions[i])
 		o.sendDeferred(j)
 		if b.states[i].Final() {
 			j.PersistedState = b.states[i]
@@ -37,7 +37,7 @@
 	}
 	o.acknowledge(b)
 	o.failRefused()
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 func (o *Owner) acknowledge(b *batch) {
@@ -62,7 +62,7 @@
 		return
 	}
 	o.refuseQueued()
-	time.AfterFunc(commitRetryDelay, o.kickCommit)
+	time.AfterFunc(commitRetryDelay, o.requestCommit)
 }
 
 // requeue has the content of a failed batch written again, except for submissions.
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -21,7 +21,7 @@
 type Metrics interface {
 	// Commit counts an attempt to commit a transaction that took d.
 	Commit(d time.Duration, err error)
-	// Poll counts a poll of a worker, with which the owner renews the leases of its tasks there.
+	// Poll counts a poll of a worker.
 	Poll(err error)
 	// Order counts an order to start, stop or throttle an attempt.
 	Order(err error)
@@ -61,7 +61,7 @@
 	Rows     platform.Rows
 	Workers  platform.Workers
 	Machines platform.Machines
-	Adviser  platform.Adviser // of the advice service, which permits steps to run at boots
+	Adviser  platform.Adviser // of the advice service, which permits steps to run on workers
 
 	Metrics Metrics
 	Log     zerolog.Logger
@@ -99,29 +99,29 @@
 	unreadableJobs   map[string]bool               // IDs of stored jobs that could not be decoded
 	recordUnreadable bool                          // the stored record of leased workers could not be decoded
 	accounts         accounts                      // quota shares and limits of client accounts
-	sessions         map[string]*session           // by boot
+	sessions         map[string]*session           // by boot; each tracks the attempts, leases and orders at one boot of a worker
 	currentSessions  map[string]*session           // latest boot of each worker, by worker ID
-	endedBootTokens  map[string]int64              // tokens above firstToken of workers whose boot has ended, by worker ID
+	endedBootTokens  map[string]int64              // last token of workers whose boot has ended, by worker ID, if it was raised above firstToken
 	sortedSessions   []*session                    // sessions by boot, nil when stale
 	advices          map[*jobs.StepRun]*advice     // of the advice service, on steps whose queue requires it
 	durations        map[string]*durationStats     // by queue
 	suspects         map[*jobs.Task]struct{}       // tasks with worker losses counted against them
-	deferredStarts   map[*jobs.Job][]deferredStart // starts that wait until their provisional loss is stored
+	deferredStarts   map[*jobs.Job][]deferredStart // starts to be sent once the provisional loss of their worker is stored
 	unreportedLoss   bool                          // a former owner's worker was lost before it reported to this owner
 	rate             startrate.Limiter             // limits starts while the CPU or network link of this owner is saturated
 	arrivals         arrivals                      // recently accepted jobs, to predict demand
 	hasWaitingTasks  bool                          // startable tasks were found by the last placement pass
 
-	lastOwnedAt       time.Duration // last time at which the table service confirmed that this entry is the owner
+	ownedAt           time.Duration // last time at which the table service confirmed that this entry is the owner
 	readingOwnerRow   bool          // a read of the owner row is in progress
 	unconfirmedLogged bool          // the missing confirmation was logged
 
-	formerPending     bool          // a worker of a former owner has not reported yet
-	formerAnyTask     bool          // any restored task may be running at such a worker
-	formerLeasesUntil time.Duration // when all leases renewed by former owners have expired
-	tookOverAt        time.Duration // when this entry took over
-	soleOwnerAt       time.Duration // from when on no former owner can act
-	machinesReadAt    time.Duration // when the VM list was last requested, 0 for never
+	formerWorkersPending bool          // the takeover is incomplete: a worker of a former owner has not reported yet
+	formerTasksUnknown   bool          // any restored task may be at such a worker, not only listed ones
+	formerLeasesUntil    time.Duration // when all leases renewed by former owners have expired
+	tookOverAt           time.Duration // when this entry took over
+	soleOwnerAt          time.Duration // from when on no former owner can act; answers to earlier polls do not complete the takeover
+	machinesReadAt       time.Duration // when the VM list was last requested, 0 for never
 
 	pending         map[string]*submission       // by job ID, until their row is written or refused
 	queued          []*submission                // pending submissions not in a transaction yet
@@ -174,7 +174,7 @@
 		pending: map[string]*submission{}, dirty: map[*jobs.Job]struct{}{}, refusedProgress: map[*jobs.Job]error{}, waiters: map[*jobs.Job][]chan Outcome{},
 	}
 	o.ctx, o.cancel = context.WithCancel(context.Background())
-	o.tookOverAt, o.lastOwnedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
+	o.tookOverAt, o.ownedAt, o.soleOwnerAt = tookOverAt, c.sentAt, tookOverAt+c.formerGrace
 	o.start(stored, workers, cfg.Clock.Now())
 	return o, nil
 }
@@ -200,25 +200,25 @@
 		s.recorded = true
 		o.inheritWorker(s, w)
 	}
-	o.formerPending = o.formerPending || stored.workersUnreadable
-	o.formerAnyTask = o.formerAnyTask || stored.workersUnreadable
+	o.formerWorkersPending = o.formerWorkersPending || stored.workersUnreadable
+	o.formerTasksUnknown = o.formerTasksUnknown || stored.workersUnreadable
 	o.arrivals.since = now
 	o.restoreSuspects()
 	o.setWorkers(workers)
 	o.log.Info().Str("event", "shard_owned").Int("jobs", jobCount).Int("active", len(o.registry.Active())).
 		Int("workers", len(o.sessions)).Int("leased", len(stored.workers)).Send()
 	o.resolveFormerWorkers()
-	if !o.formerPending {
+	if !o.formerWorkersPending {
 		o.finishTakeover()
 	}
 	o.wg.Go(func() { o.commitLoop(o.ctx) })
 	o.wg.Go(func() { o.placeLoop(o.ctx) })
 	o.wg.Go(func() { o.checkLoop(o.ctx) })
-	if o.formerPending && o.soleOwnerAt > now {
+	if o.formerWorkersPending && o.soleOwnerAt > now {
 		o.wg.Go(o.awaitPredecessor)
 	}
 	o.checkOwnership(now)
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 func (o *Owner) now() time.Duration { return o.cfg.Clock.Now() }
@@ -235,7 +235,7 @@
 	defer o.mu.Unlock()
 	o.accounts.retainRemoved(o.catalog, c)
 	o.catalog = c
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // superseded gives the shard up because a worker has seen a higher fencing token.
--- a/pkg/shard/predecessor.go
+++ b/pkg/shard/predecessor.go
@@ -14,14 +14,15 @@
 // Workers tell the two owners apart by fencing tokens, but forget these when they restart, and a
 // task could run twice. The protocol of a takeover is therefore:
 //
-//  1. The new owner starts no job stored before the takeover while a former owner may act.
-//  2. This ends when the predecessor's confirmation has expired, its process is known to have
-//     ended, or it confirms that it has stopped. A planned release leaves nothing to wait for.
-//  3. Each worker is polled once more, to learn what was started there in the meantime.
+//  1. Tasks of jobs stored before the takeover wait while a worker that may run them has not
+//     reported. A planned release lists these tasks; otherwise it is all of them.
+//  2. The new owner waits until no former owner can act: the predecessor's confirmation has
+//     expired, its process is known to have ended, or it confirms that it has stopped.
+//  3. Each worker is then polled once more, to learn what was started there in the meantime.
 
 const (
-	// maxConfirmedWithDrift is the longest time by our clock that ConfirmationTTL takes by another one.
-	maxConfirmedWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
+	// confirmationTTLWithDrift is how long ConfirmationTTL by another entry's clock may last by ours.
+	confirmationTTLWithDrift = ConfirmationTTL * (1000 + 2*maxClockDriftPerMille) / 1000
 	// predecessorPollInterval is how often to check whether the predecessor's process has ended. It
 	// doesn't divide checkInterval, so that the log order is deterministic.
 	predecessorPollInterval = 47 * time.Millisecond
@@ -36,7 +37,7 @@
 
 // Values of PredecessorEnd.
 const (
-	PredecessorLapsed    PredecessorEnd = "right_lapsed"  // its confirmation of ownership has expired
+	PredecessorExpired   PredecessorEnd = "right_lapsed"  // its confirmation of ownership has expired
 	PredecessorEnded     PredecessorEnd = "process_ended" // its process has ended
 	PredecessorStoodDown PredecessorEnd = "stood_down"    // it has confirmed that it stopped
 )
@@ -63,8 +64,8 @@
 func (o *Owner) awaitPredecessor() {
 	ctx, done := context.WithTimeout(o.ctx, o.soleOwnerAt-o.now())
 	defer done()
-	end := PredecessorLapsed
-	if pause.For(ctx, o.claim.earlierGrace) == nil {
+	end := PredecessorExpired
+	if pause.For(ctx, o.claim.graceWithoutPredecessor) == nil {
 		end = o.watchPredecessor(ctx)
 	}
 	o.mu.Lock()
@@ -103,7 +104,7 @@
 		case <-poll.C:
 		case <-ctx.Done():
 			poll.Stop()
-			return PredecessorLapsed
+			return PredecessorExpired
 		}
 	}
 }
@@ -123,9 +124,9 @@
 }
 
 // awaited reports whether tasks wait for the next report of a worker, which lists the attempts
-// that former owners have started there. Such a poll must not wait for an attempt to end.
+// that former owners have started there. The worker must answer that poll at once.
 func (s *session) awaited(now time.Duration) bool { return s.former.pending && now >= s.former.safeAt }
 
-// listedAfterFormer reports whether a worker has listed its attempts since the last moment at which
-// a former owner could start any.
-func (s *session) listedAfterFormer() bool { return s.synced && s.answeredPollAt >= s.former.safeAt }
+// listedAll reports whether a worker has listed its attempts in answer to a poll sent after
+// the last moment at which a former owner could start any there.
+func (s *session) listedAll() bool { return s.attemptsKnown && s.answeredPollAt >= s.former.safeAt }
--- a/pkg/shard/release.go
+++ b/pkg/shard/release.go
@@ -64,7 +64,7 @@
 	for _, s := range o.sessions {
 		// Orders to a worker that does not answer are not waited for: the stored record tells
 		// the next owner about it.
-		if s.unansweredCalls == 0 && (s.startsInFlight > 0 || s.inDoubt) {
+		if s.unansweredCalls == 0 && (s.startsInFlight > 0 || s.outcomeUnknown) {
 			return false
 		}
 	}
@@ -116,7 +116,7 @@
 func (o *Owner) putRemainingWorkers(b *batch) error {
 	var named, bare [recordParts][]leasedWorker
 	for _, s := range o.sessionsByBoot() {
-		if !s.recorded || s.synced && !s.former.pending && s.idle() {
+		if !s.recorded || s.attemptsKnown && !s.former.pending && s.idle() {
 			continue
 		}
 		part := partOf(s.worker)
--- a/pkg/shard/report.go
+++ b/pkg/shard/report.go
@@ -19,7 +19,7 @@
 	if s.ends.hasUnstored() {
 		// An end that changes no job is acknowledged only after a commit has run, which
 		// nothing else would request.
-		o.kickCommit()
+		o.requestCommit()
 	}
 	seen := make(map[string]bool, len(r.Running)+len(r.Ended))
 	for i := range r.Ended {
@@ -136,10 +136,10 @@
 		Int64("end", e.Seq).Int64("acknowledged", s.ends.stored).Str("reason", string(e.Reason)).Send()
 }
 
-// resolveInDoubt drops the attempts whose start got no answer and that the report lacks. The
+// resolveUnknownStarts drops the attempts whose start got no answer and that the report lacks. The
 // poll carried a higher token, so those orders can't be carried out any more.
-func (o *Owner) resolveInDoubt(s *session, sentAt time.Duration) {
-	s.inDoubt = false
+func (o *Owner) resolveUnknownStarts(s *session, sentAt time.Duration) {
+	s.outcomeUnknown = false
 	for name, a := range sortedByKey(s.attempts) {
 		if a.Phase != jobs.PhaseInDoubt || a.startConfirmedAt > 0 {
 			continue
@@ -147,7 +147,7 @@
 		// One report is enough for an unanswered start, so that its task is not delayed. Two are
 		// needed if the start may have reached the next boot.
 		if a.countedLostBoot != "" && !a.markMissing() {
-			s.inDoubt = true
+			s.outcomeUnknown = true
 			continue
 		}
 		o.log.Info().Str("event", "start_settled").Str("task", name).Int64("attempt", a.Number).
@@ -165,7 +165,7 @@
 		if a.countedLostBoot != "" {
 			o.confirmLoss(a.Task, a.countedLostBoot)
 		}
-		o.kickPlacement()
+		o.requestPlacement()
 	}
 }
 
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -18,7 +18,7 @@
 // rackLabelPrefix starts the labels that name a rack.
 const rackLabelPrefix = "r"
 
-// session is the owner's view of one boot of a worker, guarded by the owner's lock.
+// session is the owner's state of one boot of a worker, guarded by the owner's lock.
 type session struct {
 	ref    platform.WorkerRef
 	worker string // ID, shared by all boots of the worker
@@ -27,7 +27,7 @@
 
 	listed         bool          // it is in the directory
 	recorded       bool          // the stored record names it, so that the next owner contacts it
-	synced         bool          // it has reported its attempts since our first token reached it
+	attemptsKnown  bool          // it has reported its attempts since our first token reached it
 	answeredPollAt time.Duration // when the last answered poll was sent
 	draining       bool
 	ended          bool // the boot has ended
@@ -38,14 +38,14 @@
 	attempts        map[string]*workerAttempt      // by task name; changed by addAttempt and removeAttempt only
 	foreign         map[foreignKey]*foreignAttempt // running there and not wanted
 	hostCache       *placement.Host                // placement's view, nil when stale
-	token           int64                          // fencing token of the orders
+	token           int64                          // fencing token of the orders, raised when the outcome of one is unknown
 	orders          []*queuedOrder                 // queued, in order
 	senders         int                            // goroutines that send them
 	startsInFlight  int                            // start orders without an answer yet
-	inDoubt         bool                           // a start order got no answer; a poll with a higher token resolves it
+	outcomeUnknown  bool                           // the worker may have accepted an unanswered start or acknowledgement; a poll with a higher token resolves it
 	unansweredCalls int                            // polls and orders in a row without an answer
 	silentSince     time.Duration                  // when the first of those was noticed, 0 if none
-	retryNow        bool                           // a single poll failed: repeat it without a pause
+	retryNow        bool                           // the last poll was the first to fail: repeat it without a pause
 	health          workerHealth                   // recent failures of attempts there
 	lossCounted     bool                           // its loss was counted against the tasks there
 	trial           *trial                         // trial that it is reserved for, nil for none
@@ -87,10 +87,10 @@
 // requestPoll makes the poll loop plan its next poll anew.
 func (s *session) requestPoll() { pause.Wake(s.wake) }
 
-// markInDoubt records that the outcome of an order is unknown. The worker gets no tasks until a
-// poll has resolved it; a poll that waits for an end is canceled so that this happens soon.
-func (s *session) markInDoubt() {
-	s.inDoubt = true
+// markOutcomeUnknown records that the outcome of an order is unknown, and cancels a poll that waits for
+// an end. The worker gets no tasks until another poll has resolved the outcome.
+func (s *session) markOutcomeUnknown() {
+	s.outcomeUnknown = true
 	s.interruptPoll()
 }
 
@@ -112,7 +112,7 @@
 
 // usable reports whether new tasks may start at the worker, trials included.
 func (s *session) usable(now time.Duration) bool {
-	return s.listed && s.recorded && s.synced && !s.draining && !s.ended && !s.inDoubt && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
+	return s.listed && s.recorded && s.attemptsKnown && !s.draining && !s.ended && !s.outcomeUnknown && s.unansweredCalls == 0 && now >= s.pausedUntil && now >= s.cordonedUntil && !s.outOfUse()
 }
 
 // outOfUse reports whether the worker's zone is out of use, so that nothing starts there.
@@ -133,12 +133,12 @@
 
 // needsPoll reports whether there is a reason to poll the worker.
 func (s *session) needsPoll(now time.Duration) bool {
-	return !s.ended && (!s.synced || s.awaited(now) || s.unansweredCalls > 0 || s.inDoubt || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
+	return !s.ended && (!s.attemptsKnown || s.awaited(now) || s.unansweredCalls > 0 || s.outcomeUnknown || len(s.attempts) > 0 || len(s.foreign) > 0 || s.ends.hasUnstored() || s.ends.ackDeferred)
 }
 
 // idle reports whether nothing of this shard is or may be at the worker.
 func (s *session) idle() bool {
-	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.inDoubt && !s.ends.hasUnstored()
+	return len(s.attempts) == 0 && len(s.foreign) == 0 && s.startsInFlight == 0 && !s.outcomeUnknown && !s.ends.hasUnstored()
 }
 
 // recordEntry returns the stored entry for a worker where tasks may start at any time.
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -56,7 +56,7 @@
 	o.persist(t.Step.Job, true)
 }
 
-// retractBootLosses removes the losses at a boot that is alive, as its report shows. If a task with
+// retractBootLosses removes the losses at a boot that still runs, as its report shows. If a task with
 // other losses still runs there, a provisional loss is recorded again, and a worker with a trial is
 // reserved again. Otherwise the next owner might start a crashing task beside the one in the trial.
 func (o *Owner) retractBootLosses(s *session, r *platform.WorkerReport) {
@@ -148,7 +148,7 @@
 }
 
 // markUnrecordedEnded marks the losses at boots that the record of workers no longer names as ended.
-// The record names each boot that was sent a start until the boot has ended or runs nothing of ours.
+// The record names each boot that was sent a start until the boot has ended or runs no task of this shard.
 func (o *Owner) markUnrecordedEnded(t *jobs.Task) {
 	if o.recordUnreadable {
 		return
--- a/pkg/shard/workers.go
+++ b/pkg/shard/workers.go
@@ -9,8 +9,8 @@
 // tokensPerTerm is the number of fencing tokens reserved for each term of ownership.
 const tokensPerTerm = 1 << 20
 
-// firstToken returns this term's first token for a worker. Later ones are higher: the token is raised
-// to invalidate unanswered orders.
+// firstToken returns this term's first fencing token for a worker. It is raised to have the worker
+// refuse unanswered orders that arrive late.
 func (o *Owner) firstToken() int64 { return o.claim.Term*tokensPerTerm + 1 }
 
 // addSession creates the session of a boot and starts its poll loop.
@@ -58,14 +58,14 @@
 		}
 		if s.unansweredCalls > 0 {
 			o.expireLeases(s)
-		} else if s.synced && s.idle() && !s.former.pending {
+		} else if s.attemptsKnown && s.idle() && !s.former.pending {
 			o.bootEnded(s, "not listed and idle")
 		}
 	}
 	if o.record.dirty {
-		o.kickCommit()
+		o.requestCommit()
 	}
-	o.kickPlacement()
+	o.requestPlacement()
 }
 
 // listWorker applies a boot's directory entry and returns its session, nil if the entry is
@@ -94,9 +94,9 @@
 	if s = o.sessions[w.Boot]; s != nil && o.currentSessions[s.worker] == s {
 		return s, false // fast path for unchanged entries
 	}
-	id, born := platform.ParseBootID(w.Boot)
+	id, bootStart := platform.ParseBootID(w.Boot)
 	s = o.currentSessions[id]
-	if s != nil && born == 0 {
+	if s != nil && bootStart == 0 {
 		return s, false
 	}
 	if s != nil && !startedAfter(w.Boot, s.ref.Boot) {
@@ -121,11 +121,11 @@
 	if len(s.attempts) > 0 {
 		o.log.Warn().Str("event", "leases_lapsed").Str("boot", s.ref.Boot).Int("attempts", len(s.attempts)).Send()
 	}
-	o.handleLoss(s, LossLapsed)
+	o.handleLoss(s, LossLeasesExpired)
 	clear(s.foreign)
 	s.hostCache = nil
-	s.inDoubt = false
-	s.synced = false
+	s.outcomeUnknown = false
+	s.attemptsKnown = false
 	if !s.listed {
 		o.bootEnded(s, "not listed and not answering")
 		return
@@ -148,12 +148,12 @@
 		delete(o.currentSessions, s.worker)
 	}
 	if s.token > o.firstToken() {
-		// The boot may be alive, with only its directory entry expired. It would refuse the
+		// The boot may still run, with only its directory entry expired. It would refuse the
 		// first token, and this owner would take that for a later owner's fencing.
 		o.endedBootTokens[s.worker] = s.token
 	}
 	o.sortedSessions = nil
 	o.record.markChanged(s.worker)
 	o.resolveFormerWorkers()
-	o.kickCommit()
+	o.requestCommit()
 }
