--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -31,7 +31,7 @@
 	Record
 	Steps          []*StepRun    // of all expanded occurrences, ordered by occurrence and step
 	State          State         // current state, possibly not persisted yet
-	PersistedState State         // last persisted state, the one reported to clients
+	ReportedState State         // last persisted state, the one reported to clients
 	Started        bool          // a task has started
 	AddedAt        time.Duration // on the owner's clock; negative if accepted before that clock started
 	Restored       bool          // a former owner persisted it
--- a/pkg/jobs/occurrence.go
+++ b/pkg/jobs/occurrence.go
@@ -34,7 +34,7 @@
 
 // newJob returns a job. Its only occurrence is expanded unless it runs on a schedule.
 func newJob(id string, r Record, now time.Duration) *Job {
-	j := &Job{ID: id, Record: r, State: StateQueued, PersistedState: StateQueued, AddedAt: now, progressRows: 1}
+	j := &Job{ID: id, Record: r, State: StateQueued, ReportedState: StateQueued, AddedAt: now, progressRows: 1}
 	if r.Spec.Times == 0 {
 		j.expand(0)
 		j.nextOccurrence = 1
--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -96,7 +96,7 @@
 func (j *Job) restore(p Progress) {
 	j.progressRows = max(j.progressRows, p.Rows)
 	if p.State.Final() {
-		j.State, j.PersistedState, j.Started, j.restoredFinal = p.State, p.State, true, true
+		j.State, j.ReportedState, j.Started, j.restoredFinal = p.State, p.State, true, true
 		if p.Stopping != nil {
 			j.restoredUsage = *p.Stopping
 		}
@@ -110,7 +110,7 @@
 		j.restoreStep(&p.Steps[i])
 	}
 	j.collectSteps()
-	j.PersistedState = j.derivedState()
+	j.ReportedState = j.derivedState()
 	j.State = j.derivedState()
 }
 
--- a/pkg/jobs/registry.go
+++ b/pkg/jobs/registry.go
@@ -168,8 +168,8 @@
 	if j.State == StateQueued {
 		j.State = StateRunning
 	}
-	if j.PersistedState == StateQueued {
-		j.PersistedState = StateRunning // derivable from workers' reports, so it is not persisted
+	if j.ReportedState == StateQueued {
+		j.ReportedState = StateRunning // derivable from workers' reports, so it is not persisted
 	}
 }
 
--- a/pkg/shard/calls.go
+++ b/pkg/shard/calls.go
@@ -122,7 +122,7 @@
 		o.mu.Unlock()
 		return out
 	}
-	if j.PersistedState.Final() {
+	if j.ReportedState.Final() {
 		o.mu.Unlock()
 		return schema.CallOutcomeOk
 	}
@@ -150,7 +150,7 @@
 	if out != schema.CallOutcomeOk {
 		return "", out
 	}
-	return j.PersistedState, out
+	return j.ReportedState, out
 }
 
 // find returns a job that the requester may see; one of another account is reported as not found.
@@ -183,7 +183,7 @@
 
 // answerWaiters answers the calls that wait for the final state of a job; the lock is held.
 func (o *Owner) answerWaiters(j *jobs.Job) {
-	if !j.PersistedState.Final() {
+	if !j.ReportedState.Final() {
 		return
 	}
 	for _, done := range o.waiters[j] {
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -22,7 +22,7 @@
 		j.MarkLossesPersisted(b.evidence[i])
 		o.sendDeferred(j)
 		if b.states[i].Final() {
-			j.PersistedState = b.states[i]
+			j.ReportedState = b.states[i]
 			o.finalJobs = append(o.finalJobs, finalJob{id: j.ID, at: now})
 		}
 		o.answerWaiters(j)
