--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -125,8 +125,8 @@
 // Finished reports whether all tasks are done.
 func (s *StepRun) Finished() bool { return s.done == len(s.Tasks) }
 
-// CountWaiting returns the number of idle tasks.
-func (s *StepRun) CountWaiting() int { return len(s.Tasks) - s.done - s.attempted }
+// CountIdle returns the number of idle tasks.
+func (s *StepRun) CountIdle() int { return len(s.Tasks) - s.done - s.attempted }
 
 // Due returns when the step's occurrence may start, as the time since the Unix epoch, or 0 for
 // immediately.
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -32,7 +32,7 @@
 		switch {
 		case task.Done:
 		case s.Spec.Gang:
-			if s.CountWaiting() == len(s.Tasks) {
+			if s.CountIdle() == len(s.Tasks) {
 				reg.StartGang(s, []string{"w", "w"}, 0)
 			}
 		default:
@@ -61,8 +61,8 @@
 				idle++
 			}
 		}
-		if s.CountWaiting() != idle {
-			t.Fatalf("step %d: CountWaiting is %d, want %d", s.Index, s.CountWaiting(), idle)
+		if s.CountIdle() != idle {
+			t.Fatalf("step %d: CountWaiting is %d, want %d", s.Index, s.CountIdle(), idle)
 		}
 	}
 }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -210,7 +210,7 @@
 // startableTasks returns the waiting tasks of a step, and the running stragglers that want a
 // speculative copy; with includeAwaiting also those that wait until the takeover is complete.
 func (o *Owner) startableTasks(s *jobs.StepRun, includeAwaiting bool) (tasks []*jobs.Task) {
-	if s.CountWaiting() == 0 && !s.Spec.Speculative {
+	if s.CountIdle() == 0 && !s.Spec.Speculative {
 		return nil
 	}
 	for _, t := range s.Tasks {
