--- a/pkg/node/accounts.go
+++ b/pkg/node/accounts.go
@@ -60,7 +60,7 @@
 			defer mu.Unlock()
 			for _, u := range l.Accounts.Accounts {
 				all[u.Account] = append(all[u.Account], api.AccountInPool{
-					Pool: pool, Bound: l.Accounts.Enforced, Running: u.Running, Wanted: u.Demand, Share: u.Share,
+					Pool: pool, Bound: l.Accounts.Enforced, Running: u.Running, Wanted: u.Demand, Share: u.MaxShare,
 				})
 			}
 		})
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -65,7 +65,7 @@
 		return
 	}
 	for account, u := range st.usage {
-		st.usage[account] = Usage{Account: account, Share: u.Share} // without work unless reported
+		st.usage[account] = Usage{Account: account, MaxShare: u.MaxShare} // without work unless reported
 	}
 	for _, u := range r.Accounts {
 		st.usage[u.Account] = u
@@ -91,7 +91,7 @@
 // the reported share: a former owner may have used a share that was not persisted.
 func (st *status) maxShare(account string) float64 {
 	u := st.usage[account]
-	most := max(u.Share, u.Running)
+	most := max(u.MaxShare, u.Running)
 	for _, s := range st.unacked[account] {
 		most = max(most, s.share)
 	}
--- a/pkg/quota/allocator_test.go
+++ b/pkg/quota/allocator_test.go
@@ -19,7 +19,7 @@
 			}
 			r := s.Report()
 			r.Full = true
-			r.Accounts = []Usage{{Account: "a", Demand: demand[name], MinStart: demand[name] / 2, Share: s.MaxShare("a")}}
+			r.Accounts = []Usage{{Account: "a", Demand: demand[name], MinStart: demand[name] / 2, MaxShare: s.MaxShare("a")}}
 			a.HandleReport(name, r)
 		}
 	}
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -188,7 +188,7 @@
 	if m.f.capsRunning {
 		running = min(running, share)
 	}
-	r.Accounts = []Usage{{Account: "a", Running: running, Demand: demand, MinStart: taskSize, Share: share}}
+	r.Accounts = []Usage{{Account: "a", Running: running, Demand: demand, MinStart: taskSize, MaxShare: share}}
 	m.reports = append(m.reports, message[Report]{pool: pool, allocator: allocator, body: r})
 }
 
--- a/pkg/shard/accountreport.go
+++ b/pkg/shard/accountreport.go
@@ -43,7 +43,7 @@
 		u := uses[account]
 		if u == nil {
 			running := placement.MaxFraction(o.registry.Allocated(account).Add(unregistered[account]), o.limitOf(account))
-			u = &quota.Usage{Account: account, Running: running, Demand: running, Share: o.accounts.shares.MaxShare(account)}
+			u = &quota.Usage{Account: account, Running: running, Demand: running, MaxShare: o.accounts.shares.MaxShare(account)}
 			uses[account] = u
 		}
 		return u
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -247,7 +247,7 @@
 	fmt.Fprintf(&out, "holder %d, grant %d, bound %v\n", l.Accounts.Term, l.Accounts.Seq, l.Accounts.Enforced)
 	slices.SortFunc(l.Accounts.Accounts, func(a, b quota.Usage) int { return strings.Compare(a.Account, b.Account) })
 	for _, u := range l.Accounts.Accounts {
-		fmt.Fprintf(&out, "%s: running %.2f, wanted %.2f, step %.2f, share %.2f\n", u.Account, u.Running, u.Demand, u.MinStart, u.Share)
+		fmt.Fprintf(&out, "%s: running %.2f, wanted %.2f, step %.2f, share %.2f\n", u.Account, u.Running, u.Demand, u.MinStart, u.MaxShare)
 	}
 	return out.String()
 }
