--- a/pkg/jobs/registry.go
+++ b/pkg/jobs/registry.go
@@ -278,8 +278,8 @@
 	return true
 }
 
-// MarkReconciled records that every worker that may run tasks of restored jobs has reported.
-func (reg *Registry) MarkReconciled() {
+// MarkAllReported records that every worker that may run tasks of restored jobs has reported.
+func (reg *Registry) MarkAllReported() {
 	reg.All(func(j *Job) { j.reconciled = true })
 }
 
--- a/pkg/shard/inherited.go
+++ b/pkg/shard/inherited.go
@@ -78,7 +78,7 @@
 
 // finishTakeover does what has to wait until all workers of former owners are resolved.
 func (o *Owner) finishTakeover() {
-	o.registry.MarkReconciled()
+	o.registry.MarkAllReported()
 	o.failRestoredPoison()
 }
 
