--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -68,9 +68,9 @@
 	return &g
 }
 
-// forecastGrowth returns by how much a pool's demand is expected to grow within forecastHorizon,
+// updateTrend returns by how much a pool's demand is expected to grow within forecastHorizon,
 // in thousandths of a core.
-func (r *Runner) forecastGrowth(pool string, demand int) int {
+func (r *Runner) updateTrend(pool string, demand int) int {
 	now := r.now()
 	t := r.trends[pool]
 	if t.at > 0 && now > t.at {
@@ -95,7 +95,7 @@
 		} else {
 			s.Movable = r.movableVMs(s, machines, reserved, leaving[s.Name])
 		}
-		s.SurplusSteps = r.countSurplus(s)
+		s.SurplusSteps = r.updateSurplus(s)
 	}
 	return pools
 }
@@ -107,9 +107,9 @@
 	for name, l := range loads {
 		s := &PoolState{Name: name, Load: l, Supply: l.Workers}
 		if s.Load.VMCapacity.CPU == 0 {
-			s.Load.VMCapacity = typicalCapacity(name, machines)
+			s.Load.VMCapacity = largestCapacity(name, machines)
 		}
-		s.Load.Waiting.CPU += r.forecastGrowth(name, l.Used.CPU+l.Waiting.CPU)
+		s.Load.Waiting.CPU += r.updateTrend(name, l.Used.CPU+l.Waiting.CPU)
 		pools[name] = s
 	}
 	if spare := r.sparePool(); spare != "" {
@@ -118,9 +118,9 @@
 	return pools
 }
 
-// typicalCapacity estimates the VM capacity for a pool without usable workers: that of the pool's
+// largestCapacity estimates the VM capacity for a pool without usable workers: that of the pool's
 // largest VM, or else of the largest VM in the fleet. Without it the pool would never get a VM.
-func typicalCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
+func largestCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
 	own := false
 	for _, m := range machines {
 		inPool := m.Pool == pool
@@ -181,9 +181,9 @@
 	return movable
 }
 
-// countSurplus returns the number of consecutive steps in which a pool had more VMs than its target
+// updateSurplus returns the number of consecutive steps in which a pool had more VMs than its target
 // size.
-func (r *Runner) countSurplus(s *PoolState) int {
+func (r *Runner) updateSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
 	}
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -44,7 +44,7 @@
 	Wave  int           `msgpack:"w,omitempty"` // ID of the maintenance wave, 0 for a move
 }
 
-var announcementKey = platform.RowKey{Table: tableProgress, Partition: Partition, Key: "orders"}
+var announcementKey = platform.RowKey{Table: tableMaintenance, Partition: Partition, Key: "orders"}
 
 // readAnnouncement reads the announcement and updates the estimate of the table service's clock.
 func (r *Runner) readAnnouncement(ctx context.Context) (a announcement, err error) {
@@ -109,9 +109,9 @@
 	return a, nil
 }
 
-// inForce reports whether another holder must still delay its orders after an order that was sent
+// withinOrderGap reports whether another holder must still delay its orders after an order that was sent
 // no later than the given time of the table service's clock.
-func (r *Runner) inForce(until, now time.Duration) bool {
+func (r *Runner) withinOrderGap(until, now time.Duration) bool {
 	return r.clock.earliest(now) < until+orderTransit+r.cfg.OrderGap
 }
 
@@ -158,7 +158,7 @@
 	for _, row := range conflict.Rows {
 		switch {
 		case row.RowKey == ownerRow.RowKey && row.Version != ownerRow.Version:
-			r.relinquish()
+			r.giveUp()
 			return
 		case row.RowKey == announcementKey && row.Version != r.announcedVersion:
 			a, err := decodeAnnouncement(row)
@@ -182,7 +182,7 @@
 	next := map[string]time.Duration{}
 	for _, known := range []map[string]time.Duration{r.formerOrders, r.announced} {
 		for vm, until := range known {
-			if r.inForce(until, now) {
+			if r.withinOrderGap(until, now) {
 				next[vm] = max(next[vm], until)
 			}
 		}
@@ -247,7 +247,7 @@
 		} else {
 			until = r.formerOrders[vm]
 		}
-		if until = max(until, r.formerOrders[vm]); r.inForce(until, now) {
+		if until = max(until, r.formerOrders[vm]); r.withinOrderGap(until, now) {
 			orders[vm] = until
 		}
 	}
--- a/pkg/fleetops/large_test.go
+++ b/pkg/fleetops/large_test.go
@@ -43,7 +43,7 @@
 		second := s.open(c, "second", since)
 		defer second.Close()
 		time.Sleep(35 * time.Second)
-		page, err := s.rows.As("second").ListRows(context.Background(), tableProgress, Partition, "1")
+		page, err := s.rows.As("second").ListRows(context.Background(), tableMaintenance, Partition, "1")
 		c.Assert(err, qt.IsNil)
 		var p waveProgress
 		c.Assert(msgpack.Unmarshal(page.Rows[0].Value, &p), qt.IsNil)
--- a/pkg/fleetops/maintain.go
+++ b/pkg/fleetops/maintain.go
@@ -86,7 +86,7 @@
 		case v.Phase == PhaseOrdered && v.returned(m, r.now(), r.cfg.MaintenanceTime):
 			r.setPhase(w, v, PhaseDone, "the VM is up again")
 		case v.Phase != PhaseOrdered && m.State == platform.MachineMaintenance && w.ID != 0 && r.formerWaves[v.Name] == w.ID:
-			v.Worker, v.confirmedAt = m.Worker, r.now()
+			v.Worker, v.acceptedAt = m.Worker, r.now()
 			r.setPhase(w, v, PhaseOrdered, "a former holder ordered the maintenance")
 		}
 	}
@@ -104,7 +104,7 @@
 func (r *Runner) waveOrders(w *wave, machines map[string]platform.Machine) (due []vmOrder) {
 	for _, v := range w.vms {
 		m := machines[v.Name]
-		unanswered := v.Phase == PhaseOrdered && v.confirmedAt == 0 && m.State == platform.MachineUp && m.Worker == v.Worker
+		unanswered := v.Phase == PhaseOrdered && v.acceptedAt == 0 && m.State == platform.MachineUp && m.Worker == v.Worker
 		if v.Phase == PhaseDraining || unanswered { // resend an unanswered order, which may be lost
 			due = append(due, vmOrder{vm: v.Name, pool: m.Pool, send: func(ctx context.Context) { r.sendMaintenance(ctx, w, v, m) }})
 		}
@@ -124,7 +124,7 @@
 	case err != nil:
 		r.log.Warn().Str("event", "maintenance_unanswered").Int("wave", w.ID).Str("vm", v.Name).Err(err).Send()
 	default:
-		v.confirmedAt = r.now()
+		v.acceptedAt = r.now()
 	}
 	if v.Phase == PhaseDraining {
 		v.Worker = m.Worker
@@ -150,6 +150,6 @@
 		recent[vm], former[vm] = !r.mayOrderFor(vm), true
 	}
 	light := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Light })
-	tight := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Tight })
-	return View{Machines: machines, Spare: r.sparePool(), Light: light, SlowToDrain: tight, RecentlyOrdered: recent, OrderedByFormer: former, Elapsed: r.now() - w.startedAt}
+	slowToDrain := vmSet(r.lastLoads, func(l shard.Load) []string { return l.Tight })
+	return View{Machines: machines, Spare: r.sparePool(), Light: light, SlowToDrain: slowToDrain, RecentlyOrdered: recent, OrderedByFormer: former, Elapsed: r.now() - w.startedAt}
 }
--- a/pkg/fleetops/orders.go
+++ b/pkg/fleetops/orders.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	if !current {
-		r.relinquish()
+		r.giveUp()
 		return false
 	}
 	r.Confirm(now)
@@ -131,7 +131,7 @@
 func (r *Runner) mayOrderFor(vm string) bool {
 	now := r.now()
 	until, ok := r.formerOrders[vm]
-	return now >= r.noOrdersBefore && (!ok || !r.inForce(until, now))
+	return now >= r.noOrdersBefore && (!ok || !r.withinOrderGap(until, now))
 }
 
 // recordOrder records that an order for a VM is about to be sent.
--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -12,8 +12,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// tableProgress stores the progress of waves and the announcement of orders.
-const tableProgress = "maintenance"
+// tableMaintenance stores the progress of waves and the announcement of orders.
+const tableMaintenance = "maintenance"
 
 // waveProgress is the persisted progress of a wave: the VMs that are done or gone.
 type waveProgress struct {
@@ -46,7 +46,7 @@
 }
 
 func progressKey(id int) platform.RowKey {
-	return platform.RowKey{Table: tableProgress, Partition: Partition, Key: strconv.Itoa(id)}
+	return platform.RowKey{Table: tableMaintenance, Partition: Partition, Key: strconv.Itoa(id)}
 }
 
 // loadProgress reads once which VMs of a wave former holders have maintained.
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -75,12 +75,12 @@
 
 	announcedVersion int64 // version of the announcement row as last read or written, 0 for none
 
-	mu           sync.Mutex
-	confirmedAt  time.Duration // when this entry was last known to be the holder
-	relinquished bool
-	catalog      *catalog.Catalog
-	waves        map[int]*wave            // by ID
-	lastOrder    map[string]time.Duration // when this holder last sent an order, by VM
+	mu          sync.Mutex
+	confirmedAt time.Duration // when this entry was last known to be the holder
+	gaveUp      bool
+	catalog     *catalog.Catalog
+	waves       map[int]*wave            // by ID
+	lastOrder   map[string]time.Duration // when this holder last sent an order, by VM
 }
 
 // Open takes over the fleet operations if their owner row still has the version seen, and starts
@@ -218,14 +218,14 @@
 	return r.catalog.SparePool()
 }
 
-// relinquish stops the run loop after another entry took over.
-func (r *Runner) relinquish() {
+// giveUp stops the run loop after another entry took over.
+func (r *Runner) giveUp() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.relinquished {
+	if r.gaveUp {
 		return
 	}
-	r.relinquished = true
+	r.gaveUp = true
 	r.log.Warn().Str("event", "maintenance_given_up").Send()
 	r.cancel()
 	go r.cfg.OnGivenUp(nil)
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -48,7 +48,7 @@
 	Phase  Phase
 	Worker string // ID of the worker before maintenance, set once ordered
 
-	confirmedAt time.Duration // when the VM service accepted the order, 0 before
+	acceptedAt time.Duration // when the VM service accepted the order, 0 before
 }
 
 // returned reports whether the VM is up again after its maintenance. A switched-off VM shows no
@@ -60,7 +60,7 @@
 	if m.Worker != v.Worker {
 		return true
 	}
-	return v.confirmedAt > 0 && now-v.confirmedAt > takes+maxListLag
+	return v.acceptedAt > 0 && now-v.acceptedAt > takes+maxListLag
 }
 
 // urgent reports whether busy VMs have to be drained for the wave to end in time: half of its time
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -19,9 +19,9 @@
 	// maxProgressRows limits the rows of a job's progress, so that they fit into one transaction
 	// together with other pending rows.
 	maxProgressRows = 8
-	// formatVersioned marks progress that earlier versions of the program cannot decode. They
+	// versionedFormat marks progress that earlier versions of the program cannot decode. They
 	// quarantine the job instead of rerunning tasks that are done.
-	formatVersioned = 2
+	versionedFormat = 2
 )
 
 // ErrTooLarge reports a value that exceeds the size that can be persisted.
@@ -172,7 +172,7 @@
 	if len(p.Finished) == 0 && p.Rows == 0 {
 		return msgpack.Marshal(p)
 	}
-	return msgpack.Marshal([]any{formatVersioned, p})
+	return msgpack.Marshal([]any{versionedFormat, p})
 }
 
 // DecodeProgress reads one row of a job's progress.
@@ -189,7 +189,7 @@
 	if err != nil {
 		return p, err
 	}
-	if format != formatVersioned {
+	if format != versionedFormat {
 		return p, errors.Errorf("unknown format %d", format)
 	}
 	return p, d.Decode(&p)
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -29,12 +29,12 @@
 type Job struct {
 	ID string
 	Record
-	Steps          []*StepRun    // of all expanded occurrences, ordered by occurrence and step
-	State          State         // current state, possibly not persisted yet
+	Steps         []*StepRun    // of all expanded occurrences, ordered by occurrence and step
+	State         State         // current state, possibly not persisted yet
 	ReportedState State         // last persisted state, the one reported to clients
-	Started        bool          // a task has started
-	AddedAt        time.Duration // on the owner's clock; negative if accepted before that clock started
-	Restored       bool          // a former owner persisted it
+	Started       bool          // a task has started
+	AddedAt       time.Duration // on the owner's clock; negative if accepted before that clock started
+	Restored      bool          // a former owner persisted it
 
 	lossesVersion   int // number of changes to the losses of its tasks
 	lossesPersisted int // version of the losses that is persisted
@@ -46,7 +46,7 @@
 
 	restoredUsage platform.Resources // of attempts of a final job, as persisted by a former owner
 	restoredFinal bool               // it was final when restored
-	reconciled    bool               // every worker that may run its tasks has reported to the present owner
+	allReported   bool               // every worker that may run its tasks has reported to the present owner
 }
 
 // StepRun is one step within an occurrence.
@@ -189,7 +189,7 @@
 // its tasks may still run.
 func (j *Job) Unconfirmed() (sum platform.Resources) {
 	switch {
-	case !j.Restored || j.reconciled:
+	case !j.Restored || j.allReported:
 		return sum
 	case j.restoredFinal:
 		return j.restoredUsage
--- a/pkg/jobs/registry.go
+++ b/pkg/jobs/registry.go
@@ -280,7 +280,7 @@
 
 // MarkAllReported records that every worker that may run tasks of restored jobs has reported.
 func (reg *Registry) MarkAllReported() {
-	reg.All(func(j *Job) { j.reconciled = true })
+	reg.All(func(j *Job) { j.allReported = true })
 }
 
 // FailJobOf fails the job of a task that crashes its workers. It reports whether the job was not
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -23,7 +23,7 @@
 	switch {
 	case ok:
 		return account, AdmissionGranted
-	case key != "" && !n.rows.answering():
+	case key != "" && !n.rows.reachable():
 		a = AdmissionUndetermined
 	default:
 		a = AdmissionUnknownKey
--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -15,11 +15,11 @@
 func (n *Node) answerPeer(ctx context.Context, q *schema.Call) *schema.CallReply {
 	switch q.Kind {
 	case schema.CallKindPing:
-		version, claiming := n.ownership.OwnersVersion()
+		version, inDoubt := n.ownership.OwnersVersion()
 		return &schema.CallReply{
 			Outcome: schema.CallOutcomeOk, CatalogVersion: int(n.catalogVersion()),
-			ReachesStore: n.rows.answering(), Start: int(n.self.Start),
-			OwnersVersion: int(version), Claiming: claiming, Stopping: n.stopping.Load(), Owners: n.ownership.RowsSince(int64(q.OwnersVersion)),
+			ReachesStore: n.rows.reachable(), Start: int(n.self.Start),
+			OwnersVersion: int(version), Claiming: inDoubt, Stopping: n.stopping.Load(), Owners: n.ownership.RowsSince(int64(q.OwnersVersion)),
 		}
 	case schema.CallKindStandDown:
 		row := platform.Row{Value: q.OwnerRow, Version: int64(q.OwnersVersion)}
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -20,9 +20,9 @@
 	// ownerWait is how long an internal call waits for a shard to get an owner, long enough
 	// for a handover.
 	ownerWait = 120 * time.Millisecond
-	// clientWait is how long a client's request waits for an owner that accepts it, long
+	// callerWait is how long a client's request waits for an owner that accepts it, long
 	// enough for the takeover from an owner that has failed.
-	clientWait = 2 * time.Second
+	callerWait = 2 * time.Second
 	// ownerRetryInterval is the time before an owner that could not accept a request is asked
 	// again, unless the shard gets a new owner earlier.
 	ownerRetryInterval = 150 * time.Millisecond
@@ -44,7 +44,7 @@
 		return out
 	}
 	call := &schema.Call{Kind: schema.CallKindSubmit, Pool: q.Pool, Queue: q.Name, Job: id, Record: raw}
-	reply := n.callOwnerForClient(ctx, call)
+	reply := n.callOwnerForCaller(ctx, call)
 	n.log.Info().Str("event", "submission").Str("request", id).Str("queue", q.Name).Str("pool", q.Pool).Str("account", account).
 		Int64("catalog", n.catalogVersion()).Str("outcome", string(reply.Outcome)).Send()
 	return reply.Outcome
@@ -63,7 +63,7 @@
 
 // State returns the state of a job.
 func (n *Node) State(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) (jobs.State, schema.CallOutcome) {
-	reply := n.callOwnerForClient(ctx, callFor(schema.CallKindState, q, id, by))
+	reply := n.callOwnerForCaller(ctx, callFor(schema.CallKindState, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
 	}
@@ -99,7 +99,7 @@
 
 // Cancel cancels a job.
 func (n *Node) Cancel(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
-	reply := n.callOwnerForClient(ctx, callFor(schema.CallKindCancel, q, id, by))
+	reply := n.callOwnerForCaller(ctx, callFor(schema.CallKindCancel, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
 	}
@@ -109,7 +109,7 @@
 
 // Waiting returns the number of jobs in a queue that have not started.
 func (n *Node) Waiting(ctx context.Context, q *catalog.Queue) (int, schema.CallOutcome) {
-	reply := n.callOwnerForClient(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
+	reply := n.callOwnerForCaller(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
 	return reply.Waiting, reply.Outcome
 }
 
@@ -118,16 +118,16 @@
 	return n.callOwnerWithin(ctx, q, ownerWait)
 }
 
-// callOwnerForClient sends a client's request to the owner of its shard and, if a new owner can be
+// callOwnerForCaller sends a client's request to the owner of its shard and, if a new owner can be
 // expected, waits for one that accepts it. Requests are idempotent: a job submitted to several
 // owners remains one job.
-func (n *Node) callOwnerForClient(ctx context.Context, q *schema.Call) *schema.CallReply {
+func (n *Node) callOwnerForCaller(ctx context.Context, q *schema.Call) *schema.CallReply {
 	ctx, cancel := n.cancelAtStop(ctx)
 	defer cancel()
 	if !n.newOwnerExpected() {
 		return n.callOwnerWithin(ctx, q, ownerWait)
 	}
-	return n.callOwnerWithin(ctx, q, clientWait)
+	return n.callOwnerWithin(ctx, q, callerWait)
 }
 
 // cancelAtStop returns a context that also ends when a planned stop cancels open requests. The
@@ -154,7 +154,7 @@
 			return reply
 		}
 		unknown = unknown || reply.Outcome == schema.CallOutcomeUnknown
-		if n.shouldRetry(reply, maxWait) && n.awaitOwner(ctx, q.Pool, row.Term, time.Until(deadline)) {
+		if n.shouldRetry(reply, maxWait) && n.waitBeforeRetry(ctx, q.Pool, row.Term, time.Until(deadline)) {
 			continue
 		}
 		if unknown {
@@ -184,11 +184,11 @@
 
 // newOwnerExpected reports whether a shard without an owner should soon get one that this entry can
 // reach.
-func (n *Node) newOwnerExpected() bool { return n.rows.answering() && !n.isolated() }
+func (n *Node) newOwnerExpected() bool { return n.rows.reachable() && !n.isolated() }
 
-// awaitOwner waits for a shard to get another owner than that of a term, at most
+// waitBeforeRetry waits for a shard to get another owner than that of a term, at most
 // ownerRetryInterval; it reports false when maxWait is over or ctx has ended.
-func (n *Node) awaitOwner(ctx context.Context, pool string, term int64, maxWait time.Duration) bool {
+func (n *Node) waitBeforeRetry(ctx context.Context, pool string, term int64, maxWait time.Duration) bool {
 	if maxWait <= 0 {
 		return false
 	}
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -92,7 +92,7 @@
 		return 0, err
 	}
 	wait := longPollWait
-	if f.idle && n.rows.answering() {
+	if f.idle && n.rows.reachable() {
 		wait = idleLongPollWait
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait+bulkReadTimeout)
@@ -191,7 +191,7 @@
 }
 
 func (n *Node) fetchCatalogFrom(c *peer.Caller, version int64) {
-	if n.rows.answering() {
+	if n.rows.reachable() {
 		time.Sleep(peerCatalogDelay)
 	}
 	if n.catalogVersion() >= version {
--- a/pkg/node/local.go
+++ b/pkg/node/local.go
@@ -20,10 +20,10 @@
 }
 
 // ReachesStore implements ownership.Local.
-func (l local) ReachesStore() bool { return l.rows.answering() }
+func (l local) ReachesStore() bool { return l.rows.reachable() }
 
-// StoreAnsweredFor implements ownership.Local.
-func (l local) StoreAnsweredFor() time.Duration { return l.rows.answeringFor() }
+// StoreUptime implements ownership.Local.
+func (l local) StoreUptime() time.Duration { return l.rows.uptime() }
 
 // EntryChanged implements ownership.Local.
 func (l local) EntryChanged() { l.ownership.Wake() }
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -119,7 +119,7 @@
 	n.waitCtx, n.cancelWaits = context.WithCancel(context.Background())
 	n.self = ownership.Member{
 		Name: s.Name, Address: net.JoinHostPort(s.Address, strconv.Itoa(s.Ports[0])), Zone: s.Zone,
-		Start: time.Now().UnixNano(), Share: s.CpuShare,
+		Start: time.Now().UnixNano(), CPUs: s.CpuShare,
 	}
 	n.members = ownership.NewMembers(n.self, rows, log, clock, local{n})
 	rows.onLost = n.members.PingAll
--- a/pkg/node/storemonitor.go
+++ b/pkg/node/storemonitor.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// answeringFor returns for how long calls have been answered, 0 if they are not.
-func (r *storeMonitor) answeringFor() time.Duration {
+// uptime returns for how long calls have been answered, 0 if they are not.
+func (r *storeMonitor) uptime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lost {
@@ -114,8 +114,8 @@
 	return r.clock.Now() - r.answeredAt
 }
 
-// answering reports whether the last call was answered.
-func (r *storeMonitor) answering() bool {
+// reachable reports whether the last call was answered.
+func (r *storeMonitor) reachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.lost
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), MaxLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		MaxRowBytes: n.settings.Store.RowBytes,
 		Rows:        n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.answeringFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
+		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.uptime, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -74,7 +74,7 @@
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
-		BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
+		BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
 	}, seen, cat)
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -101,7 +101,7 @@
 }
 
 // drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
-func (n *Node) drainVM(ctx context.Context, pool, vm string) (empty bool) {
+func (n *Node) drainVM(ctx context.Context, pool, vm string) (drained bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	reply := n.callOwner(ctx, &schema.Call{Kind: schema.CallKindEmpty, Pool: pool, VM: vm})
--- a/pkg/ownership/claim.go
+++ b/pkg/ownership/claim.go
@@ -25,14 +25,14 @@
 	// replaced: after a network partition heals, the service may be reachable before the other
 	// entries are.
 	storeStableTime = 1500 * time.Millisecond
-	// reconcileInterval is the time between two passes over the shards without an event.
-	reconcileInterval = 200 * time.Millisecond
+	// claimInterval is the time between two passes over the shards without an event.
+	claimInterval = 200 * time.Millisecond
 	// claimRetryDelay is the time before a shard is claimed again after a failure.
 	claimRetryDelay = 300 * time.Millisecond
 )
 
-// reconcile claims the shards whose owner is gone and for which this entry is the next candidate.
-func (mgr *Manager) reconcile(ctx context.Context) {
+// claimShards claims the shards whose owner is gone and for which this entry is the next candidate.
+func (mgr *Manager) claimShards(ctx context.Context) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
 	now := mgr.now()
@@ -44,8 +44,8 @@
 		return // a claim could not be committed
 	}
 	candidates := mgr.members.Candidates()
-	load := mgr.load()
-	mgr.rebalance(ctx, candidates, load, now)
+	counts := mgr.shardCounts()
+	mgr.rebalance(ctx, candidates, counts, now)
 	for _, pool := range slices.Sorted(maps.Keys(mgr.shards)) {
 		s := mgr.shards[pool]
 		if !s.loaded || s.owner != nil || s.claiming || now < s.notBefore {
@@ -55,7 +55,7 @@
 		if !gone {
 			continue
 		}
-		rank := mgr.rank(pool, s.row, candidates, load)
+		rank := mgr.rankAndAssign(pool, s.row, candidates, counts)
 		if s.row.Entry == mgr.self.Entry && s.row.Start == mgr.self.Start {
 			rank = 0 // the row names this process, so no other entry claims the shard
 		}
@@ -95,7 +95,7 @@
 		if s.suspectSince == 0 {
 			s.suspectSince = now
 		}
-		if now-s.suspectSince < suspectTimeout || mgr.members.local.StoreAnsweredFor() < storeStableTime {
+		if now-s.suspectSince < suspectTimeout || mgr.members.local.StoreUptime() < storeStableTime {
 			return why, false
 		}
 	}
@@ -113,18 +113,18 @@
 	// A claim must not start before the previous local owner has stopped; if ctx ends first, the
 	// claim fails.
 	awaitClosed(ctx, closed)
-	relinquished := false // the owner gave up the shard before it was installed here
+	gaveUp := false // the owner gave up the shard before it was installed here
 	o, err := mgr.open(ctx, pool, seen, cat, Events{
-		Committing: func() {
+		BeforeTakeover: func() {
 			mgr.mu.Lock()
 			defer mgr.mu.Unlock()
 			s.inDoubt = true
 		},
-		Relinquished: func(error) {
+		OnGivenUp: func(error) {
 			mgr.mu.Lock()
-			relinquished = true
+			gaveUp = true
 			mgr.mu.Unlock()
-			mgr.ownerRelinquished(pool)
+			mgr.ownerGaveUp(pool)
 		},
 	})
 	mgr.mu.Lock()
@@ -142,11 +142,11 @@
 		return
 	}
 	s.inDoubt = false
-	if relinquished {
+	if gaveUp {
 		s.loaded = false
 		s.notBefore = mgr.now() + claimRetryDelay
 	}
-	if relinquished || mgr.stopping || s.version > o.RowVersion() {
+	if gaveUp || mgr.stopping || s.version > o.RowVersion() {
 		s.closeOwner(o)
 		return
 	}
@@ -156,8 +156,8 @@
 	mgr.setRow(pool, s, shard.OwnerRow{Entry: mgr.self.Entry, Start: mgr.self.Start, Address: mgr.self.Address, Term: o.Term()}, o.RowVersion())
 }
 
-// ownerRelinquished records that a local owner has given up its shard.
-func (mgr *Manager) ownerRelinquished(pool string) {
+// ownerGaveUp records that a local owner has given up its shard.
+func (mgr *Manager) ownerGaveUp(pool string) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
 	s := mgr.shards[pool]
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -23,7 +23,7 @@
 
 func (e *unstableEntry) ReachesStore() bool { return !e.storeSince.IsZero() }
 
-func (e *unstableEntry) StoreAnsweredFor() time.Duration {
+func (e *unstableEntry) StoreUptime() time.Duration {
 	if e.storeSince.IsZero() {
 		return 0
 	}
@@ -45,7 +45,7 @@
 	time.Sleep(time.Minute)
 	for _, self := range names {
 		e := &unstableEntry{}
-		m := NewMembers(Member{Name: self, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
+		m := NewMembers(Member{Name: self, CPUs: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
 		m.majoritySince = 1
 		for _, other := range names {
 			if other != self {
@@ -61,7 +61,7 @@
 }
 
 func memberHeard(name string, at time.Duration) *memberState {
-	return &memberState{Member: Member{Name: name, Share: 1, Start: 1}, wake: make(chan struct{}, 1), heardAt: at}
+	return &memberState{Member: Member{Name: name, CPUs: 1, Start: 1}, wake: make(chan struct{}, 1), heardAt: at}
 }
 
 // manager returns the manager of an entry whose claims are recorded and always fail.
@@ -79,7 +79,7 @@
 // reconcileAll runs one pass on all entries and returns those that claimed the shard.
 func (o *outage) reconcileAll() (claimed []string) {
 	for _, mgr := range o.managers {
-		mgr.reconcile(context.Background())
+		mgr.claimShards(context.Background())
 	}
 	synctest.Wait()
 	for len(o.claims) > 0 {
@@ -115,7 +115,7 @@
 		o.entries[0].storeSince = time.Now()
 		c.Check(mgr.UnreadPools(), qt.HasLen, 0)
 		for range 6 {
-			mgr.reconcile(context.Background())
+			mgr.claimShards(context.Background())
 			synctest.Wait()
 			time.Sleep(claimStagger)
 		}
@@ -129,7 +129,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		since := time.Now()
 		e := &unstableEntry{storeSince: since}
-		m := NewMembers(Member{Name: "e1", Share: 1, Start: 2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
+		m := NewMembers(Member{Name: "e1", CPUs: 1, Start: 2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
 		m.peers["e2"] = memberHeard("e2", 0)
 		m.peers["e2"].Start = 2
 		o := &outage{claims: make(chan string, 10)}
--- a/pkg/ownership/ended_test.go
+++ b/pkg/ownership/ended_test.go
@@ -17,7 +17,7 @@
 // connection does not.
 func TestHasEnded(t *testing.T) {
 	c := qt.New(t)
-	m := NewMembers(Member{Name: "me", Start: 7, Share: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(time.Now())), &unstableEntry{})
+	m := NewMembers(Member{Name: "me", Start: 7, CPUs: 1}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(time.Now())), &unstableEntry{})
 	other := memberHeard("other", time.Second)
 	other.Start = 3
 	m.peers["other"] = other
--- a/pkg/ownership/liveness.go
+++ b/pkg/ownership/liveness.go
@@ -116,7 +116,7 @@
 // one, whose own path to it must then be broken. The service must have answered here for a while,
 // since entries notice its recovery at different times. The caller holds mu.
 func (m *Members) mostOthersReachStore(except *memberState) bool {
-	if m.local.StoreAnsweredFor() < storeStableTime {
+	if m.local.StoreUptime() < storeStableTime {
 		return false
 	}
 	reached, heard := 0, 0
@@ -136,7 +136,7 @@
 // stopping, and reaching the table service. Shortly after the service has recovered its reported
 // state is ignored; otherwise each entry would consider itself the only candidate.
 func (m *Members) Candidates() []Member {
-	storeRecovering := m.local.StoreAnsweredFor() < storeRecoveryTime
+	storeRecovering := m.local.StoreUptime() < storeRecoveryTime
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := []Member{m.self}
--- a/pkg/ownership/liveness_test.go
+++ b/pkg/ownership/liveness_test.go
@@ -25,7 +25,7 @@
 func (fixedEntry) CatalogVersion() int64                        { return 0 }
 func (fixedEntry) OwnersVersion() int64                         { return 0 }
 func (e fixedEntry) ReachesStore() bool                         { return e.reachesStore }
-func (e fixedEntry) StoreAnsweredFor() time.Duration            { return e.storeFor }
+func (e fixedEntry) StoreUptime() time.Duration                 { return e.storeFor }
 func (fixedEntry) EntryChanged()                                {}
 func (fixedEntry) CatalogNewer(*peer.Caller, int64)             {}
 func (fixedEntry) OwnerRowReported(pool string, r platform.Row) {}
--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -41,8 +41,8 @@
 
 // Events are the callbacks of an Opener.
 type Events struct {
-	Committing   func()      // called before the takeover is committed
-	Relinquished func(error) // called once if the owner gives up the shard, with the cause
+	BeforeTakeover func()      // called before the takeover is committed
+	OnGivenUp      func(error) // called once if the owner gives up the shard, with the cause
 }
 
 // shardState is what this entry knows of one shard.
@@ -108,7 +108,7 @@
 
 // Run claims and rebalances shards until ctx ends.
 func (mgr *Manager) Run(ctx context.Context) error {
-	tick := time.NewTicker(reconcileInterval)
+	tick := time.NewTicker(claimInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -117,7 +117,7 @@
 		case <-tick.C:
 		case <-mgr.wake:
 		}
-		mgr.reconcile(ctx)
+		mgr.claimShards(ctx)
 	}
 }
 
--- a/pkg/ownership/members.go
+++ b/pkg/ownership/members.go
@@ -25,7 +25,7 @@
 	Address string  `msgpack:"a"` // of its peer listener, host:port
 	Zone    string  `msgpack:"z"`
 	Start   int64   `msgpack:"s"` // start time in Unix ns; tells restarts apart
-	Share   float64 `msgpack:"c"` // of a processor, 1 for a whole one
+	CPUs    float64 `msgpack:"c"` // of a processor, 1 for a whole one
 }
 
 // memberState is what this entry knows of another one.
@@ -74,8 +74,8 @@
 	OwnersVersion() int64
 	// ReachesStore reports whether the table service answers.
 	ReachesStore() bool
-	// StoreAnsweredFor returns for how long the table service has answered, 0 if it does not.
-	StoreAnsweredFor() time.Duration
+	// StoreUptime returns for how long the table service has answered, 0 if it does not.
+	StoreUptime() time.Duration
 	// EntryChanged is called when an entry may have become reachable or unreachable.
 	EntryChanged()
 	// CatalogNewer is called when a peer reports a newer configuration.
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -51,12 +51,12 @@
 				m.ping(ctx, p)
 			}
 		}()
-		late := time.NewTimer(pingInterval)
+		interval := time.NewTimer(pingInterval)
 		select {
 		case <-answered:
-		case <-late.C:
+		case <-interval.C:
 		}
-		late.Stop()
+		interval.Stop()
 		m.awaitNextPing(ctx, p)
 	}
 }
--- a/pkg/ownership/rank.go
+++ b/pkg/ownership/rank.go
@@ -7,32 +7,34 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// load returns the number of shards of each entry. The caller holds mu.
-func (mgr *Manager) load() map[string]int {
-	load := map[string]int{}
+// shardCounts returns the number of shards of each entry. The caller holds mu.
+func (mgr *Manager) shardCounts() map[string]int {
+	counts := map[string]int{}
 	for _, s := range mgr.shards {
 		if s.row.Entry != "" {
-			load[s.row.Entry]++
+			counts[s.row.Entry]++
 		}
 	}
-	return load
+	return counts
 }
 
-// rank returns this entry's position among the candidates for a shard, 0 for the first, and counts
+// rankAndAssign returns this entry's position among the candidates for a shard, 0 for the first, and counts
 // the shard towards the first one's load.
-func (mgr *Manager) rank(pool string, row shard.OwnerRow, candidates []Member, load map[string]int) int {
+func (mgr *Manager) rankAndAssign(pool string, row shard.OwnerRow, candidates []Member, counts map[string]int) int {
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(successorOrder(a, row), successorOrder(b, row)), compareLoad(pool, load, a, b))
+		return cmp.Or(cmp.Compare(successorOrder(a, row), successorOrder(b, row)), compareLoad(pool, counts, a, b))
 	})
 	if len(order) > 0 {
-		load[order[0].Name]++
+		counts[order[0].Name]++
 	}
 	return slices.IndexFunc(order, func(m Member) bool { return m.Name == mgr.self.Entry })
 }
 
 // loadWithOneMore returns the shards per processor that an entry would have with one more.
-func loadWithOneMore(m Member, load map[string]int) float64 { return float64(load[m.Name]+1) / m.Share }
+func loadWithOneMore(m Member, counts map[string]int) float64 {
+	return float64(counts[m.Name]+1) / m.CPUs
+}
 
 // successorOrder is 0 for the successor that the last owner named and 1 for all others.
 func successorOrder(m Member, row shard.OwnerRow) int {
@@ -48,9 +50,9 @@
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
 	candidates := slices.DeleteFunc(mgr.members.Candidates(), func(m Member) bool { return m.Name == mgr.self.Entry })
-	load := mgr.load()
+	counts := mgr.shardCounts()
 	slices.SortFunc(candidates, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(loadWithOneMore(a, load), loadWithOneMore(b, load)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(loadWithOneMore(a, counts), loadWithOneMore(b, counts)), cmp.Compare(a.Name, b.Name))
 	})
 	for _, m := range candidates {
 		names = append(names, m.Name)
--- a/pkg/ownership/rebalance.go
+++ b/pkg/ownership/rebalance.go
@@ -26,42 +26,42 @@
 )
 
 // betterOwner returns the entry that should own a shard instead of this one, if there is one.
-func betterOwner(self Member, pool string, candidates []Member, load map[string]int) (to string, ok bool) {
+func betterOwner(self Member, pool string, candidates []Member, counts map[string]int) (to string, ok bool) {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(m Member) bool { return m.Name == self.Name })
 	if len(others) == 0 {
 		return "", false
 	}
-	best := slices.MinFunc(others, func(a, b Member) int { return compareLoad(pool, load, a, b) })
-	mine := float64(load[self.Name]) / self.Share
-	return best.Name, mine >= rebalanceFactor*loadWithOneMore(best, load)
+	best := slices.MinFunc(others, func(a, b Member) int { return compareLoad(pool, counts, a, b) })
+	mine := float64(counts[self.Name]) / self.CPUs
+	return best.Name, mine >= rebalanceFactor*loadWithOneMore(best, counts)
 }
 
 // compareLoad orders entries by the load they would have with one more shard. A hash of pool and
 // entry breaks ties, so that equal entries share the shards.
-func compareLoad(pool string, load map[string]int, a, b Member) int {
+func compareLoad(pool string, counts map[string]int, a, b Member) int {
 	return cmp.Or(
-		cmp.Compare(loadWithOneMore(a, load), loadWithOneMore(b, load)),
+		cmp.Compare(loadWithOneMore(a, counts), loadWithOneMore(b, counts)),
 		cmp.Compare(xxhash.Sum64String(pool+"/"+a.Name), xxhash.Sum64String(pool+"/"+b.Name)),
 	)
 }
 
 // rebalance hands over one shard that another entry should own, if the cluster has been stable. The
 // caller holds mu.
-func (mgr *Manager) rebalance(ctx context.Context, candidates []Member, load map[string]int, now time.Duration) {
-	if now-mgr.rebalancedAt < rebalanceInterval || mgr.members.local.StoreAnsweredFor() < minTenure || !mgr.members.hasMajorityFor(minTenure) {
+func (mgr *Manager) rebalance(ctx context.Context, candidates []Member, counts map[string]int, now time.Duration) {
+	if now-mgr.rebalancedAt < rebalanceInterval || mgr.members.local.StoreUptime() < minTenure || !mgr.members.hasMajorityFor(minTenure) {
 		return
 	}
 	for pool, s := range mgr.shards {
 		if s.owner == nil || now-s.rowSeenAt < minTenure {
 			continue
 		}
-		to, ok := betterOwner(mgr.members.self, pool, candidates, load)
+		to, ok := betterOwner(mgr.members.self, pool, candidates, counts)
 		if !ok {
 			continue
 		}
 		mgr.rebalancedAt = now
-		mgr.log.Info().Str("event", "shard_handed_on").Str("pool", pool).Str("to", to).Int("shards", load[mgr.self.Entry]).
-			Float64("share", mgr.members.self.Share).Send()
+		mgr.log.Info().Str("event", "shard_handed_on").Str("pool", pool).Str("to", to).Int("shards", counts[mgr.self.Entry]).
+			Float64("share", mgr.members.self.CPUs).Send()
 		go mgr.handOver(ctx, s, s.owner, to)
 		return
 	}
--- a/pkg/ownership/rebalance_test.go
+++ b/pkg/ownership/rebalance_test.go
@@ -19,7 +19,7 @@
 
 // TestBetterOwner checks which entry a shard is moved to for a given load.
 func TestBetterOwner(t *testing.T) {
-	candidates := []Member{{Name: "me", Share: 0.2}, {Name: "small", Share: 0.2}, {Name: "big", Share: 0.8}, {Name: "large", Share: 0.8}}
+	candidates := []Member{{Name: "me", CPUs: 0.2}, {Name: "small", CPUs: 0.2}, {Name: "big", CPUs: 0.8}, {Name: "large", CPUs: 0.8}}
 	for _, tc := range []struct {
 		share float64
 		load  map[string]int
@@ -32,7 +32,7 @@
 		{0.8, map[string]int{"me": 2, "large": 1}, ""},           // nor is one with a shard less
 		{0.8, map[string]int{"me": 3, "large": 1}, "big"},
 	} {
-		to, ok := betterOwner(Member{Name: "me", Share: tc.share}, "p", candidates, tc.load)
+		to, ok := betterOwner(Member{Name: "me", CPUs: tc.share}, "p", candidates, tc.load)
 		if !ok {
 			to = ""
 		}
@@ -58,14 +58,14 @@
 		c := qt.New(t)
 		since := time.Now()
 		time.Sleep(time.Minute)
-		m := NewMembers(Member{Name: "me", Share: 0.2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), &unstableEntry{storeSince: since})
+		m := NewMembers(Member{Name: "me", CPUs: 0.2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), &unstableEntry{storeSince: since})
 		m.majoritySince = 1
 		for i := range 96 {
 			name := fmt.Sprintf("e%d", i)
 			m.peers[name] = memberHeard(name, time.Hour)
-			m.peers[name].Share = 0.2
+			m.peers[name].CPUs = 0.2
 		}
-		m.peers["e7"].Share = 0.8
+		m.peers["e7"].CPUs = 0.8
 		claims := make(chan struct{}, 10)
 		open := func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (LocalOwner, error) {
 			claims <- struct{}{}
@@ -77,7 +77,7 @@
 		row := shard.OwnerRow{Entry: "me", Start: 3, Term: 1}
 		mgr.shards["p"] = &shardState{row: row, version: 5, loaded: true, owner: w}
 
-		mgr.reconcile(context.Background())
+		mgr.claimShards(context.Background())
 		synctest.Wait()
 		c.Assert(<-w.to, qt.Equals, "e7")
 		c.Check(mgr.UnreadPools(), qt.DeepEquals, []string{"p"})
@@ -86,7 +86,7 @@
 		c.Assert(err, qt.IsNil)
 		mgr.ApplyOwner("p", platform.Row{Value: raw, Version: 5})
 		time.Sleep(claimRetryDelay)
-		mgr.reconcile(context.Background())
+		mgr.claimShards(context.Background())
 		synctest.Wait()
 		c.Check(claims, qt.HasLen, 1)
 	})
--- a/pkg/ownership/rows.go
+++ b/pkg/ownership/rows.go
@@ -136,11 +136,11 @@
 
 // OwnersVersion returns the highest version of an owner row seen, and whether a takeover is in
 // doubt here.
-func (mgr *Manager) OwnersVersion() (version int64, claiming bool) {
+func (mgr *Manager) OwnersVersion() (version int64, inDoubt bool) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
 	for _, s := range mgr.shards {
-		claiming = claiming || s.inDoubt
+		inDoubt = inDoubt || s.inDoubt
 	}
-	return mgr.latestVersion(), claiming
+	return mgr.latestVersion(), inDoubt
 }
--- a/pkg/ownership/standdown_test.go
+++ b/pkg/ownership/standdown_test.go
@@ -34,7 +34,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		clock := elapsed.New(elapsed.WithOrigin(time.Now()))
-		m := NewMembers(Member{Name: "me", Start: 1, Share: 1}, nil, zerolog.Nop(), clock, &unstableEntry{})
+		m := NewMembers(Member{Name: "me", Start: 1, CPUs: 1}, nil, zerolog.Nop(), clock, &unstableEntry{})
 		mgr := NewManager(shard.Identity{Entry: "me", Start: 1}, m, nil, zerolog.Nop(), clock)
 		rowOf := func(entry string, term, version int64) platform.Row {
 			raw, err := shard.EncodeOwner(shard.OwnerRow{Entry: entry, Start: 1, Term: term})
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -22,7 +22,7 @@
 	Running  float64 `msgpack:"r"` // used or possibly used by running tasks, including those being stopped
 	Demand   float64 `msgpack:"w"` // Running plus waiting tasks
 	MinStart float64 `msgpack:"p"` // smallest increase of Running by starting a task, 0 if none waits
-	MaxShare    float64 `msgpack:"h"` // the higher of the persisted and the granted share
+	MaxShare float64 `msgpack:"h"` // the higher of the persisted and the granted share
 }
 
 // Report is a shard's report on its accounts.
