--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -68,8 +68,8 @@
 	return &g
 }
 
-// updateTrend returns by how much a pool's demand is expected to grow within forecastHorizon,
-// in thousandths of a core.
+// updateTrend adds a sample to a pool's trend. It returns by how much the demand is expected to grow
+// within forecastHorizon, in thousandths of a core.
 func (r *Runner) updateTrend(pool string, demand int) int {
 	now := r.now()
 	t := r.trends[pool]
@@ -118,8 +118,8 @@
 	return pools
 }
 
-// largestCapacity estimates the VM capacity for a pool without usable workers: that of the pool's
-// largest VM, or else of the largest VM in the fleet. Without it the pool would never get a VM.
+// largestCapacity returns the capacity of the pool's largest VM, or else of the largest VM in the
+// fleet. It stands in for that of a pool without usable workers, which would never get a VM otherwise.
 func largestCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
 	own := false
 	for _, m := range machines {
@@ -181,8 +181,8 @@
 	return movable
 }
 
-// updateSurplus returns the number of consecutive steps in which a pool had more VMs than its target
-// size.
+// updateSurplus counts this step if the pool has more VMs than its target size. It returns the number
+// of consecutive steps in which that was so.
 func (r *Runner) updateSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// orderWindow is how long after its announcement an order may be sent. It must exceed the time of
-	// a slow table transaction, and it adds to the time that the next holder waits.
+	// orderWindow is how long after the start of its announcement an order may be sent. It must
+	// exceed the usual time of a table transaction, or orders are announced again and again. It adds
+	// to the time that the next holder waits.
 	orderWindow = time.Second
 	// orderTransit is the maximum time that an order takes to reach the VM service.
 	orderTransit = 250 * time.Millisecond
@@ -40,7 +41,7 @@
 // announcedOrder announces orders for one VM.
 type announcedOrder struct {
 	VM    string        `msgpack:"v"`
-	Until time.Duration `msgpack:"u"`           // latest send time, on the table service's clock
+	Until time.Duration `msgpack:"u"`           // latest time at which they may be sent, on the table service's clock
 	Wave  int           `msgpack:"w,omitempty"` // ID of the maintenance wave, 0 for a move
 }
 
@@ -109,8 +110,8 @@
 	return a, nil
 }
 
-// withinOrderGap reports whether another holder must still delay its orders after an order that was sent
-// no later than the given time of the table service's clock.
+// withinOrderGap reports whether an order now may come too soon after one that another holder sent.
+// until is the latest time of that one, on the table service's clock.
 func (r *Runner) withinOrderGap(until, now time.Duration) bool {
 	return r.clock.earliest(now) < until+orderTransit+r.cfg.OrderGap
 }
@@ -175,8 +176,8 @@
 	}
 }
 
-// mergedAnnouncement returns, by VM, the latest send time of the announced orders still in force, of
-// this and former holders, and of orders for the given VMs as far as the row has room.
+// mergedAnnouncement returns, by VM, the latest send time of the announced orders that the next
+// holder may have to wait for, of this and former holders, and of orders for the given VMs as far as the row has room.
 func (r *Runner) mergedAnnouncement(vms []string) map[string]time.Duration {
 	now := r.now()
 	next := map[string]time.Duration{}
--- a/pkg/fleetops/moves.go
+++ b/pkg/fleetops/moves.go
@@ -62,7 +62,7 @@
 		case m.orderedAt > 0 && now-m.orderedAt > moveTimeout:
 			reason = "the move timed out"
 		case m.orderedAt == 0 && r.cfg.ZoneOut(listed.Zone):
-			reason = "the VM's zone is out of use"
+			reason = "the VM's zone is evacuated"
 		case m.orderedAt == 0 && now-m.plannedAt > drainTimeout:
 			reason = "the VM was not drained in time"
 		}
@@ -73,7 +73,8 @@
 	}
 }
 
-// sendMove orders a VM's move.
+// sendMove orders a VM's move. Its event is logged for each order sent, with the error of one that was
+// refused or not answered.
 func (r *Runner) sendMove(ctx context.Context, m *move) {
 	err := r.cfg.Machines.MoveMachine(ctx, m.VM, m.To, r.holder())
 	r.log.Info().Str("event", "move_ordered").Str("vm", m.VM).Str("from", m.From).Str("to", m.To).Err(err).Send()
--- a/pkg/fleetops/progress.go
+++ b/pkg/fleetops/progress.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// tableMaintenance stores the progress of waves and the announcement of orders.
+// tableMaintenance is the table of the waves' progress and the announcement of orders.
 const tableMaintenance = "maintenance"
 
 // waveProgress is the persisted progress of a wave: the VMs that are done or gone.
@@ -73,7 +73,7 @@
 		}
 	}
 	if started {
-		w.startedAt -= w.Within / 2 // a former holder started it at an unknown time
+		w.startedAt -= w.Within / 2 // started earlier at an unknown time: makes the wave urgent
 	}
 	w.loaded, w.changed = true, true
 	return nil
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -39,16 +39,16 @@
 	Drain    Drainer
 	Load     Loader
 	Waves    func() []Wave // all maintenance requests known so far
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil means
-	// that none is.
+	// ZoneOut reports whether the operator has evacuated an availability zone; nil means that none
+	// is.
 	ZoneOut func(zone string) bool
 	Report  func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
 
-	OrderGap        time.Duration // minimum time between orders of two holders for a VM
+	OrderGap        time.Duration // minimum time between orders of two holders for a VM, required by the VM service
 	MaintenanceTime time.Duration // how long the maintenance of a VM takes
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
-	OnGivenUp      func(error) // called once when another entry is found to have taken over
+	OnGivenUp      func(error) // called once, with nil, when another entry is found to have taken over
 }
 
 // Runner runs the fleet operations while this entry is the holder.
@@ -124,7 +124,7 @@
 // SetWorkers does nothing: the VM list comes from the VM service.
 func (r *Runner) SetWorkers([]platform.Worker) {}
 
-// Confirm records that this entry was the holder at the given time of its clock.
+// Confirm records that this entry had not been replaced as the holder at a time on its clock.
 func (r *Runner) Confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,7 +218,7 @@
 	return r.catalog.SparePool()
 }
 
-// giveUp stops the run loop after another entry took over.
+// giveUp stops the run loop after another entry has taken over.
 func (r *Runner) giveUp() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/fleetops/sizing.go
+++ b/pkg/fleetops/sizing.go
@@ -14,13 +14,13 @@
 	Headroom float64 // extra capacity, as a fraction of the demand
 	Reserve  int     // extra VMs on top of the headroom
 	// KeepSteps is the number of consecutive steps for which a pool must have surplus VMs before
-	// they are switched off.
+	// they are moved to the spare pool.
 	KeepSteps int
 	// MaxDraining limits the VMs of one pool that are drained for a move at the same time; in a
 	// large pool the limit is the fraction DrainingShare of its VMs.
 	MaxDraining   int
 	DrainingShare float64
-	// SwitchOffShare is the fraction of a pool's surplus that is switched off in one step.
+	// SwitchOffShare is the fraction of a pool's surplus that moves to the spare pool in one step.
 	SwitchOffShare float64
 }
 
@@ -42,7 +42,7 @@
 // PoolState is the input of sizing for one pool.
 type PoolState struct {
 	Name         string
-	Spare        bool       // its VMs are switched off
+	Spare        bool       // the spare pool: its VMs run no worker until they are moved
 	Load         shard.Load // zero for the spare pool
 	Supply       int        // VMs in the pool or on their way to it
 	Movable      []string   // VMs that may leave now, best first
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -36,7 +36,7 @@
 // The phases of a VM's maintenance.
 const (
 	PhaseWaiting  Phase = "waiting"
-	PhaseDraining Phase = "emptying" // its shard's owner moves its tasks away
+	PhaseDraining Phase = "emptying" // its shard's owner drains it
 	PhaseOrdered  Phase = "ordered"  // down, or the order was not answered
 	PhaseDone     Phase = "done"     // up again after its maintenance
 	PhaseGone     Phase = "gone"     // the VM no longer exists
@@ -51,8 +51,8 @@
 	acceptedAt time.Duration // when the VM service accepted the order, 0 before
 }
 
-// returned reports whether the VM is up again after its maintenance. A switched-off VM shows no
-// new worker ID, so it counts as returned once the maintenance must be over.
+// returned reports whether the VM is up again after its maintenance. A spare VM runs no worker and so
+// shows no new worker ID; it counts as returned once the maintenance must be over.
 func (v *VM) returned(m platform.Machine, now, takes time.Duration) bool {
 	if m.State != platform.MachineUp {
 		return false
@@ -95,9 +95,9 @@
 // View is the fleet state by which SelectVMs chooses.
 type View struct {
 	Machines        map[string]platform.Machine // by name
-	Spare           string                      // pool of switched-off VMs
+	Spare           string                      // pool of spare VMs, which are listed as up though no worker runs there
 	Light           map[string]bool             // VMs with little work
-	SlowToDrain     map[string]bool             // VMs that take longest to drain
+	SlowToDrain     map[string]bool             // VMs that take longest to drain, from shard.Load.Tight
 	RecentlyOrdered map[string]bool             // VMs whose orders must wait, since a former holder may have sent one recently
 	OrderedByFormer map[string]bool             // VMs that a former holder may have ordered, so that they may be done already
 	Elapsed         time.Duration               // time since the wave started
@@ -150,7 +150,7 @@
 }
 
 // SelectVMs returns the VMs of a wave to drain next, within the wave's limit and the share of each
-// pool. Switched-off VMs go first, then VMs with little work, and busy VMs only when the wave is
+// pool. Spare VMs go first, then VMs with little work, and busy VMs only when the wave is
 // urgent. One VM per pool among those that take longest to drain starts right away, since it may
 // need the whole wave.
 func SelectVMs(w Wave, vms []*VM, view View) (next []*VM) {
--- a/pkg/fleetops/zone_test.go
+++ b/pkg/fleetops/zone_test.go
@@ -11,7 +11,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// When a zone is out of use, its pools get VMs of other zones, its VMs are not moved, and waves
+// When a zone is evacuated, its pools get VMs of other zones, its VMs are not moved, and waves
 // still maintain them.
 func TestZoneOutOfUse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -19,8 +19,9 @@
 	// maxProgressRows limits the rows of a job's progress, so that they fit into one transaction
 	// together with other pending rows.
 	maxProgressRows = 8
-	// versionedFormat marks progress that earlier versions of the program cannot decode. They
-	// quarantine the job instead of rerunning tasks that are done.
+	// versionedFormat is the format number that precedes progress which earlier versions of the
+	// program cannot decode. They leave the job out instead of rerunning tasks that are done. Format
+	// 1, for all other progress, has no number.
 	versionedFormat = 2
 )
 
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
-// State is the state of a job as reported to clients.
+// State is the state of a job as reported to callers.
 type State string
 
 // The states of jobs.
@@ -31,7 +31,7 @@
 	Record
 	Steps         []*StepRun    // of all expanded occurrences, ordered by occurrence and step
 	State         State         // current state, possibly not persisted yet
-	ReportedState State         // last persisted state, the one reported to clients
+	ReportedState State         // the state reported to callers: persisted, or derivable by a new owner
 	Started       bool          // a task has started
 	AddedAt       time.Duration // on the owner's clock; negative if accepted before that clock started
 	Restored      bool          // a former owner persisted it
@@ -49,7 +49,7 @@
 	allReported   bool               // every worker that may run its tasks has reported to the present owner
 }
 
-// StepRun is one step within an occurrence.
+// StepRun is the execution of a step, its Spec, within one occurrence.
 type StepRun struct {
 	Job        *Job
 	Spec       *Step
@@ -125,7 +125,7 @@
 // Finished reports whether all tasks are done.
 func (s *StepRun) Finished() bool { return s.done == len(s.Tasks) }
 
-// CountIdle returns the number of idle tasks.
+// CountIdle returns the number of idle tasks, see [Task.Idle].
 func (s *StepRun) CountIdle() int { return len(s.Tasks) - s.done - s.attempted }
 
 // Due returns when the step's occurrence may start, as the time since the Unix epoch, or 0 for
--- a/pkg/jobs/losses.go
+++ b/pkg/jobs/losses.go
@@ -2,8 +2,8 @@
 
 import "github.com/gannetwell/gannetwell/pkg/quarantine"
 
-// SetLosses sets the worker losses that are attributed to a task. They must be persisted before
-// the task is started on trial.
+// SetLosses sets the worker losses attributed to a task. They must be persisted before the task is
+// started on trial, so that a new owner counts it.
 func (t *Task) SetLosses(ls quarantine.Losses) {
 	t.Losses = ls
 	t.Step.Job.lossesVersion++
--- a/pkg/jobs/spec.go
+++ b/pkg/jobs/spec.go
@@ -134,7 +134,7 @@
 	AcceptedAt  time.Duration `msgpack:"a"`           // since the Unix epoch, by the clock of the entry that accepted it
 	MaxAttempts int           `msgpack:"m"`           // failed attempts of a task after which the job fails
 	Account     string        `msgpack:"c,omitempty"` // client account that submitted it, empty for none
-	Excess      bool          `msgpack:"e,omitempty"` // submitted beyond the account's promised rate
+	Excess      bool          `msgpack:"e,omitempty"` // submitted beyond the account's guaranteed rate
 	Spec        Spec          `msgpack:"s"`
 }
 
--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -9,7 +9,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// CountWaiting matches the number of idle tasks after any sequence of starts, losses and ends.
+// CountIdle matches a count of the idle tasks after any sequence of starts, losses and ends.
 func TestWaiting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		reg := jobs.NewRegistry(1)
--- a/pkg/node/accounts.go
+++ b/pkg/node/accounts.go
@@ -44,7 +44,7 @@
 	return st
 }
 
-// accountsInPools asks the owner of each pool's shard for the use of all its accounts, by account
+// accountsInPools asks the owner of each pool's shard what its accounts use and demand, by account
 // name. Owners that don't answer are left out.
 func (n *Node) accountsInPools(ctx context.Context, cat *catalog.Catalog) map[string][]api.AccountInPool {
 	var mu sync.Mutex
@@ -52,7 +52,7 @@
 	all := map[string][]api.AccountInPool{}
 	for _, pool := range cat.ActivePools() {
 		wg.Go(func() {
-			l, ok := n.loadOf(ctx, pool, &quota.Grant{Full: true}) // names no holder, so it grants nothing
+			l, ok := n.loadOf(ctx, pool, &quota.Grant{Full: true}) // of term 0 and without shares, so it changes nothing
 			if !ok {
 				return
 			}
--- a/pkg/node/admit.go
+++ b/pkg/node/admit.go
@@ -2,7 +2,7 @@
 
 import "github.com/gannetwell/gannetwell/pkg/catalog"
 
-// Admission is the result of checking a client's key.
+// Admission is the result of checking a caller's key.
 type Admission string
 
 // The results of checking a key.
@@ -15,8 +15,8 @@
 	AdmissionUndetermined Admission = "unsure"
 )
 
-// Admit looks up the account of a client's key, which is empty for none. While the table service
-// does not answer, an unknown key may be new, so the client is asked to retry instead of being
+// Admit looks up the account of a caller's key, which is empty for none. While the table service
+// does not answer, an unknown key may be new, so the caller is asked to retry instead of being
 // told that the key is wrong.
 func (n *Node) Admit(cat *catalog.Catalog, q *catalog.Queue, key string) (account string, a Admission) {
 	account, ok := cat.Admit(q, key)
--- a/pkg/node/answer.go
+++ b/pkg/node/answer.go
@@ -22,7 +22,7 @@
 			OwnersVersion: int(version), Claiming: inDoubt, Stopping: n.stopping.Load(), Owners: n.ownership.RowsSince(int64(q.OwnersVersion)),
 		}
 	case schema.CallKindStandDown:
-		row := platform.Row{Value: q.OwnerRow, Version: int64(q.OwnersVersion)}
+		row := platform.Row{Value: q.OwnerRow, Version: int64(q.OwnersVersion)} // here the version of this row only
 		if n.ownership.StandDown(ctx, q.Pool, row) {
 			return &schema.CallReply{Outcome: schema.CallOutcomeOk}
 		}
@@ -41,7 +41,7 @@
 	return n.answerLocal(ctx, o, q)
 }
 
-// requesterOf returns the client or operator on whose behalf a call is made.
+// requesterOf returns the client account or operator on whose behalf a call is made.
 func requesterOf(q *schema.Call) shard.Requester {
 	return shard.Requester{Account: q.Account, Operator: q.Operator}
 }
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -20,7 +20,7 @@
 	// ownerWait is how long an internal call waits for a shard to get an owner, long enough
 	// for a handover.
 	ownerWait = 120 * time.Millisecond
-	// callerWait is how long a client's request waits for an owner that accepts it, long
+	// callerWait is how long a caller's request waits for an owner that accepts it, long
 	// enough for the takeover from an owner that has failed.
 	callerWait = 2 * time.Second
 	// ownerRetryInterval is the time before an owner that could not accept a request is asked
@@ -50,7 +50,7 @@
 	return reply.Outcome
 }
 
-// precheckSubmission rejects a submission that no owner could accept, and tells why.
+// precheckSubmission returns the outcome of a submission that no owner could accept, and why.
 func (n *Node) precheckSubmission(r *jobs.Record, raw []byte) (out schema.CallOutcome, why string) {
 	if err := r.CheckSize(raw, cmp.Or(n.settings.Store.RowBytes, platform.DefaultMaxRowBytes)); err != nil {
 		return schema.CallOutcomeTooLarge, err.Error()
@@ -78,8 +78,9 @@
 	return &schema.Call{Kind: kind, Pool: q.Pool, Queue: q.Name, Job: id, Account: by.Account, Operator: by.Operator}
 }
 
-// confirmAbsent looks a job up in the table service before the client is told that it does not
-// exist: the owner that was asked may have been replaced without knowing it.
+// confirmAbsent looks a job up in the table service before the caller is told that it does not
+// exist: the owner that was asked may have been replaced without knowing it. Refused asks the caller
+// to retry.
 func (n *Node) confirmAbsent(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
 	ctx, ended := n.cancelAtStop(ctx)
 	defer ended()
@@ -107,7 +108,7 @@
 	return reply.Outcome
 }
 
-// Waiting returns the number of jobs in a queue that have not started.
+// Waiting returns the number of queued jobs: those of a queue that have not started.
 func (n *Node) Waiting(ctx context.Context, q *catalog.Queue) (int, schema.CallOutcome) {
 	reply := n.callOwnerForCaller(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
 	return reply.Waiting, reply.Outcome
@@ -118,7 +119,7 @@
 	return n.callOwnerWithin(ctx, q, ownerWait)
 }
 
-// callOwnerForCaller sends a client's request to the owner of its shard and, if a new owner can be
+// callOwnerForCaller sends a caller's request to the owner of its shard and, if a new owner can be
 // expected, waits for one that accepts it. Requests are idempotent: a job submitted to several
 // owners remains one job.
 func (n *Node) callOwnerForCaller(ctx context.Context, q *schema.Call) *schema.CallReply {
@@ -131,7 +132,7 @@
 }
 
 // cancelAtStop returns a context that also ends when a planned stop cancels open requests. The
-// client then gets an answer, such as an unknown outcome, before its connection closes.
+// caller then gets an answer, such as an unknown outcome, before its connection closes.
 func (n *Node) cancelAtStop(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(n.waitCtx, cancel)
@@ -186,8 +187,8 @@
 // reach.
 func (n *Node) newOwnerExpected() bool { return n.rows.reachable() && !n.isolated() }
 
-// waitBeforeRetry waits for a shard to get another owner than that of a term, at most
-// ownerRetryInterval; it reports false when maxWait is over or ctx has ended.
+// waitBeforeRetry waits ownerRetryInterval, or less if the shard gets another owner than that of a
+// term; it reports false, no retry, when maxWait is over or ctx has ended.
 func (n *Node) waitBeforeRetry(ctx context.Context, pool string, term int64, maxWait time.Duration) bool {
 	if maxWait <= 0 {
 		return false
@@ -218,8 +219,8 @@
 	if o, ok := local.(*shard.Owner); ok {
 		return n.answerLocal(ctx, o, q)
 	}
-	caller := n.members.Caller(row.Entry, row.Address)
-	if row.Entry == "" || caller == nil {
+	conn := n.members.Caller(row.Entry, row.Address)
+	if row.Entry == "" || conn == nil {
 		return &schema.CallReply{Outcome: schema.CallOutcomeNotOwner}
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
@@ -228,7 +229,7 @@
 		n.awaitTermChange(ctx, q.Pool, row.Term)
 		cancel()
 	}()
-	reply, err := caller.Call(ctx, q)
+	reply, err := conn.Call(ctx, q)
 	if err == nil {
 		return reply
 	}
--- a/pkg/node/evacuation.go
+++ b/pkg/node/evacuation.go
@@ -8,13 +8,13 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// evacuation is an availability zone that the operator has taken out of use.
+// evacuation is an evacuated availability zone: one that the operator has taken out of use.
 type evacuation struct {
 	zone  string
 	since time.Duration // when this entry learned of it
 }
 
-// evacuations are the zones out of use. Each is set by an operator row and in force as long as the
+// evacuations are the evacuated zones. Each is set by an operator row and in force as long as the
 // row exists.
 type evacuations struct {
 	mu     sync.Mutex
@@ -22,7 +22,7 @@
 	rows   map[string]evacuation // by key
 }
 
-// contains reports whether a zone is out of use.
+// contains reports whether a zone is evacuated.
 func (e *evacuations) contains(zone string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -75,7 +75,7 @@
 	return missing
 }
 
-// all returns the zones out of use, each with the time when this entry learned of it.
+// all returns the evacuated zones, each with the time when this entry learned of it.
 func (e *evacuations) all() map[string]time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -104,7 +104,7 @@
 }
 
 // applyEvacuation applies an operator row if it describes an evacuation. A malformed row changes
-// nothing, so a zone that is out of use remains so.
+// nothing, so an evacuated zone remains so.
 func (n *Node) applyEvacuation(r platform.Row) {
 	if r.Removed {
 		n.endEvacuation(r.Key)
@@ -130,7 +130,7 @@
 	n.log.Info().Str("event", "zone_returned").Str("zone", ended.zone).Dur("after", n.clock.Now()-ended.since).Send()
 }
 
-// allZonesEvacuated reports whether all zones that have entries are out of use.
+// allZonesEvacuated reports whether all zones that have entries are evacuated.
 func (n *Node) allZonesEvacuated() bool {
 	out := n.evacuations.all()
 	if len(out) == 0 {
--- a/pkg/node/evacuation_test.go
+++ b/pkg/node/evacuation_test.go
@@ -18,7 +18,7 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// TestEvacuationRows checks that zones are taken out of use and returned by changed rows and by a
+// TestEvacuationRows checks that evacuations are begun and ended by changed rows and by a
 // list that lacks a row, and that a malformed row affects no other.
 func TestEvacuationRows(t *testing.T) {
 	c := qt.New(t)
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestAllZonesEvacuated checks that submissions are refused at once while all zones are out of use.
+// TestAllZonesEvacuated checks that submissions are refused at once while all zones are evacuated.
 func TestAllZonesEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// longPollWait bounds the wait of one long poll. After an outage the service never answers
+	// longPollWait is how long the service may hold one long poll without an answer. After an outage the service never answers
 	// polls sent during it, so the bound limits how long such a poll delays later changes.
 	longPollWait = time.Second
-	// idleLongPollWait is the wait of long polls on tables that rarely change. Another feed's
-	// shorter polls detect an outage; these polls are then canceled and repeated.
+	// idleLongPollWait is the same for idle feeds, those of tables that rarely change. The shorter
+	// polls of other feeds detect an outage; these polls are then canceled and repeated.
 	idleLongPollWait = 4 * time.Second
 	// readTimeout bounds the read of one row.
 	readTimeout = 2 * time.Second
 	// bulkReadTimeout bounds the read of a large answer, such as a configuration, on a slow link.
 	bulkReadTimeout = 15 * time.Second
-	// peerCatalogDelay is how long a newer configuration is expected from the table service before
+	// peerCatalogDelay is how long to wait for a newer configuration from the table service before
 	// a peer is asked for it; both transfers at once would share the link.
 	peerCatalogDelay = 2500 * time.Millisecond
 	// fullPageRows is the number of rows in an answer from which more changes are assumed to wait;
@@ -45,7 +45,7 @@
 	// onBatch is called after the rows of each answer were applied; may be nil.
 	onBatch     func()
 	minInterval time.Duration // minimum time between two polls, 0 for none
-	// idle selects longer polls while the service answers.
+	// idle selects idleLongPollWait while the service answers, for a table that rarely changes.
 	idle bool
 	// active reports whether to continue; nil for always.
 	active func() bool
--- a/pkg/node/local.go
+++ b/pkg/node/local.go
@@ -7,29 +7,29 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// local implements [ownership.Local].
+// local is the node as [ownership.Members] sees it; it implements [ownership.Local].
 type local struct{ *Node }
 
-// CatalogVersion implements ownership.Local.
+// CatalogVersion returns the version of the configuration in force, 0 for none.
 func (l local) CatalogVersion() int64 { return l.catalogVersion() }
 
-// OwnersVersion implements ownership.Local.
+// OwnersVersion returns the highest version of an owner row seen.
 func (l local) OwnersVersion() int64 {
 	version, _ := l.ownership.OwnersVersion()
 	return version
 }
 
-// ReachesStore implements ownership.Local.
+// ReachesStore reports whether the table service answers.
 func (l local) ReachesStore() bool { return l.rows.reachable() }
 
-// StoreUptime implements ownership.Local.
+// StoreUptime returns for how long the table service has answered, 0 if it does not.
 func (l local) StoreUptime() time.Duration { return l.rows.uptime() }
 
-// EntryChanged implements ownership.Local.
+// EntryChanged triggers a pass over the shards, since an owner may be gone.
 func (l local) EntryChanged() { l.ownership.Wake() }
 
-// CatalogNewer implements ownership.Local.
+// CatalogNewer fetches a newer configuration from a peer.
 func (l local) CatalogNewer(c *peer.Caller, version int64) { l.fetchCatalog(c, version) }
 
-// OwnerRowReported implements ownership.Local.
+// OwnerRowReported applies an owner row that a peer reports.
 func (l local) OwnerRowReported(pool string, r platform.Row) { l.ownership.ApplyOwner(pool, r) }
--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -89,40 +89,41 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Commit implements shard.Metrics.
+// Commit observes the time and outcome of a transaction.
 func (m *metrics) Commit(d time.Duration, err error) {
 	m.commits.WithLabelValues(outcome(err)).Observe(d.Seconds())
 }
 
-// Poll implements shard.Metrics.
+// Poll counts a poll of a worker, which renews its lease.
 func (m *metrics) Poll(err error) { m.leaseRenewals.WithLabelValues(outcome(err)).Inc() }
 
-// Order implements shard.Metrics.
+// Order counts an order to a worker by outcome.
 func (m *metrics) Order(err error) { m.orders.WithLabelValues(outcome(err)).Inc() }
 
-// End implements shard.Metrics.
+// End counts the end of an attempt by reason.
 func (m *metrics) End(reason platform.EndReason) { m.attemptEnds.WithLabelValues(string(reason)).Inc() }
 
-// StaleEnd implements shard.Metrics.
+// StaleEnd counts an end that a worker lists again after it was acknowledged.
 func (m *metrics) StaleEnd() { m.staleEnds.Inc() }
 
-// AttemptLost implements shard.Metrics.
+// AttemptLost counts an attempt that was lost with its worker.
 func (m *metrics) AttemptLost(kind shard.LossKind) { m.losses.WithLabelValues(string(kind)).Inc() }
 
-// PredecessorDone implements shard.Metrics.
+// PredecessorDone observes how long after a takeover the predecessor, the owner just before, could
+// still act.
 func (m *metrics) PredecessorDone(end shard.PredecessorEnd, waited time.Duration) {
 	m.predecessorWait.WithLabelValues(string(end)).Observe(waited.Seconds())
 }
 
-// Job implements shard.Metrics.
+// Job counts a job by event.
 func (m *metrics) Job(event string) { m.jobs.WithLabelValues(event).Inc() }
 
-// AccountAtLimit implements shard.Metrics.
+// AccountAtLimit counts a second in which a shard held back tasks of an account at its limit.
 func (m *metrics) AccountAtLimit(account string) {
 	m.atLimit.WithLabelValues(m.accountLabel(account)).Inc()
 }
 
-// RowMalformed implements shard.Metrics.
+// RowMalformed counts a row that cannot be decoded.
 func (m *metrics) RowMalformed(table string) { m.malformedRows.WithLabelValues(table).Inc() }
 
 // accountLabel returns the label of an account, otherAccounts once maxAccountLabels are in use.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// RetryAfter is the delay after which a refused client should retry, a whole number of seconds
+	// RetryAfter is the delay after which a refused caller should retry, a whole number of seconds
 	// for HTTP.
 	RetryAfter = time.Second
 	// shutdownDelay is how long a stopping node still accepts requests after it reports that it is
-	// not ready: the load balancer polls each second and acts on the second answer, and requests on
-	// open connections may be delayed by a saturated link.
+	// not ready. It covers two polls of the load balancer, one second apart, and the delay of requests
+	// on a saturated link.
 	shutdownDelay = 3500 * time.Millisecond
 	// shutdownTimeout bounds the requests that are still open after shutdownDelay.
 	shutdownTimeout = 2 * time.Second
@@ -38,8 +38,8 @@
 	// processExitTime is reserved for the exit of the process after that.
 	processExitTime = 400 * time.Millisecond
 	// isolationTimeout is how long the table service must not have answered before an entry that
-	// does not hear most others counts as isolated. It exceeds longPollWait, the time between two
-	// answers of an idle feed.
+	// does not hear most others counts as isolated. It exceeds longPollWait: the feed of operator
+	// rows gets an answer at least that often.
 	isolationTimeout = 1100 * time.Millisecond
 )
 
@@ -53,8 +53,8 @@
 	DecodeWorker  func(id string, raw []byte) (platform.Worker, error)
 	// DecodeWave decodes a row of CatalogTable; ok is false if it is no maintenance wave.
 	DecodeWave func(key string, raw []byte) (w fleetops.Wave, ok bool, err error)
-	// DecodeEvacuation decodes a row of CatalogTable that takes an availability zone out of use; ok
-	// is false if it is of another kind.
+	// DecodeEvacuation decodes a row of CatalogTable that evacuates an availability zone; ok is false
+	// if it is of another kind.
 	DecodeEvacuation func(key string, raw []byte) (zone string, ok bool, err error)
 	// EncodeWave encodes the row that reports a wave's progress to the operator.
 	EncodeWave func(wave int, completed bool) (platform.Row, error)
@@ -142,7 +142,7 @@
 	return 0
 }
 
-// Ready reports whether the node should get clients' connections, and why not.
+// Ready reports whether the node should get callers' connections, and why not.
 func (n *Node) Ready() (ready bool, why string) {
 	switch {
 	case n.stopping.Load():
@@ -167,7 +167,7 @@
 
 // Handlers are the HTTP handlers of the node's listeners.
 type Handlers struct {
-	JobAPI    http.Handler // serves clients, which submit, query and cancel jobs
+	JobAPI    http.Handler // serves callers, who submit, query and cancel jobs
 	Readiness http.Handler // serves the load balancer's checks
 }
 
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -234,7 +234,7 @@
 
 func testLog() zerolog.Logger { return zerolog.New(io.Discard) }
 
-// submitUntilAccepted repeats a submission until it is accepted, as clients do.
+// submitUntilAccepted repeats a submission until it is accepted, as callers do.
 func submitUntilAccepted(c *qt.C, n *Node, id string) {
 	spec := jobs.Spec{Text: "work", Steps: []jobs.Step{{Count: 3, Needs: platform.Resources{CPU: 500}}, {Count: 1, Needs: platform.Resources{CPU: 500}, After: []int{0}}}}
 	q := n.Catalog().Queue(testQueue)
--- a/pkg/node/operators.go
+++ b/pkg/node/operators.go
@@ -66,7 +66,8 @@
 	return loads
 }
 
-// zoneStatus returns the zones out of use and what still runs there.
+// zoneStatus returns the evacuated zones and what still runs there: ZoneLoad.Tasks counts running
+// tasks, unlike Load.Tasks, which counts waiting ones.
 func (n *Node) zoneStatus(ctx context.Context) []api.ZoneStatus {
 	all := []api.ZoneStatus{}
 	out := n.evacuations.all()
@@ -88,7 +89,7 @@
 	return all
 }
 
-// jobStatus reports a job's state, as clients see it, and the owner of its shard.
+// jobStatus reports a job's state, as callers see it, and the owner of its shard.
 func (n *Node) jobStatus(c echo.Context) error {
 	cat := n.Catalog()
 	if cat == nil {
--- a/pkg/node/ownerwait_test.go
+++ b/pkg/node/ownerwait_test.go
@@ -98,7 +98,7 @@
 	c.Check(n.Submit(ctx, submitQueue, "", "0000000000000001", jobs.Spec{}), qt.Equals, schema.CallOutcomeUnknown)
 }
 
-// TestCallerGoneEndsWait checks that a submission stops waiting for an owner when its client
+// TestCallerGoneEndsWait checks that a submission stops waiting for an owner when its caller
 // leaves.
 func TestCallerGoneEndsWait(t *testing.T) {
 	c := qt.New(t)
--- a/pkg/node/serve.go
+++ b/pkg/node/serve.go
@@ -15,7 +15,7 @@
 	idleTimeout = time.Minute
 )
 
-// closeConnUnlessReady makes clients reconnect, to another node, when this one is not ready; an
+// closeConnUnlessReady makes callers reconnect, to another node, when this one is not ready; an
 // open connection would keep using it.
 func (n *Node) closeConnUnlessReady(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/pkg/node/storemonitor.go
+++ b/pkg/node/storemonitor.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// storeMonitor wraps the table service and tracks whether it answers this node.
+// storeMonitor wraps the table service, the store, and tracks whether it answers this node.
 type storeMonitor struct {
 	platform.Rows
 	log   zerolog.Logger
@@ -97,7 +97,7 @@
 	}
 }
 
-// uptime returns for how long calls have been answered, 0 if they are not.
+// uptime returns for how long calls have been answered without a failure, 0 if the last one was not.
 func (r *storeMonitor) uptime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,7 +114,7 @@
 	return r.clock.Now() - r.answeredAt
 }
 
-// reachable reports whether the last call was answered.
+// reachable reports whether the service answered the last call.
 func (r *storeMonitor) reachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -56,11 +56,11 @@
 // standDown tells the process of a shard's former owner that it was replaced; it reports whether
 // that owner has stopped its work.
 func (n *Node) standDown(ctx context.Context, former shard.OwnerRow, newer platform.Row) (closed bool) {
-	caller := n.members.Caller(former.Entry, former.Address)
-	if caller == nil {
+	conn := n.members.Caller(former.Entry, former.Address)
+	if conn == nil {
 		return false
 	}
-	reply, err := caller.Call(ctx, &schema.Call{Kind: schema.CallKindStandDown, Pool: newer.Partition, OwnerRow: newer.Value, OwnersVersion: int(newer.Version)})
+	reply, err := conn.Call(ctx, &schema.Call{Kind: schema.CallKindStandDown, Pool: newer.Partition, OwnerRow: newer.Value, OwnersVersion: int(newer.Version)})
 	if err != nil {
 		n.log.Debug().Str("event", "predecessor_not_reached").Str("pool", newer.Partition).Str("entry", former.Entry).Err(err).Send()
 		return false
@@ -70,6 +70,8 @@
 
 // openFleet takes over the fleet operations, which move and maintain VMs.
 func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
+	// OrderGap: the VM service demands the gap; fencing alone rejects only orders of former holders
+	// that arrive after one of this holder.
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
@@ -100,7 +102,7 @@
 	return waves
 }
 
-// drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
+// drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is drained.
 func (n *Node) drainVM(ctx context.Context, pool, vm string) (drained bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
--- a/pkg/ownership/claim.go
+++ b/pkg/ownership/claim.go
@@ -25,13 +25,14 @@
 	// replaced: after a network partition heals, the service may be reachable before the other
 	// entries are.
 	storeStableTime = 1500 * time.Millisecond
-	// claimInterval is the time between two passes over the shards without an event.
+	// claimInterval is the time between two passes over the shards while nothing changes.
 	claimInterval = 200 * time.Millisecond
 	// claimRetryDelay is the time before a shard is claimed again after a failure.
 	claimRetryDelay = 300 * time.Millisecond
 )
 
-// claimShards claims the shards whose owner is gone and for which this entry is the next candidate.
+// claimShards makes a pass over the shards: it confirms the local owners, hands over a shard if the
+// load is uneven, and claims the shards without an owner for which this entry is the next candidate.
 func (mgr *Manager) claimShards(ctx context.Context) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
@@ -62,15 +63,15 @@
 		if now-s.goneSince < time.Duration(rank)*claimStagger {
 			continue
 		}
-		s.claiming = true
+		s.claiming = true // the event tells the start of the claim; a failure has its own
 		mgr.log.Info().Str("event", "shard_claimed").Str("pool", pool).Str("former", s.row.Entry).Int64("version", s.version).
 			Str("why", why).Int("rank", rank).Int("alive", len(candidates)).Send()
 		go mgr.claim(ctx, pool, s, shard.ObservedOwner{Version: s.version, Age: now - s.rowSeenAt})
 	}
 }
 
-// confirmOwned tells the local owners until when no other entry had seen a newer owner row. The
-// caller holds mu.
+// confirmOwned confirms the local owners: while no entry has seen a newer owner row, none of them was
+// replaced. The caller holds mu.
 func (mgr *Manager) confirmOwned() {
 	at, ok := mgr.members.ConfirmedAt(mgr.latestVersion())
 	if !ok {
@@ -105,7 +106,7 @@
 	return why, true
 }
 
-// claim takes over a shard and installs its owner here.
+// claim takes over a shard and runs its owner here.
 func (mgr *Manager) claim(ctx context.Context, pool string, s *shardState, seen shard.ObservedOwner) {
 	mgr.mu.Lock()
 	cat, closed := mgr.catalog, s.closed
@@ -113,7 +114,7 @@
 	// A claim must not start before the previous local owner has stopped; if ctx ends first, the
 	// claim fails.
 	awaitClosed(ctx, closed)
-	gaveUp := false // the owner gave up the shard before it was installed here
+	gaveUp := false // the owner gave up the shard before it was recorded here
 	o, err := mgr.open(ctx, pool, seen, cat, Events{
 		BeforeTakeover: func() {
 			mgr.mu.Lock()
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -76,8 +76,8 @@
 	return mgr
 }
 
-// reconcileAll runs one pass on all entries and returns those that claimed the shard.
-func (o *outage) reconcileAll() (claimed []string) {
+// runPass runs one pass on all entries and returns those that claimed the shard.
+func (o *outage) runPass() (claimed []string) {
 	for _, mgr := range o.managers {
 		mgr.claimShards(context.Background())
 	}
@@ -94,11 +94,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		o := newOutage()
-		c.Check(o.reconcileAll(), qt.HasLen, 0)
+		c.Check(o.runPass(), qt.HasLen, 0)
 		for _, e := range o.entries {
 			e.storeSince = time.Now()
 		}
-		c.Check(o.reconcileAll(), qt.HasLen, 1)
+		c.Check(o.runPass(), qt.HasLen, 1)
 	})
 }
 
--- a/pkg/ownership/liveness.go
+++ b/pkg/ownership/liveness.go
@@ -29,13 +29,14 @@
 	OwnerSuspect OwnerStatus = "suspect" // silent, and so are many others
 )
 
-// OwnerStatus returns the state of the owner named in a row first seen at since, and the reason.
+// OwnerStatus returns the state of the owner named in a row first seen at since, and the reason. The
+// owner must not run in this process: a row that names this entry is left from an ended owner.
 func (m *Members) OwnerStatus(o shard.OwnerRow, since time.Duration) (v OwnerStatus, why string) {
 	if o.Entry == "" {
 		return OwnerGone, "released"
 	}
 	if o.Entry == m.self.Name {
-		return OwnerGone, "an earlier process of this entry"
+		return OwnerGone, "this entry no longer runs the owner"
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,9 +62,8 @@
 	return OwnerSuspect, "silent, as are many others"
 }
 
-// HasEnded reports whether the process of the owner in a row is known to have ended: the row names
-// no owner, its entry has restarted, or connections to it were refused refusalsUntilEnded times in
-// a row.
+// HasEnded reports whether the owner in a row is known to have ended: the row names no owner or this
+// entry, its entry has restarted, or refusalsUntilEnded consecutive connections were refused.
 func (m *Members) HasEnded(o shard.OwnerRow) bool {
 	if o.Entry == "" || o.Entry == m.self.Name {
 		return true
@@ -148,8 +148,9 @@
 	return all
 }
 
-// ConfirmedAt returns the latest time at which no entry had seen an owner row newer than version,
-// as their answers to pings show; ok is false if one of them has, or has not answered.
+// ConfirmedAt returns the latest time at which no other entry had seen an owner row newer than
+// version, or had a takeover in doubt, as their answers to pings show. ok is false if one of them
+// had, or has not answered.
 func (m *Members) ConfirmedAt(version int64) (at time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -22,11 +22,11 @@
 	Term() int64
 	// RowVersion returns the version of the owner row that its takeover wrote.
 	RowVersion() int64
-	// Confirm records that this entry was still the owner at a time on its clock.
+	// Confirm records that the owner had not been replaced at a time on this entry's clock.
 	Confirm(at time.Duration)
 	// SetCatalog sets the configuration in force.
 	SetCatalog(c *catalog.Catalog)
-	// SetWorkers sets the current boots of all pools.
+	// SetWorkers sets the workers of all pools, one for the current boot of each VM.
 	SetWorkers(workers []platform.Worker)
 	// Release hands the shard over to the entry next, or to any entry if next is empty.
 	Release(ctx context.Context, next string)
@@ -35,14 +35,14 @@
 }
 
 // Opener takes over a shard if its owner row still has the version seen, and starts its owner. It
-// calls events.Committing before it commits the takeover, and events.Relinquished once if the owner
+// calls events.BeforeTakeover before it commits the takeover, and events.OnGivenUp once if the owner
 // gives up the shard.
 type Opener func(ctx context.Context, pool string, seen shard.ObservedOwner, cat *catalog.Catalog, events Events) (LocalOwner, error)
 
 // Events are the callbacks of an Opener.
 type Events struct {
 	BeforeTakeover func()      // called before the takeover is committed
-	OnGivenUp      func(error) // called once if the owner gives up the shard, with the cause
+	OnGivenUp      func(error) // called once if the owner gives up the shard, with the cause, which may be nil
 }
 
 // shardState is what this entry knows of one shard.
@@ -84,7 +84,7 @@
 	mu       sync.Mutex
 	shards   map[string]*shardState
 	catalog  *catalog.Catalog
-	workers  []platform.Worker // current boots of all pools
+	workers  []platform.Worker // of all pools, one for the current boot of each VM
 	stopping bool
 	// rebalancedAt is when this entry last handed over a shard to balance the load.
 	rebalancedAt time.Duration
@@ -147,7 +147,7 @@
 	}
 }
 
-// SetWorkers sets the current boots of all pools from the worker directory.
+// SetWorkers passes the workers of all pools, as read from the worker directory, to the local owners.
 func (mgr *Manager) SetWorkers(workers []platform.Worker) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
@@ -160,7 +160,7 @@
 }
 
 // Owns reports whether this entry owns the shard of any pool, and returns a channel that is closed
-// when any owner changes. The shard of the fleet's operations does not count.
+// when any owner changes. The shard of the fleet operations does not count.
 func (mgr *Manager) Owns() (owns bool, changed <-chan struct{}) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
--- a/pkg/ownership/members.go
+++ b/pkg/ownership/members.go
@@ -25,10 +25,10 @@
 	Address string  `msgpack:"a"` // of its peer listener, host:port
 	Zone    string  `msgpack:"z"`
 	Start   int64   `msgpack:"s"` // start time in Unix ns; tells restarts apart
-	CPUs    float64 `msgpack:"c"` // of a processor, 1 for a whole one
+	CPUs    float64 `msgpack:"c"` // processors it may use, possibly a fraction
 }
 
-// memberState is what this entry knows of another one.
+// memberState is what this entry knows of a peer, another registered entry.
 type memberState struct {
 	Member
 	caller *peer.Caller
@@ -46,7 +46,7 @@
 
 	// Reported in its last answer.
 	answeredPingAt time.Duration // when that ping was sent
-	ownersVersion  int64         // highest version of an owner row it has seen, -1 while it takes over a shard
+	ownersVersion  int64         // highest version of an owner row it has seen, -1 while it has a takeover in doubt
 	stopping       bool          // in a planned stop, so not a candidate
 	storeLostSince time.Duration // when it was first seen without the table service, 0 if it reaches it
 }
@@ -74,7 +74,8 @@
 	OwnersVersion() int64
 	// ReachesStore reports whether the table service answers.
 	ReachesStore() bool
-	// StoreUptime returns for how long the table service has answered, 0 if it does not.
+	// StoreUptime returns for how long the table service has answered without a failure, 0 if it does
+	// not answer.
 	StoreUptime() time.Duration
 	// EntryChanged is called when an entry may have become reachable or unreachable.
 	EntryChanged()
@@ -173,7 +174,7 @@
 // pingNow triggers a ping at once.
 func (p *memberState) pingNow() { pause.Wake(p.wake) }
 
-// Caller returns the connection to an entry, nil if the entry is unknown, at another address, or
+// Caller returns the connection for calls to an entry, nil if the entry is unknown, at another address, or
 // silent, so that requests don't wait for a dead connection.
 func (m *Members) Caller(name, address string) *peer.Caller {
 	m.mu.Lock()
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -13,7 +13,8 @@
 
 // Timing of pings.
 const (
-	// pingInterval is the time between pings of an entry that owns a shard.
+	// pingInterval is the time between pings of an entry that owns a shard. It is shorter than
+	// pingTimeout, so pings of a slow owner overlap.
 	pingInterval = 400 * time.Millisecond
 	// idlePingFactor times the square of the number of entries is the interval between pings of an
 	// entry that owns no shard, so that the total rate of pings stays constant as the cluster
@@ -151,7 +152,7 @@
 	return false
 }
 
-// recordPing records the outcome of a ping and reports a change of the entry's liveness.
+// recordPing records the outcome of a ping and reports whether the entry became alive or silent.
 func (m *Members) recordPing(p *memberState, reply *schema.CallReply, err error, sentAt time.Duration, timedOut bool) {
 	m.mu.Lock()
 	before := m.alive(p)
--- a/pkg/ownership/rank.go
+++ b/pkg/ownership/rank.go
@@ -18,8 +18,8 @@
 	return counts
 }
 
-// rankAndAssign returns this entry's position among the candidates for a shard, 0 for the first, and counts
-// the shard towards the first one's load.
+// rankAndAssign returns this entry's position among the candidates for a shard, 0 for the first. It
+// adds the shard to the first one's count, so that one candidate is not first for all shards.
 func (mgr *Manager) rankAndAssign(pool string, row shard.OwnerRow, candidates []Member, counts map[string]int) int {
 	order := slices.Clone(candidates)
 	slices.SortFunc(order, func(a, b Member) int {
@@ -31,10 +31,9 @@
 	return slices.IndexFunc(order, func(m Member) bool { return m.Name == mgr.self.Entry })
 }
 
-// loadWithOneMore returns the shards per processor that an entry would have with one more.
-func loadWithOneMore(m Member, counts map[string]int) float64 {
-	return float64(counts[m.Name]+1) / m.CPUs
-}
+// loadWithOneMore returns the load, in shards per processor, that an entry with n shards would have
+// with one more.
+func loadWithOneMore(m Member, n map[string]int) float64 { return float64(n[m.Name]+1) / m.CPUs }
 
 // successorOrder is 0 for the successor that the last owner named and 1 for all others.
 func successorOrder(m Member, row shard.OwnerRow) int {
--- a/pkg/ownership/rebalance.go
+++ b/pkg/ownership/rebalance.go
@@ -11,12 +11,12 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Shards move away from overloaded owners: after a restart the entries that register first may own
-// more than they have the processor share for.
+// Shards move away from entries with too many shards per processor: after a restart the entries
+// that register first may own most shards.
 const (
-	// rebalanceFactor is the minimum ratio of an owner's load to the load that the other entry
-	// would have with the shard. Above 2, an entry with two shards keeps both although an equal
-	// entry has none.
+	// rebalanceFactor is the minimum ratio of an owner's shards per processor to those that the
+	// other entry would have with the shard. As it exceeds 2, no shard moves from an entry with two
+	// to an equal one with none, and single shards don't move back and forth.
 	rebalanceFactor = 2.5
 	// minTenure is how long a shard is owned before it may be handed over, which lets its takeover
 	// finish and keeps it from moving repeatedly.
@@ -36,8 +36,8 @@
 	return best.Name, mine >= rebalanceFactor*loadWithOneMore(best, counts)
 }
 
-// compareLoad orders entries by the load they would have with one more shard. A hash of pool and
-// entry breaks ties, so that equal entries share the shards.
+// compareLoad orders entries by the shards per processor that they would have with one more shard. A
+// hash of pool and entry breaks ties, so that equal entries get different shards.
 func compareLoad(pool string, counts map[string]int, a, b Member) int {
 	return cmp.Or(
 		cmp.Compare(loadWithOneMore(a, counts), loadWithOneMore(b, counts)),
@@ -67,7 +67,7 @@
 	}
 }
 
-// handOver releases a shard to another entry and drops its owner. The owner row is then read again:
+// handOver has the local owner release a shard to another entry, and drops that owner. The owner row is then read again:
 // if the release was not committed, the row still names this entry, which claims the shard again.
 func (mgr *Manager) handOver(ctx context.Context, s *shardState, o LocalOwner, to string) {
 	o.Release(ctx, to)
--- a/pkg/ownership/rows.go
+++ b/pkg/ownership/rows.go
@@ -38,7 +38,7 @@
 	mgr.Wake()
 }
 
-// StandDown applies a newer owner row and reports whether this entry has stopped all work for the
+// StandDown applies a newer owner row, at the request of the new owner, and reports whether this entry has stopped all work for the
 // shard: its owner is closed and no claim is in progress.
 func (mgr *Manager) StandDown(ctx context.Context, pool string, r platform.Row) (closed bool) {
 	mgr.ApplyOwner(pool, r)
@@ -134,8 +134,8 @@
 	return news
 }
 
-// OwnersVersion returns the highest version of an owner row seen, and whether a takeover is in
-// doubt here.
+// OwnersVersion returns the highest version of an owner row seen, and whether the outcome of a
+// takeover that was sent to the table service is unknown.
 func (mgr *Manager) OwnersVersion() (version int64, inDoubt bool) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// minHeadroom is the fraction of a shard's target headroom below which shares are rebalanced. It
-	// limits how often shares change while an account is far below its limit.
+	// minHeadroom is the fraction of a shard's target headroom, its target share less its demand,
+	// below which shares are rebalanced. It limits how often shares change while an account is far
+	// below its limit.
 	minHeadroom = 0.5
 	// minChange is the smallest change of a share, as a fraction of the limit, that triggers a
 	// rebalance for an account at its limit, unless it allows a task to start.
