--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// forecastHorizon is about the time from planning a move until the VM runs tasks in its new pool.
+	// forecastHorizon is about the time from planning a move until the VM runs tasks in its new
+	// pool.
 	forecastHorizon = 2 * time.Second
 	// slopeSmoothing is the weight of the newest sample in the exponential average of the slope.
 	slopeSmoothing = 0.25
@@ -68,8 +69,8 @@
 	return &g
 }
 
-// updateTrend adds a sample to a pool's trend. It returns by how much the demand is expected to grow
-// within forecastHorizon, in thousandths of a core.
+// updateTrend adds a sample to a pool's trend. It returns by how much the demand is expected to
+// grow within forecastHorizon, in thousandths of a core.
 func (r *Runner) updateTrend(pool string, demand int) int {
 	now := r.now()
 	t := r.trends[pool]
@@ -119,7 +120,8 @@
 }
 
 // largestCapacity returns the capacity of the pool's largest VM, or else of the largest VM in the
-// fleet. It stands in for that of a pool without usable workers, which would never get a VM otherwise.
+// fleet. It stands in for that of a pool without usable workers, which would never get a VM
+// otherwise.
 func largestCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
 	own := false
 	for _, m := range machines {
@@ -146,8 +148,8 @@
 	return leaving
 }
 
-// countMachines adds the VMs that will soon run tasks without a move by this holder to the supply of
-// their pools, and lists the movable VMs of the spare pool.
+// countMachines adds the VMs that will soon run tasks without a move by this holder to the supply
+// of their pools, and lists the movable VMs of the spare pool.
 func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, reserved map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
@@ -181,8 +183,8 @@
 	return movable
 }
 
-// updateSurplus counts this step if the pool has more VMs than its target size. It returns the number
-// of consecutive steps in which that was so.
+// updateSurplus counts this step if the pool has more VMs than its target size. It returns the
+// number of consecutive steps in which that was so.
 func (r *Runner) updateSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
@@ -195,8 +197,8 @@
 	return r.surplus[s.Name]
 }
 
-// reservedByWaves returns the phase of each VM that must not be moved because of a wave: those being
-// drained or maintained, and those still waiting shortly before the wave's deadline.
+// reservedByWaves returns the phase of each VM that must not be moved because of a wave: those
+// being drained or maintained, and those still waiting shortly before the wave's deadline.
 func (r *Runner) reservedByWaves() map[string]Phase {
 	reserved := map[string]Phase{}
 	for _, w := range r.openWaves() {
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -15,8 +15,8 @@
 
 const (
 	// orderWindow is how long after the start of its announcement an order may be sent. It must
-	// exceed the usual time of a table transaction, or orders are announced again and again. It adds
-	// to the time that the next holder waits.
+	// exceed the usual time of a table transaction, or orders are announced again and again. It
+	// adds to the time that the next holder waits.
 	orderWindow = time.Second
 	// orderTransit is the maximum time that an order takes to reach the VM service.
 	orderTransit = 250 * time.Millisecond
@@ -30,9 +30,9 @@
 )
 
 // announcement lists the VMs for which a holder may have sent orders recently or is about to, each
-// with the latest send time. It is persisted before the orders are sent, on condition that the owner
-// row is unchanged. A new holder reads it after its takeover, and so knows every VM whose orders it
-// has to delay.
+// with the latest send time. It is persisted before the orders are sent, on condition that the
+// owner row is unchanged. A new holder reads it after its takeover, and so knows every VM whose
+// orders it has to delay.
 type announcement struct {
 	Term   int64            `msgpack:"t"`
 	Orders []announcedOrder `msgpack:"o"`
@@ -65,9 +65,9 @@
 	return decodeAnnouncement(row)
 }
 
-// loadFormerOrders reads once for which VMs former holders may have sent orders, and reports whether
-// that is known. Former holders send no order later than announced, however long they were paused
-// or partitioned.
+// loadFormerOrders reads once for which VMs former holders may have sent orders, and reports
+// whether that is known. Former holders send no order later than announced, however long they were
+// paused or partitioned.
 func (r *Runner) loadFormerOrders(ctx context.Context) (known bool) {
 	if r.formerOrdersKnown {
 		return true
@@ -177,7 +177,8 @@
 }
 
 // mergedAnnouncement returns, by VM, the latest send time of the announced orders that the next
-// holder may have to wait for, of this and former holders, and of orders for the given VMs as far as the row has room.
+// holder may have to wait for, of this and former holders, and of orders for the given VMs as far
+// as the row has room.
 func (r *Runner) mergedAnnouncement(vms []string) map[string]time.Duration {
 	now := r.now()
 	next := map[string]time.Duration{}
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -95,7 +95,7 @@
 	mu            sync.Mutex
 	need          map[string]int // demand in VMs, by pool
 	unusablePool  string         // pool without usable workers, whose tasks wait
-	evacuatedZone string         // zone that is out of use
+	evacuatedZone string         // zone that is evacuated
 	waves         []Wave
 	// rowsOf and vmsOf wrap the services as seen by an entry; nil for no faults.
 	rowsOf func(entry string, rows platform.Rows) platform.Rows
--- a/pkg/fleetops/moves.go
+++ b/pkg/fleetops/moves.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// sendMove orders a VM's move. Its event is logged for each order sent, with the error of one that was
-// refused or not answered.
+// sendMove orders a VM's move. Its event is logged for each order sent, with the error of one that
+// was refused or not answered.
 func (r *Runner) sendMove(ctx context.Context, m *move) {
 	err := r.cfg.Machines.MoveMachine(ctx, m.VM, m.To, r.holder())
 	r.log.Info().Str("event", "move_ordered").Str("vm", m.VM).Str("from", m.From).Str("to", m.To).Err(err).Send()
--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -174,7 +174,8 @@
 	time.Sleep(time.Until(thaw))
 }
 
-// violations returns the orders that came too soon after another holder's, or without a newer token.
+// violations returns the orders that came too soon after another holder's, or without a newer
+// token.
 func (m *orderGapMachine) violations() (broken []string) {
 	m.s.vms.mu.Lock()
 	defer m.s.vms.mu.Unlock()
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -18,10 +18,11 @@
 const stepInterval = 250 * time.Millisecond
 
 // Partition is the partition and shard name of the fleet operations. It is never a pool's name.
+// Stored names and log events call all fleet operations maintenance.
 const Partition = "~maintenance"
 
-// Drainer has the owner of a pool's shard move the tasks off a VM and start no others there for some
-// seconds. It reports whether the VM is drained.
+// Drainer has the owner of a pool's shard move the tasks off a VM and start no others there for
+// some seconds. It reports whether the VM is drained.
 type Drainer func(ctx context.Context, pool, vm string) (drained bool)
 
 // Loader requests the load of a pool's shard; ok is false if its owner does not answer. If grant is
--- a/pkg/fleetops/wave.go
+++ b/pkg/fleetops/wave.go
@@ -51,8 +51,8 @@
 	acceptedAt time.Duration // when the VM service accepted the order, 0 before
 }
 
-// returned reports whether the VM is up again after its maintenance. A spare VM runs no worker and so
-// shows no new worker ID; it counts as returned once the maintenance must be over.
+// returned reports whether the VM is up again after its maintenance. A spare VM runs no worker and
+// so shows no new worker ID; it counts as returned once the maintenance must be over.
 func (v *VM) returned(m platform.Machine, now, takes time.Duration) bool {
 	if m.State != platform.MachineUp {
 		return false
--- a/pkg/jobs/encode.go
+++ b/pkg/jobs/encode.go
@@ -20,8 +20,8 @@
 	// together with other pending rows.
 	maxProgressRows = 8
 	// versionedFormat is the format number that precedes progress which earlier versions of the
-	// program cannot decode. They leave the job out instead of rerunning tasks that are done. Format
-	// 1, for all other progress, has no number.
+	// program cannot decode. They leave the job out instead of rerunning tasks that are done.
+	// Format 1, for all other progress, has no number.
 	versionedFormat = 2
 )
 
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -79,8 +79,8 @@
 }
 
 // confirmAbsent looks a job up in the table service before the caller is told that it does not
-// exist: the owner that was asked may have been replaced without knowing it. Refused asks the caller
-// to retry.
+// exist: the owner that was asked may have been replaced without knowing it. Refused asks the
+// caller to retry.
 func (n *Node) confirmAbsent(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
 	ctx, ended := n.cancelAtStop(ctx)
 	defer ended()
--- a/pkg/node/directory_test.go
+++ b/pkg/node/directory_test.go
@@ -35,7 +35,8 @@
 	return page, nil
 }
 
-// TestFullPages checks that full pages are read without a pause and that onBatch runs once per page.
+// TestFullPages checks that full pages are read without a pause and that onBatch runs once per
+// page.
 func TestFullPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -16,8 +16,9 @@
 )
 
 const (
-	// longPollWait is how long the service may hold one long poll without an answer. After an outage the service never answers
-	// polls sent during it, so the bound limits how long such a poll delays later changes.
+	// longPollWait is how long the service may hold one long poll without an answer. After an
+	// outage the service never answers polls sent during it, so the bound limits how long such a
+	// poll delays later changes.
 	longPollWait = time.Second
 	// idleLongPollWait is the same for idle feeds, those of tables that rarely change. The shorter
 	// polls of other feeds detect an outage; these polls are then canceled and repeated.
--- a/pkg/node/node.go
+++ b/pkg/node/node.go
@@ -27,8 +27,8 @@
 	// for HTTP.
 	RetryAfter = time.Second
 	// shutdownDelay is how long a stopping node still accepts requests after it reports that it is
-	// not ready. It covers two polls of the load balancer, one second apart, and the delay of requests
-	// on a saturated link.
+	// not ready. It covers two polls of the load balancer, one second apart, and the delay of
+	// requests on a saturated link.
 	shutdownDelay = 3500 * time.Millisecond
 	// shutdownTimeout bounds the requests that are still open after shutdownDelay.
 	shutdownTimeout = 2 * time.Second
@@ -53,8 +53,8 @@
 	DecodeWorker  func(id string, raw []byte) (platform.Worker, error)
 	// DecodeWave decodes a row of CatalogTable; ok is false if it is no maintenance wave.
 	DecodeWave func(key string, raw []byte) (w fleetops.Wave, ok bool, err error)
-	// DecodeEvacuation decodes a row of CatalogTable that evacuates an availability zone; ok is false
-	// if it is of another kind.
+	// DecodeEvacuation decodes a row of CatalogTable that evacuates an availability zone; ok is
+	// false if it is of another kind.
 	DecodeEvacuation func(key string, raw []byte) (zone string, ok bool, err error)
 	// EncodeWave encodes the row that reports a wave's progress to the operator.
 	EncodeWave func(wave int, completed bool) (platform.Row, error)
@@ -190,7 +190,7 @@
 	if err != nil {
 		return err
 	}
-	operators, err := listenHTTP(net.JoinHostPort(n.settings.Address, metricsPort), n.operators())
+	operators, err := listenHTTP(net.JoinHostPort(n.settings.Address, metricsPort), n.operatorHandler())
 	if err != nil {
 		return err
 	}
--- a/pkg/node/node_test.go
+++ b/pkg/node/node_test.go
@@ -245,7 +245,7 @@
 
 // checkOperators checks the answers to operators' requests.
 func checkOperators(c *qt.C, n *Node) {
-	s := httptest.NewServer(n.operators())
+	s := httptest.NewServer(n.operatorHandler())
 	defer s.Close()
 	cl := client.New(s.URL, "")
 	job, err := cl.Job(context.Background(), testQueue, fmt.Sprintf("%016x", 1))
--- a/pkg/node/operators.go
+++ b/pkg/node/operators.go
@@ -13,8 +13,8 @@
 	"github.com/gannetwell/gannetwell/service/api"
 )
 
-// operators returns the read-only handler of operators' requests and metrics.
-func (n *Node) operators() http.Handler {
+// operatorHandler returns the read-only handler of operators' requests and metrics.
+func (n *Node) operatorHandler() http.Handler {
 	e := echo.New()
 	e.GET("/metrics", echo.WrapHandler(n.metrics.handler()))
 	e.GET(api.PathShards, func(c echo.Context) error {
--- a/pkg/node/ownerwait_test.go
+++ b/pkg/node/ownerwait_test.go
@@ -112,9 +112,9 @@
 		}
 		return &schema.CallReply{Outcome: schema.CallOutcomeNotOwner}
 	}), 1)
-	clientCtx, leave := context.WithTimeout(ctx, 400*time.Millisecond)
+	callerCtx, leave := context.WithTimeout(ctx, 400*time.Millisecond)
 	defer leave()
-	c.Check(n.Submit(clientCtx, submitQueue, "", "0000000000000001", jobs.Spec{}), qt.Equals, schema.CallOutcomeRefused)
+	c.Check(n.Submit(callerCtx, submitQueue, "", "0000000000000001", jobs.Spec{}), qt.Equals, schema.CallOutcomeRefused)
 	c.Check(asked.Load() <= 4, qt.IsTrue, qt.Commentf("asked %d times in 400 ms", asked.Load()))
 }
 
--- a/pkg/node/storemonitor.go
+++ b/pkg/node/storemonitor.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// uptime returns for how long calls have been answered without a failure, 0 if the last one was not.
+// uptime returns for how long calls have been answered without a failure, 0 if the last one was
+// not.
 func (r *storeMonitor) uptime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -32,7 +32,7 @@
 		return nil, errOperatorRowsUnread
 	}
 	if pool == fleetops.Partition {
-		return n.openFleet(ctx, seen, cat, events)
+		return n.openFleetOps(ctx, seen, cat, events)
 	}
 	// An entry that owns a shard follows the directory already; a list could be older
 	// than what its feed has read.
@@ -53,23 +53,23 @@
 	return o, nil
 }
 
-// standDown tells the process of a shard's former owner that it was replaced; it reports whether
-// that owner has stopped its work.
-func (n *Node) standDown(ctx context.Context, former shard.OwnerRow, newer platform.Row) (closed bool) {
-	conn := n.members.Caller(former.Entry, former.Address)
+// standDown tells a shard's predecessor, the owner before the present one, that it was replaced. It
+// reports whether that owner has stopped its work.
+func (n *Node) standDown(ctx context.Context, predecessor shard.OwnerRow, newer platform.Row) (closed bool) {
+	conn := n.members.Caller(predecessor.Entry, predecessor.Address)
 	if conn == nil {
 		return false
 	}
 	reply, err := conn.Call(ctx, &schema.Call{Kind: schema.CallKindStandDown, Pool: newer.Partition, OwnerRow: newer.Value, OwnersVersion: int(newer.Version)})
 	if err != nil {
-		n.log.Debug().Str("event", "predecessor_not_reached").Str("pool", newer.Partition).Str("entry", former.Entry).Err(err).Send()
+		n.log.Debug().Str("event", "predecessor_not_reached").Str("pool", newer.Partition).Str("entry", predecessor.Entry).Err(err).Send()
 		return false
 	}
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// openFleet takes over the fleet operations, which move and maintain VMs.
-func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
+// openFleetOps takes over the fleet operations, which move and maintain VMs.
+func (n *Node) openFleetOps(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	// OrderGap: the VM service demands the gap; fencing alone rejects only orders of former holders
 	// that arrive after one of this holder.
 	r, err := fleetops.Open(ctx, fleetops.Config{
--- a/pkg/ownership/claim.go
+++ b/pkg/ownership/claim.go
@@ -32,7 +32,8 @@
 )
 
 // claimShards makes a pass over the shards: it confirms the local owners, hands over a shard if the
-// load is uneven, and claims the shards without an owner for which this entry is the next candidate.
+// load is uneven, and claims the shards without an owner for which this entry is the next
+// candidate.
 func (mgr *Manager) claimShards(ctx context.Context) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
@@ -70,8 +71,8 @@
 	}
 }
 
-// confirmOwned confirms the local owners: while no entry has seen a newer owner row, none of them was
-// replaced. The caller holds mu.
+// confirmOwned confirms the local owners: while no entry has seen a newer owner row, none of them
+// was replaced. The caller holds mu.
 func (mgr *Manager) confirmOwned() {
 	at, ok := mgr.members.ConfirmedAt(mgr.latestVersion())
 	if !ok {
--- a/pkg/ownership/liveness.go
+++ b/pkg/ownership/liveness.go
@@ -29,8 +29,8 @@
 	OwnerSuspect OwnerStatus = "suspect" // silent, and so are many others
 )
 
-// OwnerStatus returns the state of the owner named in a row first seen at since, and the reason. The
-// owner must not run in this process: a row that names this entry is left from an ended owner.
+// OwnerStatus returns the state of the owner named in a row first seen at since, and the reason.
+// The owner must not run in this process: a row that names this entry is left from an ended owner.
 func (m *Members) OwnerStatus(o shard.OwnerRow, since time.Duration) (v OwnerStatus, why string) {
 	if o.Entry == "" {
 		return OwnerGone, "released"
@@ -62,8 +62,8 @@
 	return OwnerSuspect, "silent, as are many others"
 }
 
-// HasEnded reports whether the owner in a row is known to have ended: the row names no owner or this
-// entry, its entry has restarted, or refusalsUntilEnded consecutive connections were refused.
+// HasEnded reports whether the owner in a row is known to have ended: the row names no owner or
+// this entry, its entry has restarted, or refusalsUntilEnded consecutive connections were refused.
 func (m *Members) HasEnded(o shard.OwnerRow) bool {
 	if o.Entry == "" || o.Entry == m.self.Name {
 		return true
--- a/pkg/ownership/liveness_test.go
+++ b/pkg/ownership/liveness_test.go
@@ -30,8 +30,8 @@
 func (fixedEntry) CatalogNewer(*peer.Caller, int64)             {}
 func (fixedEntry) OwnerRowReported(pool string, r platform.Row) {}
 
-// TestOwnerStatus runs testdata/owner_status: given what was heard of the other entries, the status of an
-// owner and whether its shard is claimed.
+// TestOwnerStatus runs testdata/owner_status: given what was heard of the other entries, the status
+// of an owner and whether its shard is claimed.
 func TestOwnerStatus(t *testing.T) {
 	datadriven.RunTest(t, "testdata/owner_status", func(t *testing.T, d *datadriven.TestData) string {
 		local := fixedEntry{reachesStore: true, storeFor: time.Hour}
--- a/pkg/ownership/manager.go
+++ b/pkg/ownership/manager.go
@@ -35,8 +35,8 @@
 }
 
 // Opener takes over a shard if its owner row still has the version seen, and starts its owner. It
-// calls events.BeforeTakeover before it commits the takeover, and events.OnGivenUp once if the owner
-// gives up the shard.
+// calls events.BeforeTakeover before it commits the takeover, and events.OnGivenUp once if the
+// owner gives up the shard.
 type Opener func(ctx context.Context, pool string, seen shard.ObservedOwner, cat *catalog.Catalog, events Events) (LocalOwner, error)
 
 // Events are the callbacks of an Opener.
@@ -147,7 +147,8 @@
 	}
 }
 
-// SetWorkers passes the workers of all pools, as read from the worker directory, to the local owners.
+// SetWorkers passes the workers of all pools, as read from the worker directory, to the local
+// owners.
 func (mgr *Manager) SetWorkers(workers []platform.Worker) {
 	mgr.mu.Lock()
 	defer mgr.mu.Unlock()
--- a/pkg/ownership/members.go
+++ b/pkg/ownership/members.go
@@ -74,8 +74,8 @@
 	OwnersVersion() int64
 	// ReachesStore reports whether the table service answers.
 	ReachesStore() bool
-	// StoreUptime returns for how long the table service has answered without a failure, 0 if it does
-	// not answer.
+	// StoreUptime returns for how long the table service has answered without a failure, 0 if it
+	// does not answer.
 	StoreUptime() time.Duration
 	// EntryChanged is called when an entry may have become reachable or unreachable.
 	EntryChanged()
@@ -174,8 +174,8 @@
 // pingNow triggers a ping at once.
 func (p *memberState) pingNow() { pause.Wake(p.wake) }
 
-// Caller returns the connection for calls to an entry, nil if the entry is unknown, at another address, or
-// silent, so that requests don't wait for a dead connection.
+// Caller returns the connection for calls to an entry, nil if the entry is unknown, at another
+// address, or silent, so that requests don't wait for a dead connection.
 func (m *Members) Caller(name, address string) *peer.Caller {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -152,7 +152,7 @@
 	return false
 }
 
-// recordPing records the outcome of a ping and reports whether the entry became alive or silent.
+// recordPing records the outcome of a ping and logs if the entry became alive or silent.
 func (m *Members) recordPing(p *memberState, reply *schema.CallReply, err error, sentAt time.Duration, timedOut bool) {
 	m.mu.Lock()
 	before := m.alive(p)
--- a/pkg/ownership/rebalance.go
+++ b/pkg/ownership/rebalance.go
@@ -36,8 +36,8 @@
 	return best.Name, mine >= rebalanceFactor*loadWithOneMore(best, counts)
 }
 
-// compareLoad orders entries by the shards per processor that they would have with one more shard. A
-// hash of pool and entry breaks ties, so that equal entries get different shards.
+// compareLoad orders entries by the shards per processor that they would have with one more shard.
+// A hash of pool and entry breaks ties, so that equal entries get different shards.
 func compareLoad(pool string, counts map[string]int, a, b Member) int {
 	return cmp.Or(
 		cmp.Compare(loadWithOneMore(a, counts), loadWithOneMore(b, counts)),
@@ -67,8 +67,9 @@
 	}
 }
 
-// handOver has the local owner release a shard to another entry, and drops that owner. The owner row is then read again:
-// if the release was not committed, the row still names this entry, which claims the shard again.
+// handOver has the local owner release a shard to another entry, and drops that owner. The owner
+// row is then read again: if the release was not committed, the row still names this entry, which
+// claims the shard again.
 func (mgr *Manager) handOver(ctx context.Context, s *shardState, o LocalOwner, to string) {
 	o.Release(ctx, to)
 	mgr.mu.Lock()
--- a/pkg/ownership/rows.go
+++ b/pkg/ownership/rows.go
@@ -38,8 +38,8 @@
 	mgr.Wake()
 }
 
-// StandDown applies a newer owner row, at the request of the new owner, and reports whether this entry has stopped all work for the
-// shard: its owner is closed and no claim is in progress.
+// StandDown applies a newer owner row, at the request of the new owner, and reports whether this
+// entry has stopped all work for the shard: its owner is closed and no claim is in progress.
 func (mgr *Manager) StandDown(ctx context.Context, pool string, r platform.Row) (closed bool) {
 	mgr.ApplyOwner(pool, r)
 	mgr.mu.Lock()
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// maxShare returns the greatest share of an account that the shard may have. Running work may exceed
-// the reported share: a former owner may have used a share that was not persisted.
+// maxShare returns the greatest share of an account that the shard may have. Running work may
+// exceed the reported share: a former owner may have used a share that was not persisted.
 func (st *status) maxShare(account string) float64 {
 	u := st.usage[account]
 	most := max(u.MaxShare, u.Running)
