--- a/pkg/node/metrics.go
+++ b/pkg/node/metrics.go
@@ -97,7 +97,7 @@
 // Poll counts a poll of a worker, which renews its lease.
 func (m *metrics) Poll(err error) { m.leaseRenewals.WithLabelValues(outcome(err)).Inc() }
 
-// Order counts an order to a worker by outcome.
+// Order counts an order to start, stop or throttle an attempt by outcome.
 func (m *metrics) Order(err error) { m.orders.WithLabelValues(outcome(err)).Inc() }
 
 // End counts the end of an attempt by reason.
@@ -106,11 +106,10 @@
 // StaleEnd counts an end that a worker lists again after it was acknowledged.
 func (m *metrics) StaleEnd() { m.staleEnds.Inc() }
 
-// AttemptLost counts an attempt that was lost with its worker.
+// AttemptLost counts an attempt that is gone although its worker reported no end of it.
 func (m *metrics) AttemptLost(kind shard.LossKind) { m.losses.WithLabelValues(string(kind)).Inc() }
 
-// PredecessorDone observes how long after a takeover the predecessor, the owner just before, could
-// still act.
+// PredecessorDone observes the wait, after a takeover, until the predecessor can no longer act.
 func (m *metrics) PredecessorDone(end shard.PredecessorEnd, waited time.Duration) {
 	m.predecessorWait.WithLabelValues(string(end)).Observe(waited.Seconds())
 }
