--- a/pkg/jobs/waiting_test.go
+++ b/pkg/jobs/waiting_test.go
@@ -62,7 +62,7 @@
 			}
 		}
 		if s.CountIdle() != idle {
-			t.Fatalf("step %d: CountWaiting is %d, want %d", s.Index, s.CountIdle(), idle)
+			t.Fatalf("step %d: CountIdle is %d, want %d", s.Index, s.CountIdle(), idle)
 		}
 	}
 }
--- a/pkg/ownership/ended_test.go
+++ b/pkg/ownership/ended_test.go
@@ -24,7 +24,7 @@
 	row := shard.OwnerRow{Entry: "other", Start: 3, Term: 5}
 	c.Check(m.HasEnded(row), qt.IsFalse)
 	c.Check(m.HasEnded(shard.OwnerRow{Term: 5}), qt.IsTrue, qt.Commentf("released"))
-	c.Check(m.HasEnded(shard.OwnerRow{Entry: "me", Start: 6}), qt.IsTrue, qt.Commentf("a row that names this entry"))
+	c.Check(m.HasEnded(shard.OwnerRow{Entry: "me", Start: 6}), qt.IsTrue, qt.Commentf("an earlier process of this entry"))
 	c.Check(m.HasEnded(shard.OwnerRow{Entry: "other", Start: 2}), qt.IsTrue, qt.Commentf("restarted"))
 	c.Check(m.HasEnded(shard.OwnerRow{Entry: "unknown", Start: 1}), qt.IsFalse)
 
