--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// forecastHorizon is about the time from planning a move until the VM runs tasks in its new pool.
+	// forecastHorizon is about the time from planning a move until the VM runs tasks in its new
+	// pool.
 	forecastHorizon = 2 * time.Second
 	// slopeSmoothing is the weight of the newest sample in the exponential average of the slope.
 	slopeSmoothing = 0.25
@@ -68,9 +69,9 @@
 	return &g
 }
 
-// forecastGrowth returns by how much a pool's demand is expected to grow within forecastHorizon,
-// in thousandths of a core.
-func (r *Runner) forecastGrowth(pool string, demand int) int {
+// updateTrend adds a sample to a pool's trend. It returns by how much the demand is expected to
+// grow within forecastHorizon, in thousandths of a core.
+func (r *Runner) updateTrend(pool string, demand int) int {
 	now := r.now()
 	t := r.trends[pool]
 	if t.at > 0 && now > t.at {
@@ -95,7 +96,7 @@
 		} else {
 			s.Movable = r.movableVMs(s, machines, reserved, leaving[s.Name])
 		}
-		s.SurplusSteps = r.countSurplus(s)
+		s.SurplusSteps = r.updateSurplus(s)
 	}
 	return pools
 }
@@ -107,9 +108,9 @@
 	for name, l := range loads {
 		s := &PoolState{Name: name, Load: l, Supply: l.Workers}
 		if s.Load.VMCapacity.CPU == 0 {
-			s.Load.VMCapacity = typicalCapacity(name, machines)
+			s.Load.VMCapacity = largestCapacity(name, machines)
 		}
-		s.Load.Waiting.CPU += r.forecastGrowth(name, l.Used.CPU+l.Waiting.CPU)
+		s.Load.Waiting.CPU += r.updateTrend(name, l.Used.CPU+l.Waiting.CPU)
 		pools[name] = s
 	}
 	if spare := r.sparePool(); spare != "" {
@@ -118,9 +119,10 @@
 	return pools
 }
 
-// typicalCapacity estimates the VM capacity for a pool without usable workers: that of the pool's
-// largest VM, or else of the largest VM in the fleet. Without it the pool would never get a VM.
-func typicalCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
+// largestCapacity returns the capacity of the pool's largest VM, or else of the largest VM in the
+// fleet. It stands in for that of a pool without usable workers, which would never get a VM
+// otherwise.
+func largestCapacity(pool string, machines map[string]platform.Machine) (c platform.Resources) {
 	own := false
 	for _, m := range machines {
 		inPool := m.Pool == pool
@@ -146,8 +148,8 @@
 	return leaving
 }
 
-// countMachines adds the VMs that will soon run tasks without a move by this holder to the supply of
-// their pools, and lists the movable VMs of the spare pool.
+// countMachines adds the VMs that will soon run tasks without a move by this holder to the supply
+// of their pools, and lists the movable VMs of the spare pool.
 func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, reserved map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
@@ -181,9 +183,9 @@
 	return movable
 }
 
-// countSurplus returns the number of consecutive steps in which a pool had more VMs than its target
-// size.
-func (r *Runner) countSurplus(s *PoolState) int {
+// updateSurplus counts this step if the pool has more VMs than its target size. It returns the
+// number of consecutive steps in which that was so.
+func (r *Runner) updateSurplus(s *PoolState) int {
 	if s.Spare {
 		return 0
 	}
@@ -195,8 +197,8 @@
 	return r.surplus[s.Name]
 }
 
-// reservedByWaves returns the phase of each VM that must not be moved because of a wave: those being
-// drained or maintained, and those still waiting shortly before the wave's deadline.
+// reservedByWaves returns the phase of each VM that must not be moved because of a wave: those
+// being drained or maintained, and those still waiting shortly before the wave's deadline.
 func (r *Runner) reservedByWaves() map[string]Phase {
 	reserved := map[string]Phase{}
 	for _, w := range r.openWaves() {
--- a/pkg/fleetops/handover.go
+++ b/pkg/fleetops/handover.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// orderWindow is how long after its announcement an order may be sent. It must exceed the time of
-	// a slow table transaction, and it adds to the time that the next holder waits.
+	// orderWindow is how long after the start of its announcement an order may be sent. It must
+	// exceed the usual time of a table transaction, or orders are announced again and again. It
+	// adds to the time that the next holder waits.
 	orderWindow = time.Second
 	// orderTransit is the maximum time that an order takes to reach the VM service.
 	orderTransit = 250 * time.Millisecond
@@ -29,9 +30,9 @@
 )
 
 // announcement lists the VMs for which a holder may have sent orders recently or is about to, each
-// with the latest send time. It is persisted before the orders are sent, on condition that the owner
-// row is unchanged. A new holder reads it after its takeover, and so knows every VM whose orders it
-// has to delay.
+// with the latest send time. It is persisted before the orders are sent, on condition that the
+// owner row is unchanged. A new holder reads it after its takeover, and so knows every VM whose
+// orders it has to delay.
 type announcement struct {
 	Term   int64            `msgpack:"t"`
 	Orders []announcedOrder `msgpack:"o"`
@@ -40,11 +41,11 @@
 // announcedOrder announces orders for one VM.
 type announcedOrder struct {
 	VM    string        `msgpack:"v"`
-	Until time.Duration `msgpack:"u"`           // latest send time, on the table service's clock
+	Until time.Duration `msgpack:"u"`           // latest time at which they may be sent, on the table service's clock
 	Wave  int           `msgpack:"w,omitempty"` // ID of the maintenance wave, 0 for a move
 }
 
-var announcementKey = platform.RowKey{Table: tableProgress, Partition: Partition, Key: "orders"}
+var announcementKey = platform.RowKey{Table: tableMaintenance, Partition: Partition, Key: "orders"}
 
 // readAnnouncement reads the announcement and updates the estimate of the table service's clock.
 func (r *Runner) readAnnouncement(ctx context.Context) (a announcement, err error) {
@@ -64,9 +65,9 @@
 	return decodeAnnouncement(row)
 }
 
-// loadFormerOrders reads once for which VMs former holders may have sent orders, and reports whether
-// that is known. Former holders send no order later than announced, however long they were paused
-// or partitioned.
+// loadFormerOrders reads once for which VMs former holders may have sent orders, and reports
+// whether that is known. Former holders send no order later than announced, however long they were
+// paused or partitioned.
 func (r *Runner) loadFormerOrders(ctx context.Context) (known bool) {
 	if r.formerOrdersKnown {
 		return true
@@ -109,9 +110,9 @@
 	return a, nil
 }
 
-// inForce reports whether another holder must still delay its orders after an order that was sent
-// no later than the given time of the table service's clock.
-func (r *Runner) inForce(until, now time.Duration) bool {
+// withinOrderGap reports whether an order now may come too soon after one that another holder sent.
+// until is the latest time of that one, on the table service's clock.
+func (r *Runner) withinOrderGap(until, now time.Duration) bool {
 	return r.clock.earliest(now) < until+orderTransit+r.cfg.OrderGap
 }
 
@@ -158,7 +159,7 @@
 	for _, row := range conflict.Rows {
 		switch {
 		case row.RowKey == ownerRow.RowKey && row.Version != ownerRow.Version:
-			r.relinquish()
+			r.giveUp()
 			return
 		case row.RowKey == announcementKey && row.Version != r.announcedVersion:
 			a, err := decodeAnnouncement(row)
@@ -175,14 +176,15 @@
 	}
 }
 
-// mergedAnnouncement returns, by VM, the latest send time of the announced orders still in force, of
-// this and former holders, and of orders for the given VMs as far as the row has room.
+// mergedAnnouncement returns, by VM, the latest send time of the announced orders that the next
+// holder may have to wait for, of this and former holders, and of orders for the given VMs as far
+// as the row has room.
 func (r *Runner) mergedAnnouncement(vms []string) map[string]time.Duration {
 	now := r.now()
 	next := map[string]time.Duration{}
 	for _, known := range []map[string]time.Duration{r.formerOrders, r.announced} {
 		for vm, until := range known {
-			if r.inForce(until, now) {
+			if r.withinOrderGap(until, now) {
 				next[vm] = max(next[vm], until)
 			}
 		}
@@ -247,7 +249,7 @@
 		} else {
 			until = r.formerOrders[vm]
 		}
-		if until = max(until, r.formerOrders[vm]); r.inForce(until, now) {
+		if until = max(until, r.formerOrders[vm]); r.withinOrderGap(until, now) {
 			orders[vm] = until
 		}
 	}
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -18,10 +18,11 @@
 const stepInterval = 250 * time.Millisecond
 
 // Partition is the partition and shard name of the fleet operations. It is never a pool's name.
+// Stored names and log events call all fleet operations maintenance.
 const Partition = "~maintenance"
 
-// Drainer has the owner of a pool's shard move the tasks off a VM and start no others there for some
-// seconds. It reports whether the VM is drained.
+// Drainer has the owner of a pool's shard move the tasks off a VM and start no others there for
+// some seconds. It reports whether the VM is drained.
 type Drainer func(ctx context.Context, pool, vm string) (drained bool)
 
 // Loader requests the load of a pool's shard; ok is false if its owner does not answer. If grant is
@@ -39,16 +40,16 @@
 	Drain    Drainer
 	Load     Loader
 	Waves    func() []Wave // all maintenance requests known so far
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil means
-	// that none is.
+	// ZoneOut reports whether the operator has evacuated an availability zone; nil means that none
+	// is.
 	ZoneOut func(zone string) bool
 	Report  func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
 
-	OrderGap        time.Duration // minimum time between orders of two holders for a VM
+	OrderGap        time.Duration // minimum time between orders of two holders for a VM, required by the VM service
 	MaintenanceTime time.Duration // how long the maintenance of a VM takes
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
-	OnGivenUp      func(error) // called once when another entry is found to have taken over
+	OnGivenUp      func(error) // called once, with nil, when another entry is found to have taken over
 }
 
 // Runner runs the fleet operations while this entry is the holder.
@@ -75,12 +76,12 @@
 
 	announcedVersion int64 // version of the announcement row as last read or written, 0 for none
 
-	mu           sync.Mutex
-	confirmedAt  time.Duration // when this entry was last known to be the holder
-	relinquished bool
-	catalog      *catalog.Catalog
-	waves        map[int]*wave            // by ID
-	lastOrder    map[string]time.Duration // when this holder last sent an order, by VM
+	mu          sync.Mutex
+	confirmedAt time.Duration // when this entry was last known to be the holder
+	gaveUp      bool
+	catalog     *catalog.Catalog
+	waves       map[int]*wave            // by ID
+	lastOrder   map[string]time.Duration // when this holder last sent an order, by VM
 }
 
 // Open takes over the fleet operations if their owner row still has the version seen, and starts
@@ -124,7 +125,7 @@
 // SetWorkers does nothing: the VM list comes from the VM service.
 func (r *Runner) SetWorkers([]platform.Worker) {}
 
-// Confirm records that this entry was the holder at the given time of its clock.
+// Confirm records that this entry had not been replaced as the holder at a time on its clock.
 func (r *Runner) Confirm(at time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -218,14 +219,14 @@
 	return r.catalog.SparePool()
 }
 
-// relinquish stops the run loop after another entry took over.
-func (r *Runner) relinquish() {
+// giveUp stops the run loop after another entry has taken over.
+func (r *Runner) giveUp() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.relinquished {
+	if r.gaveUp {
 		return
 	}
-	r.relinquished = true
+	r.gaveUp = true
 	r.log.Warn().Str("event", "maintenance_given_up").Send()
 	r.cancel()
 	go r.cfg.OnGivenUp(nil)
--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
-// State is the state of a job as reported to clients.
+// State is the state of a job as reported to callers.
 type State string
 
 // The states of jobs.
@@ -29,12 +29,12 @@
 type Job struct {
 	ID string
 	Record
-	Steps          []*StepRun    // of all expanded occurrences, ordered by occurrence and step
-	State          State         // current state, possibly not persisted yet
-	PersistedState State         // last persisted state, the one reported to clients
-	Started        bool          // a task has started
-	AddedAt        time.Duration // on the owner's clock; negative if accepted before that clock started
-	Restored       bool          // a former owner persisted it
+	Steps         []*StepRun    // of all expanded occurrences, ordered by occurrence and step
+	State         State         // current state, possibly not persisted yet
+	ReportedState State         // the state reported to callers: persisted, or derivable by a new owner
+	Started       bool          // a task has started
+	AddedAt       time.Duration // on the owner's clock; negative if accepted before that clock started
+	Restored      bool          // a former owner persisted it
 
 	lossesVersion   int // number of changes to the losses of its tasks
 	lossesPersisted int // version of the losses that is persisted
@@ -46,10 +46,10 @@
 
 	restoredUsage platform.Resources // of attempts of a final job, as persisted by a former owner
 	restoredFinal bool               // it was final when restored
-	reconciled    bool               // every worker that may run its tasks has reported to the present owner
+	allReported   bool               // every worker that may run its tasks has reported to the present owner
 }
 
-// StepRun is one step within an occurrence.
+// StepRun is the execution of a step, its Spec, within one occurrence.
 type StepRun struct {
 	Job        *Job
 	Spec       *Step
@@ -125,8 +125,8 @@
 // Finished reports whether all tasks are done.
 func (s *StepRun) Finished() bool { return s.done == len(s.Tasks) }
 
-// CountWaiting returns the number of idle tasks.
-func (s *StepRun) CountWaiting() int { return len(s.Tasks) - s.done - s.attempted }
+// CountIdle returns the number of idle tasks, see [Task.Idle].
+func (s *StepRun) CountIdle() int { return len(s.Tasks) - s.done - s.attempted }
 
 // Due returns when the step's occurrence may start, as the time since the Unix epoch, or 0 for
 // immediately.
@@ -189,7 +189,7 @@
 // its tasks may still run.
 func (j *Job) Unconfirmed() (sum platform.Resources) {
 	switch {
-	case !j.Restored || j.reconciled:
+	case !j.Restored || j.allReported:
 		return sum
 	case j.restoredFinal:
 		return j.restoredUsage
--- a/pkg/jobs/registry.go
+++ b/pkg/jobs/registry.go
@@ -168,8 +168,8 @@
 	if j.State == StateQueued {
 		j.State = StateRunning
 	}
-	if j.PersistedState == StateQueued {
-		j.PersistedState = StateRunning // derivable from workers' reports, so it is not persisted
+	if j.ReportedState == StateQueued {
+		j.ReportedState = StateRunning // derivable from workers' reports, so it is not persisted
 	}
 }
 
@@ -278,19 +278,19 @@
 	return true
 }
 
-// MarkReconciled records that every worker that may run tasks of restored jobs has reported.
-func (reg *Registry) MarkReconciled() {
-	reg.All(func(j *Job) { j.reconciled = true })
+// MarkAllReported records that every worker that may run tasks of restored jobs has reported.
+func (reg *Registry) MarkAllReported() {
+	reg.All(func(j *Job) { j.allReported = true })
 }
 
-// FailJobOf fails the job of a task that crashes its workers. It reports whether the job was not
-// final before.
+// FailJobOf fails the job of a task that crashes its workers. It reports whether the job was active
+// before.
 func (reg *Registry) FailJobOf(t *Task) bool { return reg.setFinal(t.Step.Job, StateFailed) }
 
-// Fail fails a job that cannot continue. It reports whether the job was not final before.
+// Fail fails a job that cannot continue. It reports whether the job was active before.
 func (reg *Registry) Fail(j *Job) bool { return reg.setFinal(j, StateFailed) }
 
-// Cancel cancels a job. It reports whether the job was not final before.
+// Cancel cancels a job. It reports whether the job was active before.
 func (reg *Registry) Cancel(j *Job) bool { return reg.setFinal(j, StateCancelled) }
 
 func (reg *Registry) setFinal(j *Job, state State) bool {
--- a/pkg/node/calls.go
+++ b/pkg/node/calls.go
@@ -20,9 +20,9 @@
 	// ownerWait is how long an internal call waits for a shard to get an owner, long enough
 	// for a handover.
 	ownerWait = 120 * time.Millisecond
-	// clientWait is how long a client's request waits for an owner that accepts it, long
+	// callerWait is how long a caller's request waits for an owner that accepts it, long
 	// enough for the takeover from an owner that has failed.
-	clientWait = 2 * time.Second
+	callerWait = 2 * time.Second
 	// ownerRetryInterval is the time before an owner that could not accept a request is asked
 	// again, unless the shard gets a new owner earlier.
 	ownerRetryInterval = 150 * time.Millisecond
@@ -44,13 +44,13 @@
 		return out
 	}
 	call := &schema.Call{Kind: schema.CallKindSubmit, Pool: q.Pool, Queue: q.Name, Job: id, Record: raw}
-	reply := n.callOwnerForClient(ctx, call)
+	reply := n.callOwnerForCaller(ctx, call)
 	n.log.Info().Str("event", "submission").Str("request", id).Str("queue", q.Name).Str("pool", q.Pool).Str("account", account).
 		Int64("catalog", n.catalogVersion()).Str("outcome", string(reply.Outcome)).Send()
 	return reply.Outcome
 }
 
-// precheckSubmission rejects a submission that no owner could accept, and tells why.
+// precheckSubmission returns the outcome of a submission that no owner could accept, and why.
 func (n *Node) precheckSubmission(r *jobs.Record, raw []byte) (out schema.CallOutcome, why string) {
 	if err := r.CheckSize(raw, cmp.Or(n.settings.Store.RowBytes, platform.DefaultMaxRowBytes)); err != nil {
 		return schema.CallOutcomeTooLarge, err.Error()
@@ -63,7 +63,7 @@
 
 // State returns the state of a job.
 func (n *Node) State(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) (jobs.State, schema.CallOutcome) {
-	reply := n.callOwnerForClient(ctx, callFor(schema.CallKindState, q, id, by))
+	reply := n.callOwnerForCaller(ctx, callFor(schema.CallKindState, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
 	}
@@ -78,8 +78,9 @@
 	return &schema.Call{Kind: kind, Pool: q.Pool, Queue: q.Name, Job: id, Account: by.Account, Operator: by.Operator}
 }
 
-// confirmAbsent looks a job up in the table service before the client is told that it does not
-// exist: the owner that was asked may have been replaced without knowing it.
+// confirmAbsent looks a job up in the table service before the caller is told that it does not
+// exist: the owner that was asked may have been replaced without knowing it. Refused asks the
+// caller to retry.
 func (n *Node) confirmAbsent(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
 	ctx, ended := n.cancelAtStop(ctx)
 	defer ended()
@@ -99,7 +100,7 @@
 
 // Cancel cancels a job.
 func (n *Node) Cancel(ctx context.Context, q *catalog.Queue, id string, by shard.Requester) schema.CallOutcome {
-	reply := n.callOwnerForClient(ctx, callFor(schema.CallKindCancel, q, id, by))
+	reply := n.callOwnerForCaller(ctx, callFor(schema.CallKindCancel, q, id, by))
 	if reply.Outcome == schema.CallOutcomeNotFound {
 		reply.Outcome = n.confirmAbsent(ctx, q, id, by)
 	}
@@ -107,9 +108,9 @@
 	return reply.Outcome
 }
 
-// Waiting returns the number of jobs in a queue that have not started.
+// Waiting returns the number of queued jobs: those of a queue that have not started.
 func (n *Node) Waiting(ctx context.Context, q *catalog.Queue) (int, schema.CallOutcome) {
-	reply := n.callOwnerForClient(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
+	reply := n.callOwnerForCaller(ctx, &schema.Call{Kind: schema.CallKindWaiting, Pool: q.Pool, Queue: q.Name})
 	return reply.Waiting, reply.Outcome
 }
 
@@ -118,20 +119,20 @@
 	return n.callOwnerWithin(ctx, q, ownerWait)
 }
 
-// callOwnerForClient sends a client's request to the owner of its shard and, if a new owner can be
+// callOwnerForCaller sends a caller's request to the owner of its shard and, if a new owner can be
 // expected, waits for one that accepts it. Requests are idempotent: a job submitted to several
 // owners remains one job.
-func (n *Node) callOwnerForClient(ctx context.Context, q *schema.Call) *schema.CallReply {
+func (n *Node) callOwnerForCaller(ctx context.Context, q *schema.Call) *schema.CallReply {
 	ctx, cancel := n.cancelAtStop(ctx)
 	defer cancel()
 	if !n.newOwnerExpected() {
 		return n.callOwnerWithin(ctx, q, ownerWait)
 	}
-	return n.callOwnerWithin(ctx, q, clientWait)
+	return n.callOwnerWithin(ctx, q, callerWait)
 }
 
 // cancelAtStop returns a context that also ends when a planned stop cancels open requests. The
-// client then gets an answer, such as an unknown outcome, before its connection closes.
+// caller then gets an answer, such as an unknown outcome, before its connection closes.
 func (n *Node) cancelAtStop(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	stop := context.AfterFunc(n.waitCtx, cancel)
@@ -154,7 +155,7 @@
 			return reply
 		}
 		unknown = unknown || reply.Outcome == schema.CallOutcomeUnknown
-		if n.shouldRetry(reply, maxWait) && n.awaitOwner(ctx, q.Pool, row.Term, time.Until(deadline)) {
+		if n.shouldRetry(reply, maxWait) && n.waitBeforeRetry(ctx, q.Pool, row.Term, time.Until(deadline)) {
 			continue
 		}
 		if unknown {
@@ -184,11 +185,11 @@
 
 // newOwnerExpected reports whether a shard without an owner should soon get one that this entry can
 // reach.
-func (n *Node) newOwnerExpected() bool { return n.rows.answering() && !n.isolated() }
+func (n *Node) newOwnerExpected() bool { return n.rows.reachable() && !n.isolated() }
 
-// awaitOwner waits for a shard to get another owner than that of a term, at most
-// ownerRetryInterval; it reports false when maxWait is over or ctx has ended.
-func (n *Node) awaitOwner(ctx context.Context, pool string, term int64, maxWait time.Duration) bool {
+// waitBeforeRetry waits ownerRetryInterval, or less if the shard gets another owner than that of a
+// term; it reports false, no retry, when maxWait is over or ctx has ended.
+func (n *Node) waitBeforeRetry(ctx context.Context, pool string, term int64, maxWait time.Duration) bool {
 	if maxWait <= 0 {
 		return false
 	}
@@ -218,8 +219,8 @@
 	if o, ok := local.(*shard.Owner); ok {
 		return n.answerLocal(ctx, o, q)
 	}
-	caller := n.members.Caller(row.Entry, row.Address)
-	if row.Entry == "" || caller == nil {
+	conn := n.members.Caller(row.Entry, row.Address)
+	if row.Entry == "" || conn == nil {
 		return &schema.CallReply{Outcome: schema.CallOutcomeNotOwner}
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
@@ -228,7 +229,7 @@
 		n.awaitTermChange(ctx, q.Pool, row.Term)
 		cancel()
 	}()
-	reply, err := caller.Call(ctx, q)
+	reply, err := conn.Call(ctx, q)
 	if err == nil {
 		return reply
 	}
--- a/pkg/node/follow.go
+++ b/pkg/node/follow.go
@@ -16,17 +16,18 @@
 )
 
 const (
-	// longPollWait bounds the wait of one long poll. After an outage the service never answers
-	// polls sent during it, so the bound limits how long such a poll delays later changes.
+	// longPollWait is how long the service may hold one long poll without an answer. After an
+	// outage the service never answers polls sent during it, so the bound limits how long such a
+	// poll delays later changes.
 	longPollWait = time.Second
-	// idleLongPollWait is the wait of long polls on tables that rarely change. Another feed's
-	// shorter polls detect an outage; these polls are then canceled and repeated.
+	// idleLongPollWait is the same for idle feeds, those of tables that rarely change. The shorter
+	// polls of other feeds detect an outage; these polls are then canceled and repeated.
 	idleLongPollWait = 4 * time.Second
 	// readTimeout bounds the read of one row.
 	readTimeout = 2 * time.Second
 	// bulkReadTimeout bounds the read of a large answer, such as a configuration, on a slow link.
 	bulkReadTimeout = 15 * time.Second
-	// peerCatalogDelay is how long a newer configuration is expected from the table service before
+	// peerCatalogDelay is how long to wait for a newer configuration from the table service before
 	// a peer is asked for it; both transfers at once would share the link.
 	peerCatalogDelay = 2500 * time.Millisecond
 	// fullPageRows is the number of rows in an answer from which more changes are assumed to wait;
@@ -45,7 +46,7 @@
 	// onBatch is called after the rows of each answer were applied; may be nil.
 	onBatch     func()
 	minInterval time.Duration // minimum time between two polls, 0 for none
-	// idle selects longer polls while the service answers.
+	// idle selects idleLongPollWait while the service answers, for a table that rarely changes.
 	idle bool
 	// active reports whether to continue; nil for always.
 	active func() bool
@@ -92,7 +93,7 @@
 		return 0, err
 	}
 	wait := longPollWait
-	if f.idle && n.rows.answering() {
+	if f.idle && n.rows.reachable() {
 		wait = idleLongPollWait
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait+bulkReadTimeout)
@@ -191,7 +192,7 @@
 }
 
 func (n *Node) fetchCatalogFrom(c *peer.Caller, version int64) {
-	if n.rows.answering() {
+	if n.rows.reachable() {
 		time.Sleep(peerCatalogDelay)
 	}
 	if n.catalogVersion() >= version {
--- a/pkg/node/storemonitor.go
+++ b/pkg/node/storemonitor.go
@@ -12,7 +12,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// storeMonitor wraps the table service and tracks whether it answers this node.
+// storeMonitor wraps the table service, the store, and tracks whether it answers this node.
 type storeMonitor struct {
 	platform.Rows
 	log   zerolog.Logger
@@ -97,8 +97,9 @@
 	}
 }
 
-// answeringFor returns for how long calls have been answered, 0 if they are not.
-func (r *storeMonitor) answeringFor() time.Duration {
+// uptime returns for how long calls have been answered without a failure, 0 if the last one was
+// not.
+func (r *storeMonitor) uptime() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.lost {
@@ -114,8 +115,8 @@
 	return r.clock.Now() - r.answeredAt
 }
 
-// answering reports whether the last call was answered.
-func (r *storeMonitor) answering() bool {
+// reachable reports whether the service answered the last call.
+func (r *storeMonitor) reachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.lost
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -32,7 +32,7 @@
 		return nil, errOperatorRowsUnread
 	}
 	if pool == fleetops.Partition {
-		return n.openFleet(ctx, seen, cat, events)
+		return n.openFleetOps(ctx, seen, cat, events)
 	}
 	// An entry that owns a shard follows the directory already; a list could be older
 	// than what its feed has read.
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), MaxLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		MaxRowBytes: n.settings.Store.RowBytes,
 		Rows:        n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.answeringFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
+		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.uptime, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -53,28 +53,30 @@
 	return o, nil
 }
 
-// standDown tells the process of a shard's former owner that it was replaced; it reports whether
-// that owner has stopped its work.
-func (n *Node) standDown(ctx context.Context, former shard.OwnerRow, newer platform.Row) (closed bool) {
-	caller := n.members.Caller(former.Entry, former.Address)
-	if caller == nil {
+// standDown tells a shard's predecessor, the owner before the present one, that it was replaced. It
+// reports whether that owner has stopped its work.
+func (n *Node) standDown(ctx context.Context, predecessor shard.OwnerRow, newer platform.Row) (closed bool) {
+	conn := n.members.Caller(predecessor.Entry, predecessor.Address)
+	if conn == nil {
 		return false
 	}
-	reply, err := caller.Call(ctx, &schema.Call{Kind: schema.CallKindStandDown, Pool: newer.Partition, OwnerRow: newer.Value, OwnersVersion: int(newer.Version)})
+	reply, err := conn.Call(ctx, &schema.Call{Kind: schema.CallKindStandDown, Pool: newer.Partition, OwnerRow: newer.Value, OwnersVersion: int(newer.Version)})
 	if err != nil {
-		n.log.Debug().Str("event", "predecessor_not_reached").Str("pool", newer.Partition).Str("entry", former.Entry).Err(err).Send()
+		n.log.Debug().Str("event", "predecessor_not_reached").Str("pool", newer.Partition).Str("entry", predecessor.Entry).Err(err).Send()
 		return false
 	}
 	return reply.Outcome == schema.CallOutcomeOk
 }
 
-// openFleet takes over the fleet operations, which move and maintain VMs.
-func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
+// openFleetOps takes over the fleet operations, which move and maintain VMs.
+func (n *Node) openFleetOps(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
+	// OrderGap: the VM service demands the gap; fencing alone rejects only orders of former holders
+	// that arrive after one of this holder.
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
 		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
-		BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
+		BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
 	}, seen, cat)
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -100,8 +102,8 @@
 	return waves
 }
 
-// drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is empty.
-func (n *Node) drainVM(ctx context.Context, pool, vm string) (empty bool) {
+// drainVM asks the owner of a pool's shard to drain a VM; it reports whether the VM is drained.
+func (n *Node) drainVM(ctx context.Context, pool, vm string) (drained bool) {
 	ctx, cancel := context.WithTimeout(ctx, ownerCallTimeout)
 	defer cancel()
 	reply := n.callOwner(ctx, &schema.Call{Kind: schema.CallKindEmpty, Pool: pool, VM: vm})
--- a/pkg/ownership/liveness.go
+++ b/pkg/ownership/liveness.go
@@ -30,12 +30,13 @@
 )
 
 // OwnerStatus returns the state of the owner named in a row first seen at since, and the reason.
+// The owner must not run in this process: a row that names this entry is left from an ended owner.
 func (m *Members) OwnerStatus(o shard.OwnerRow, since time.Duration) (v OwnerStatus, why string) {
 	if o.Entry == "" {
 		return OwnerGone, "released"
 	}
 	if o.Entry == m.self.Name {
-		return OwnerGone, "an earlier process of this entry"
+		return OwnerGone, "this entry no longer runs the owner"
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -61,9 +62,8 @@
 	return OwnerSuspect, "silent, as are many others"
 }
 
-// HasEnded reports whether the process of the owner in a row is known to have ended: the row names
-// no owner, its entry has restarted, or connections to it were refused refusalsUntilEnded times in
-// a row.
+// HasEnded reports whether the owner in a row is known to have ended: the row names no owner or
+// this entry, its entry has restarted, or refusalsUntilEnded consecutive connections were refused.
 func (m *Members) HasEnded(o shard.OwnerRow) bool {
 	if o.Entry == "" || o.Entry == m.self.Name {
 		return true
@@ -116,7 +116,7 @@
 // one, whose own path to it must then be broken. The service must have answered here for a while,
 // since entries notice its recovery at different times. The caller holds mu.
 func (m *Members) mostOthersReachStore(except *memberState) bool {
-	if m.local.StoreAnsweredFor() < storeStableTime {
+	if m.local.StoreUptime() < storeStableTime {
 		return false
 	}
 	reached, heard := 0, 0
@@ -136,7 +136,7 @@
 // stopping, and reaching the table service. Shortly after the service has recovered its reported
 // state is ignored; otherwise each entry would consider itself the only candidate.
 func (m *Members) Candidates() []Member {
-	storeRecovering := m.local.StoreAnsweredFor() < storeRecoveryTime
+	storeRecovering := m.local.StoreUptime() < storeRecoveryTime
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	all := []Member{m.self}
@@ -148,8 +148,9 @@
 	return all
 }
 
-// ConfirmedAt returns the latest time at which no entry had seen an owner row newer than version,
-// as their answers to pings show; ok is false if one of them has, or has not answered.
+// ConfirmedAt returns the latest time at which no other entry had seen an owner row newer than
+// version, or had a takeover in doubt, as their answers to pings show. ok is false if one of them
+// had, or has not answered.
 func (m *Members) ConfirmedAt(version int64) (at time.Duration, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/pkg/ownership/liveness_test.go
+++ b/pkg/ownership/liveness_test.go
@@ -25,13 +25,13 @@
 func (fixedEntry) CatalogVersion() int64                        { return 0 }
 func (fixedEntry) OwnersVersion() int64                         { return 0 }
 func (e fixedEntry) ReachesStore() bool                         { return e.reachesStore }
-func (e fixedEntry) StoreAnsweredFor() time.Duration            { return e.storeFor }
+func (e fixedEntry) StoreUptime() time.Duration                 { return e.storeFor }
 func (fixedEntry) EntryChanged()                                {}
 func (fixedEntry) CatalogNewer(*peer.Caller, int64)             {}
 func (fixedEntry) OwnerRowReported(pool string, r platform.Row) {}
 
-// TestOwnerStatus runs testdata/owner_status: given what was heard of the other entries, the status of an
-// owner and whether its shard is claimed.
+// TestOwnerStatus runs testdata/owner_status: given what was heard of the other entries, the status
+// of an owner and whether its shard is claimed.
 func TestOwnerStatus(t *testing.T) {
 	datadriven.RunTest(t, "testdata/owner_status", func(t *testing.T, d *datadriven.TestData) string {
 		local := fixedEntry{reachesStore: true, storeFor: time.Hour}
--- a/pkg/ownership/rebalance.go
+++ b/pkg/ownership/rebalance.go
@@ -11,12 +11,12 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// Shards move away from overloaded owners: after a restart the entries that register first may own
-// more than they have the processor share for.
+// Shards move away from entries with too many shards per processor: after a restart the entries
+// that register first may own most shards.
 const (
-	// rebalanceFactor is the minimum ratio of an owner's load to the load that the other entry
-	// would have with the shard. Above 2, an entry with two shards keeps both although an equal
-	// entry has none.
+	// rebalanceFactor is the minimum ratio of an owner's shards per processor to those that the
+	// other entry would have with the shard. As it exceeds 2, no shard moves from an entry with two
+	// to an equal one with none, and single shards don't move back and forth.
 	rebalanceFactor = 2.5
 	// minTenure is how long a shard is owned before it may be handed over, which lets its takeover
 	// finish and keeps it from moving repeatedly.
@@ -26,49 +26,50 @@
 )
 
 // betterOwner returns the entry that should own a shard instead of this one, if there is one.
-func betterOwner(self Member, pool string, candidates []Member, load map[string]int) (to string, ok bool) {
+func betterOwner(self Member, pool string, candidates []Member, counts map[string]int) (to string, ok bool) {
 	others := slices.DeleteFunc(slices.Clone(candidates), func(m Member) bool { return m.Name == self.Name })
 	if len(others) == 0 {
 		return "", false
 	}
-	best := slices.MinFunc(others, func(a, b Member) int { return compareLoad(pool, load, a, b) })
-	mine := float64(load[self.Name]) / self.Share
-	return best.Name, mine >= rebalanceFactor*loadWithOneMore(best, load)
+	best := slices.MinFunc(others, func(a, b Member) int { return compareLoad(pool, counts, a, b) })
+	mine := float64(counts[self.Name]) / self.CPUs
+	return best.Name, mine >= rebalanceFactor*loadWithOneMore(best, counts)
 }
 
-// compareLoad orders entries by the load they would have with one more shard. A hash of pool and
-// entry breaks ties, so that equal entries share the shards.
-func compareLoad(pool string, load map[string]int, a, b Member) int {
+// compareLoad orders entries by the shards per processor that they would have with one more shard.
+// A hash of pool and entry breaks ties, so that equal entries get different shards.
+func compareLoad(pool string, counts map[string]int, a, b Member) int {
 	return cmp.Or(
-		cmp.Compare(loadWithOneMore(a, load), loadWithOneMore(b, load)),
+		cmp.Compare(loadWithOneMore(a, counts), loadWithOneMore(b, counts)),
 		cmp.Compare(xxhash.Sum64String(pool+"/"+a.Name), xxhash.Sum64String(pool+"/"+b.Name)),
 	)
 }
 
 // rebalance hands over one shard that another entry should own, if the cluster has been stable. The
 // caller holds mu.
-func (mgr *Manager) rebalance(ctx context.Context, candidates []Member, load map[string]int, now time.Duration) {
-	if now-mgr.rebalancedAt < rebalanceInterval || mgr.members.local.StoreAnsweredFor() < minTenure || !mgr.members.hasMajorityFor(minTenure) {
+func (mgr *Manager) rebalance(ctx context.Context, candidates []Member, counts map[string]int, now time.Duration) {
+	if now-mgr.rebalancedAt < rebalanceInterval || mgr.members.local.StoreUptime() < minTenure || !mgr.members.hasMajorityFor(minTenure) {
 		return
 	}
 	for pool, s := range mgr.shards {
 		if s.owner == nil || now-s.rowSeenAt < minTenure {
 			continue
 		}
-		to, ok := betterOwner(mgr.members.self, pool, candidates, load)
+		to, ok := betterOwner(mgr.members.self, pool, candidates, counts)
 		if !ok {
 			continue
 		}
 		mgr.rebalancedAt = now
-		mgr.log.Info().Str("event", "shard_handed_on").Str("pool", pool).Str("to", to).Int("shards", load[mgr.self.Entry]).
-			Float64("share", mgr.members.self.Share).Send()
+		mgr.log.Info().Str("event", "shard_handed_on").Str("pool", pool).Str("to", to).Int("shards", counts[mgr.self.Entry]).
+			Float64("share", mgr.members.self.CPUs).Send()
 		go mgr.handOver(ctx, s, s.owner, to)
 		return
 	}
 }
 
-// handOver releases a shard to another entry and drops its owner. The owner row is then read again:
-// if the release was not committed, the row still names this entry, which claims the shard again.
+// handOver has the local owner release a shard to another entry, and drops that owner. The owner
+// row is then read again: if the release was not committed, the row still names this entry, which
+// claims the shard again.
 func (mgr *Manager) handOver(ctx context.Context, s *shardState, o LocalOwner, to string) {
 	o.Release(ctx, to)
 	mgr.mu.Lock()
--- a/pkg/quota/allocator.go
+++ b/pkg/quota/allocator.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// minHeadroom is the fraction of a shard's target headroom below which shares are rebalanced. It
-	// limits how often shares change while an account is far below its limit.
+	// minHeadroom is the fraction of a shard's target headroom, its target share less its demand,
+	// below which shares are rebalanced. It limits how often shares change while an account is far
+	// below its limit.
 	minHeadroom = 0.5
 	// minChange is the smallest change of a share, as a fraction of the limit, that triggers a
 	// rebalance for an account at its limit, unless it allows a task to start.
@@ -65,7 +66,7 @@
 		return
 	}
 	for account, u := range st.usage {
-		st.usage[account] = Usage{Account: account, Share: u.Share} // without work unless reported
+		st.usage[account] = Usage{Account: account, MaxShare: u.MaxShare} // without work unless reported
 	}
 	for _, u := range r.Accounts {
 		st.usage[u.Account] = u
@@ -87,11 +88,11 @@
 	}
 }
 
-// maxShare returns the greatest share of an account that the shard may have. Running work may exceed
-// the reported share: a former owner may have used a share that was not persisted.
+// maxShare returns the greatest share of an account that the shard may have. Running work may
+// exceed the reported share: a former owner may have used a share that was not persisted.
 func (st *status) maxShare(account string) float64 {
 	u := st.usage[account]
-	most := max(u.Share, u.Running)
+	most := max(u.MaxShare, u.Running)
 	for _, s := range st.unacked[account] {
 		most = max(most, s.share)
 	}
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -211,7 +211,7 @@
 // speculative copy; with includeAwaiting also those that wait for a worker's first report after
 // the takeover.
 func (o *Owner) startableTasks(s *jobs.StepRun, includeAwaiting bool) (tasks []*jobs.Task) {
-	if s.CountWaiting() == 0 && !s.Spec.Speculative {
+	if s.CountIdle() == 0 && !s.Spec.Speculative {
 		return nil
 	}
 	for _, t := range s.Tasks {
