--- a/pkg/jobs/losses.go
+++ b/pkg/jobs/losses.go
@@ -9,18 +9,18 @@
 	t.Step.Job.lossesVersion++
 }
 
-// Verdict returns how the task may be started, given the worker losses attributed to it.
-func (t *Task) Verdict() quarantine.Restriction { return t.Losses.Restriction() }
+// Restriction returns how the task may be started, given the worker losses attributed to it.
+func (t *Task) Restriction() quarantine.Restriction { return t.Losses.Restriction() }
 
 // Suspect reports whether the task is restricted in where it may start.
-func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Verdict() != quarantine.Unrestricted }
+func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Restriction() != quarantine.Unrestricted }
 
 // Verdict returns how the step's tasks may be started together: the most restrictive verdict of
 // its tasks.
 func (s *StepRun) Verdict() quarantine.Restriction {
 	worst := quarantine.Unrestricted
 	for _, t := range s.Tasks {
-		worst = quarantine.Stricter(worst, t.Verdict())
+		worst = quarantine.Stricter(worst, t.Restriction())
 	}
 	return worst
 }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -173,7 +173,7 @@
 	for _, t := range c.Tasks {
 		one := c
 		one.Tasks = []*jobs.Task{t}
-		switch t.Verdict() {
+		switch t.Restriction() {
 		case quarantine.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
 		case quarantine.Separate:
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -21,7 +21,7 @@
 func (o *Owner) recordProvisionalLoss(s *session, r *workerAttempt) bool {
 	t := r.Task
 	maybeLost := o.unreportedLoss && t.Step.Job.Restored
-	mustWait := maybeLost || t.Verdict() == quarantine.TrialOnly || t.Losses.HasEarly()
+	mustWait := maybeLost || t.Restriction() == quarantine.TrialOnly || t.Losses.HasEarly()
 	if !maybeLost && !t.Suspect() || o.commitsFailing && !mustWait {
 		return false
 	}
--- a/pkg/shard/suspects.go
+++ b/pkg/shard/suspects.go
@@ -52,7 +52,7 @@
 	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Ran: a.Ran, Trial: a.Trial, Delivered: r.startConfirmedAt > 0 || r.connLost}))
 	o.suspects[t] = struct{}{}
 	o.log.Info().Str("event", "loss_counted").Str("task", t.Name()).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
-		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.startConfirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Verdict())).Send()
+		Dur("ran", a.Ran).Bool("trial", a.Trial).Bool("firm", r.startConfirmedAt > 0 || r.connLost).Int("losses", len(t.Losses)).Str("verdict", string(t.Restriction())).Send()
 	o.persist(t.Step.Job, true)
 }
 
@@ -104,7 +104,7 @@
 // failIfPoison fails the job of a task that is known to crash its workers.
 func (o *Owner) failIfPoison(t *jobs.Task) {
 	j := t.Step.Job
-	if t.Verdict() != quarantine.Poison || !o.registry.FailJobOf(t) {
+	if t.Restriction() != quarantine.Poison || !o.registry.FailJobOf(t) {
 		return
 	}
 	boots := zerolog.Arr()
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -162,7 +162,7 @@
 		})
 	}
 	started := slices.ContainsFunc(s.trial.tasks, func(t *jobs.Task) bool { return !t.Idle() })
-	step, restriction := s.trial.tasks[0].Step, s.trial.tasks[0].Verdict()
+	step, restriction := s.trial.tasks[0].Step, s.trial.tasks[0].Restriction()
 	if step.Spec.Gang {
 		restriction = step.Verdict()
 	}
