--- a/pkg/jobs/losses.go
+++ b/pkg/jobs/losses.go
@@ -15,9 +15,9 @@
 // Suspect reports whether the task is restricted in where it may start.
 func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Restriction() != quarantine.Unrestricted }
 
-// Verdict returns how the step's tasks may be started together: the most restrictive verdict of
+// Restriction returns how the step's tasks may be started together: the most restrictive verdict of
 // its tasks.
-func (s *StepRun) Verdict() quarantine.Restriction {
+func (s *StepRun) Restriction() quarantine.Restriction {
 	worst := quarantine.Unrestricted
 	for _, t := range s.Tasks {
 		worst = quarantine.Stricter(worst, t.Restriction())
--- a/pkg/jobs/losses_test.go
+++ b/pkg/jobs/losses_test.go
@@ -26,7 +26,7 @@
 	} {
 		for _, order := range [][2]quarantine.Losses{{tc.first, tc.second}, {tc.second, tc.first}} {
 			s := &StepRun{Tasks: []*Task{{Losses: order[0]}, {Losses: order[1]}}}
-			qt.Check(t, s.Verdict(), qt.Equals, tc.want, qt.Commentf(tc.name))
+			qt.Check(t, s.Restriction(), qt.Equals, tc.want, qt.Commentf(tc.name))
 		}
 	}
 }
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -159,7 +159,7 @@
 // together, so they share one trial and are not kept separate.
 func splitByRestriction(c placement.Candidate) (free, trialOnly []placement.Candidate) {
 	if c.Step.Spec.Gang {
-		switch c.Step.Verdict() {
+		switch c.Step.Restriction() {
 		case quarantine.TrialOnly:
 			return nil, []placement.Candidate{c}
 		case quarantine.Blocked, quarantine.Poison:
--- a/pkg/shard/trial.go
+++ b/pkg/shard/trial.go
@@ -164,7 +164,7 @@
 	started := slices.ContainsFunc(s.trial.tasks, func(t *jobs.Task) bool { return !t.Idle() })
 	step, restriction := s.trial.tasks[0].Step, s.trial.tasks[0].Restriction()
 	if step.Spec.Gang {
-		restriction = step.Verdict()
+		restriction = step.Restriction()
 	}
 	wanted := restriction == quarantine.TrialOnly && !step.Job.State.Final()
 	return started || !wanted || !s.usable(now) || now-s.trial.since > trialStartTimeout
