--- a/pkg/jobs/job.go
+++ b/pkg/jobs/job.go
@@ -75,7 +75,7 @@
 	Checkpoint      string
 	Attempts        []*Attempt
 	Duration        time.Duration     // of the successful attempt
-	WantsCopy       bool              // a speculative copy is to be started
+	CopyRequested   bool              // a speculative copy is to be started
 	Losses          quarantine.Losses // worker losses attributed to it, until it is cleared
 	Replaced        int               // attempts replaced as stragglers by this owner
 	PossibleWorkers int               // workers that may run it but have not reported since the takeover
--- a/pkg/jobs/registry.go
+++ b/pkg/jobs/registry.go
@@ -148,7 +148,7 @@
 		t.Step.attempted++
 	}
 	t.Attempts = append(t.Attempts, a)
-	t.WantsCopy = false
+	t.CopyRequested = false
 	j := t.Step.Job
 	reg.allocated[j.Account] = reg.allocated[j.Account].Add(t.Step.Spec.Needs)
 	return a
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -217,7 +217,7 @@
 		if !includeAwaiting && o.mayRunElsewhere(t) {
 			continue
 		}
-		if t.Idle() || t.WantsCopy && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
+		if t.Idle() || t.CopyRequested && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
 			tasks = append(tasks, t)
 		}
 	}
--- a/pkg/shard/straggler.go
+++ b/pkg/shard/straggler.go
@@ -141,7 +141,7 @@
 	o.log.Info().Str("event", "straggler").Str("task", name).Int64("attempt", r.Number).Str("boot", s.ref.Boot).
 		Int("percent", r.Percent).Dur("ran", r.reportedAt-r.startConfirmedAt).Dur("left", remaining).Send()
 	if r.Task.Step.Spec.Speculative {
-		r.Task.WantsCopy = true
+		r.Task.CopyRequested = true
 		o.kickPlacement()
 		return
 	}
