--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), MaxLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		MaxRowBytes: n.settings.Store.RowBytes,
 		Rows:        n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.answeringFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
+		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.answeringFor, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneEvacuated: n.evacuations.contains, BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
--- a/pkg/shard/cluster_test.go
+++ b/pkg/shard/cluster_test.go
@@ -285,7 +285,7 @@
 		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, MaxLease: fake.MaxLease,
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
 		StoreUptime: func() time.Duration { return time.Since(e.since) },
-		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneOut: e.zones.reportTo(entry),
+		HasEnded:    e.hasEnded, StandDown: e.standDown, ZoneEvacuated: e.zones.reportTo(entry),
 		OnGivenUp: func(error) {}, BeforeTakeover: func() {},
 	}
 	o, err := shard.Open(context.Background(), cfg, shard.ObservedOwner{Version: row.Version}, e.catalog(), e.directory())
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -68,8 +68,8 @@
 
 	StoreUptime func() time.Duration // how long the table service has answered this entry without a failure, 0 while it does not
 
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil for none.
-	ZoneOut func(zone string) bool
+	// ZoneEvacuated reports whether the operator has taken an availability zone out of use; nil for none.
+	ZoneEvacuated func(zone string) bool
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
 	OnGivenUp      func(error) // called once, with the cause, when the owner gives the shard up
@@ -150,8 +150,8 @@
 	if cfg.MaxRowBytes == 0 {
 		cfg.MaxRowBytes = platform.DefaultMaxRowBytes
 	}
-	if cfg.ZoneOut == nil {
-		cfg.ZoneOut = func(string) bool { return false }
+	if cfg.ZoneEvacuated == nil {
+		cfg.ZoneEvacuated = func(string) bool { return false }
 	}
 	c, err := TakeOver(ctx, cfg.Rows, cfg.Clock, cfg.Pool, cfg.Self, seen, cfg.HasEnded, cfg.BeforeTakeover)
 	if err != nil {
