--- a/pkg/fleetops/demand.go
+++ b/pkg/fleetops/demand.go
@@ -136,7 +136,7 @@
 func (r *Runner) countMoves(pools map[string]*PoolState, machines map[string]platform.Machine) (leaving map[string]int) {
 	leaving = map[string]int{}
 	for vm, m := range r.moves {
-		if s := pools[m.To]; s != nil && !r.cfg.ZoneOut(machines[vm].Zone) {
+		if s := pools[m.To]; s != nil && !r.cfg.ZoneEvacuated(machines[vm].Zone) {
 			s.Supply++
 		}
 		if machines[vm].Pool == m.From {
@@ -151,7 +151,7 @@
 func (r *Runner) countMachines(pools map[string]*PoolState, machines map[string]platform.Machine, reserved map[string]Phase) {
 	for vm, m := range machines {
 		s := pools[m.Pool]
-		if s == nil || m.State == platform.MachineDown || r.moves[vm] != nil || r.cfg.ZoneOut(m.Zone) {
+		if s == nil || m.State == platform.MachineDown || r.moves[vm] != nil || r.cfg.ZoneEvacuated(m.Zone) {
 			continue // no task can start there
 		}
 		if m.State == platform.MachineMoving {
@@ -170,7 +170,7 @@
 func (r *Runner) movableVMs(s *PoolState, machines map[string]platform.Machine, reserved map[string]Phase, leaving int) (movable []string) {
 	for _, vm := range s.Load.Light {
 		m, ok := machines[vm]
-		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || reserved[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneOut(m.Zone) {
+		if !ok || m.Pool != s.Name || m.State != platform.MachineUp || r.moves[vm] != nil || reserved[vm] != "" || !r.mayOrderFor(vm) || r.cfg.ZoneEvacuated(m.Zone) {
 			continue
 		}
 		if leaving+len(movable) >= r.policy.maxDraining(s.Supply) {
--- a/pkg/fleetops/handover_test.go
+++ b/pkg/fleetops/handover_test.go
@@ -165,7 +165,7 @@
 			return s.load(ctx, pool)
 		},
 		Report: func(int, bool) (platform.Row, error) { return platform.Row{}, nil },
-		Waves:  s.requested, ZoneOut: s.evacuated,
+		Waves:  s.requested, ZoneEvacuated: s.evacuated,
 		OrderGap: orderGap, BeforeTakeover: func() {}, OnGivenUp: func(error) {},
 	}, shard.ObservedOwner{Version: seen.Version}, cat)
 }
--- a/pkg/fleetops/moves.go
+++ b/pkg/fleetops/moves.go
@@ -61,7 +61,7 @@
 			m.upAt = now
 		case m.orderedAt > 0 && now-m.orderedAt > moveTimeout:
 			reason = "the move timed out"
-		case m.orderedAt == 0 && r.cfg.ZoneOut(listed.Zone):
+		case m.orderedAt == 0 && r.cfg.ZoneEvacuated(listed.Zone):
 			reason = "the VM's zone is out of use"
 		case m.orderedAt == 0 && now-m.plannedAt > drainTimeout:
 			reason = "the VM was not drained in time"
--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -39,10 +39,10 @@
 	Drain    Drainer
 	Load     Loader
 	Waves    func() []Wave // all maintenance requests known so far
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil means
+	// ZoneEvacuated reports whether the operator has taken an availability zone out of use; nil means
 	// that none is.
-	ZoneOut func(zone string) bool
-	Report  func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
+	ZoneEvacuated func(zone string) bool
+	Report        func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
 
 	OrderGap        time.Duration // minimum time between orders of two holders for a VM
 	MaintenanceTime time.Duration // how long the maintenance of a VM takes
@@ -90,8 +90,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if cfg.ZoneOut == nil {
-		cfg.ZoneOut = func(string) bool { return false }
+	if cfg.ZoneEvacuated == nil {
+		cfg.ZoneEvacuated = func(string) bool { return false }
 	}
 	now := cfg.Clock.Now()
 	r = &Runner{
--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -72,7 +72,7 @@
 func (n *Node) openFleet(ctx context.Context, seen shard.ObservedOwner, cat *catalog.Catalog, events ownership.Events) (ownership.LocalOwner, error) {
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
+		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneEvacuated: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
 		BeforeTakeover: events.Committing, OnGivenUp: events.Relinquished,
 	}, seen, cat)
