--- a/pkg/jobs/losses_test.go
+++ b/pkg/jobs/losses_test.go
@@ -9,8 +9,8 @@
 	"github.com/gannetwell/gannetwell/pkg/quarantine"
 )
 
-// A step's verdict is the most restrictive one of its tasks, whichever has more losses.
-func TestStepVerdict(t *testing.T) {
+// A step's restriction is the strictest one of its tasks, whichever has more losses.
+func TestStepRestriction(t *testing.T) {
 	soon, late := quarantine.Loss{Delivered: true}, quarantine.Loss{Delivered: true, Ran: time.Second}
 	failedTrial := quarantine.Loss{Trial: true, Ended: true}
 	for _, tc := range []struct {
--- a/pkg/shard/batch.go
+++ b/pkg/shard/batch.go
@@ -33,21 +33,21 @@
 
 // batch is the content of one transaction.
 type batch struct {
-	submissions []*submission
-	jobs        []*jobs.Job
-	states      []jobs.State                 // of jobs, as written
-	evidence    []int                        // Job.Evidence of jobs, as written
-	workers     []*session                   // that become recorded
-	record      bool                         // the record of leased workers is written
-	parts       []int                        // numbers of the parts of the record that are written
-	leased      *[recordParts][]leasedWorker // content of the record
-	shares      *quota.Row                   // quota shares of accounts as written, nil if unchanged
-	acks        map[*session]int64           // number of the last end to acknowledge, by worker
-	drops       []expiredJob
-	txn         platform.RowTxn
-	size        int // bytes of the values in txn.Put
-	seq         int64
-	single      bool // holds one item only, to find the one that is refused
+	submissions    []*submission
+	jobs           []*jobs.Job
+	states         []jobs.State                 // of jobs, as written
+	lossesVersions []int                        // of jobs, as written
+	workers        []*session                   // that become recorded
+	record         bool                         // the record of leased workers is written
+	parts          []int                        // numbers of the parts of the record that are written
+	leased         *[recordParts][]leasedWorker // content of the record
+	shares         *quota.Row                   // quota shares of accounts as written, nil if unchanged
+	acks           map[*session]int64           // number of the last end to acknowledge, by worker
+	drops          []expiredJob
+	txn            platform.RowTxn
+	size           int // bytes of the values in txn.Put
+	seq            int64
+	single         bool // holds one item only, to find the one that is refused
 }
 
 // expiredJob is a job whose rows are to be removed.
@@ -182,7 +182,7 @@
 		j.RecordProgressRows(len(rows))
 		b.jobs = append(b.jobs, j)
 		b.states = append(b.states, j.State)
-		b.evidence = append(b.evidence, j.LossesVersion())
+		b.lossesVersions = append(b.lossesVersions, j.LossesVersion())
 		for i, key := range progressKeys(o.cfg.Pool, j.ID, len(rows)) {
 			b.put(key, rows[i])
 		}
--- a/pkg/shard/concurrent_owners_test.go
+++ b/pkg/shard/concurrent_owners_test.go
@@ -15,9 +15,9 @@
 
 // concurrentOwners has a shard taken over from an owner that goes on, while a worker restarts and so
 // knows neither owner's token.
-func concurrentOwners(plant func(*testCluster)) func(*rapid.T) {
+func concurrentOwners(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newRestartScenario(t, plant)
+		m := newRestartScenario(t, inject)
 		e := m.e
 		defer e.close()
 		m.takeOver()
@@ -50,11 +50,11 @@
 // TestConcurrentOwners checks the invariants while two owners are active.
 func TestConcurrentOwners(t *testing.T) { prop.Check(t, concurrentOwners(nil)) }
 
-// TestConcurrentOwnersFindsPlanted checks that it detects an owner that does not wait until its
+// TestConcurrentOwnersDetectsFaults checks that it detects an owner that does not wait until its
 // predecessor's confirmation has expired.
-func TestConcurrentOwnersFindsPlanted(t *testing.T) {
-	plant := func(e *testCluster) {
+func TestConcurrentOwnersDetectsFaults(t *testing.T) {
+	inject := func(e *testCluster) {
 		e.standDown = func(context.Context, shard.OwnerRow, platform.Row) bool { return true }
 	}
-	qt.Assert(t, prop.FindsFailure(t, concurrentOwners(plant)), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, concurrentOwners(inject)), qt.IsTrue)
 }
--- a/pkg/shard/crash_test.go
+++ b/pkg/shard/crash_test.go
@@ -16,9 +16,9 @@
 
 // crashes runs jobs with and without crashing tasks while the owner is replaced and orders and
 // transactions are lost or late.
-func crashes(plant func(*testCluster)) func(*rapid.T) {
+func crashes(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newScenario(t, plant)
+		m := newScenario(t, inject)
 		e := m.e
 		defer e.close()
 		m.bootAll(4)
@@ -43,13 +43,13 @@
 // TestCrashes checks that the jobs of crashing tasks fail in time, and no others.
 func TestCrashes(t *testing.T) { prop.Check(t, crashes(nil)) }
 
-// TestCrashesFindsPlanted checks that it detects an owner that does not know the losses recorded by
+// TestCrashesDetectsFaults checks that it detects an owner that does not know the losses recorded by
 // former ones.
-func TestCrashesFindsPlanted(t *testing.T) {
-	plant := func(e *testCluster) {
+func TestCrashesDetectsFaults(t *testing.T) {
+	inject := func(e *testCluster) {
 		e.wrapRows = func(r platform.Rows) platform.Rows { return withoutLosses{r} }
 	}
-	qt.Assert(t, prop.FindsFailure(t, crashes(plant)), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, crashes(inject)), qt.IsTrue)
 }
 
 // withoutLosses hides the recorded losses of tasks.
--- a/pkg/shard/incomplete_reports_test.go
+++ b/pkg/shard/incomplete_reports_test.go
@@ -10,9 +10,9 @@
 
 // incompleteLists has reports omit entries, each at most once, while owners are replaced and workers
 // restart. Starts are always answered, since a single report decides on one that is not.
-func incompleteLists(plant func(*testCluster)) func(*rapid.T) {
+func incompleteLists(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newRestartScenario(t, plant)
+		m := newRestartScenario(t, inject)
 		e := m.e
 		defer e.close()
 		e.workers.SetOmitEvery(rapid.IntRange(2, 5).Draw(t, "short every"))
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -83,7 +83,7 @@
 		}
 		if s.outOfUse() {
 			// Tasks there still count as demand, since they are restarted elsewhere.
-			l.noteZoneOut(s)
+			l.noteEvacuatedZone(s)
 		} else {
 			l.Workers++
 			l.Capacity = l.Capacity.Add(s.info.Capacity)
@@ -118,8 +118,8 @@
 	return l
 }
 
-// noteZoneOut counts a worker in a zone that is out of use.
-func (l *Load) noteZoneOut(s *session) {
+// noteEvacuatedZone counts a worker in a zone that is out of use.
+func (l *Load) noteEvacuatedZone(s *session) {
 	if l.ZonesOut == nil {
 		l.ZonesOut = map[string]ZoneLoad{}
 	}
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -12,9 +12,9 @@
 
 // mixed combines all faults of workers, calls, tasks and owners. Reports are complete, since a
 // single one decides on a start without an answer.
-func mixed(plant func(*testCluster)) func(*rapid.T) {
+func mixed(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newScenario(t, plant)
+		m := newScenario(t, inject)
 		e := m.e
 		defer e.close()
 		e.keepWorkerIDs = true
@@ -38,9 +38,9 @@
 // TestMixed checks the guarantees with all faults combined.
 func TestMixed(t *testing.T) { prop.Check(t, mixed(nil)) }
 
-// TestMixedFindsPlanted checks that mixed detects injected bugs.
-func TestMixedFindsPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*testCluster){
+// TestMixedDetectsFaults checks that mixed detects injected bugs.
+func TestMixedDetectsFaults(t *testing.T) {
+	for name, inject := range map[string]func(*testCluster){
 		"orders without fencing": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
@@ -51,6 +51,6 @@
 			e.wrapRows = func(r platform.Rows) platform.Rows { return withoutLosses{r} }
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, mixed(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, mixed(inject)), qt.IsTrue) })
 	}
 }
--- a/pkg/shard/outcome.go
+++ b/pkg/shard/outcome.go
@@ -19,7 +19,7 @@
 		s.resolve(schema.CallOutcomeOk)
 	}
 	for i, j := range b.jobs {
-		j.MarkLossesPersisted(b.evidence[i])
+		j.MarkLossesPersisted(b.lossesVersions[i])
 		o.sendDeferred(j)
 		if b.states[i].Final() {
 			j.PersistedState = b.states[i]
--- a/pkg/shard/provisional.go
+++ b/pkg/shard/provisional.go
@@ -9,9 +9,9 @@
 
 // deferredStart is a start that waits until its provisional loss is stored.
 type deferredStart struct {
-	session  *session
-	running  *workerAttempt
-	evidence int // value of Job.Evidence that has to be stored
+	session       *session
+	running       *workerAttempt
+	lossesVersion int // must be persisted before the start is sent
 }
 
 // recordProvisionalLoss records the loss of a worker before a suspected task is started there, so
@@ -28,7 +28,7 @@
 	t.SetLosses(t.Losses.With(quarantine.Loss{Attempt: r.Number, Boot: s.ref.Boot, Trial: s.inTrial(r), Provisional: true}))
 	o.suspects[t] = struct{}{}
 	j := t.Step.Job
-	o.deferredStarts[j] = append(o.deferredStarts[j], deferredStart{session: s, running: r, evidence: j.LossesVersion()})
+	o.deferredStarts[j] = append(o.deferredStarts[j], deferredStart{session: s, running: r, lossesVersion: j.LossesVersion()})
 	o.persist(j, true)
 	return true
 }
@@ -39,7 +39,7 @@
 		return
 	}
 	o.deferredStarts[j] = slices.DeleteFunc(o.deferredStarts[j], func(n deferredStart) bool {
-		if !j.LossesPersisted(n.evidence) {
+		if !j.LossesPersisted(n.lossesVersion) {
 			return false
 		}
 		name := n.running.Task.Name()
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -94,15 +94,15 @@
 	})
 }
 
-// TestPartsFindPlanted checks that random scenarios detect an owner that does not see some parts of
+// TestPartsDetectsFaults checks that random scenarios detect an owner that does not see some parts of
 // the record, or any.
-func TestPartsFindPlanted(t *testing.T) {
+func TestPartsDetectsFaults(t *testing.T) {
 	for name, hidden := range map[string]int{"no parts": 64, "all but the first": 1} {
 		t.Run(name, func(t *testing.T) {
-			plant := func(e *testCluster) {
+			inject := func(e *testCluster) {
 				e.wrapRows = func(r platform.Rows) platform.Rows { return withoutParts{Rows: r, hidden: hidden} }
 			}
-			qt.Assert(t, prop.FindsFailure(t, ownerScenario(plant)), qt.IsTrue)
+			qt.Assert(t, prop.FindsFailure(t, ownerScenario(inject)), qt.IsTrue)
 		})
 	}
 }
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -19,9 +19,9 @@
 
 // restarts runs random scenarios in which workers restart under the same ID, idle or not, while short
 // and crashing tasks start, orders are lost or late, and the owner is replaced.
-func restarts(plant func(*testCluster)) func(*rapid.T) {
+func restarts(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newRestartScenario(t, plant)
+		m := newRestartScenario(t, inject)
 		e := m.e
 		defer e.close()
 		e.crashRestartDelay = rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, time.Second, 6 * time.Second}).Draw(t, "back after")
@@ -87,10 +87,10 @@
 // TestRestarts checks the invariants while workers restart under the same ID.
 func TestRestarts(t *testing.T) { prop.Check(t, restarts(nil)) }
 
-// TestRestartsFindsPlanted checks that it detects an owner that can't distinguish the boots of a
+// TestRestartsDetectsFaults checks that it detects an owner that can't distinguish the boots of a
 // worker, and one that carries end numbers over from an earlier boot.
-func TestRestartsFindsPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*testCluster){
+func TestRestartsDetectsFaults(t *testing.T) {
+	for name, inject := range map[string]func(*testCluster){
 		"boots are not told apart": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return withoutStartTime{w} }
 		},
@@ -100,7 +100,7 @@
 			}
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, restarts(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, restarts(inject)), qt.IsTrue) })
 	}
 }
 
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -44,30 +44,30 @@
 // salt varies the order of simultaneous events in drawn scenarios, for manual searches.
 var salt = flag.Uint64("salt", 0, "order of simultaneous events in drawn scenarios")
 
-// newScenario returns a scenario on its own testCluster, into which plant, unless nil, injects a bug.
-func newScenario(t *rapid.T, plant func(*testCluster)) *scenario {
+// newScenario returns a scenario on its own testCluster, to which inject, unless nil, adds a bug.
+func newScenario(t *rapid.T, inject func(*testCluster)) *scenario {
 	e := newTestCluster(t)
 	spread := fake.NewJitter(*salt)
 	e.rows.SetJitter(spread)
 	e.workers.SetJitter(spread)
-	if plant != nil {
-		plant(e)
+	if inject != nil {
+		inject(e)
 	}
 	return &scenario{t: t, e: e, accepted: map[string]bool{}}
 }
 
 // newRestartScenario returns a scenario with three workers that keep their IDs when they restart.
-func newRestartScenario(t *rapid.T, plant func(*testCluster)) *scenario {
-	m := newScenario(t, plant)
+func newRestartScenario(t *rapid.T, inject func(*testCluster)) *scenario {
+	m := newScenario(t, inject)
 	m.e.keepWorkerIDs = true
 	m.bootAll(3)
 	return m
 }
 
 // ownerScenario runs a random scenario with faults of all kinds.
-func ownerScenario(plant func(*testCluster)) func(*rapid.T) {
+func ownerScenario(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newScenario(t, plant)
+		m := newScenario(t, inject)
 		e := m.e
 		defer e.close()
 		e.workers.SetAllowOvercommit(rapid.Bool().Draw(t, "takes all"))
@@ -332,10 +332,10 @@
 // testdata/limit_counts_cancelled.
 func TestLimitOfCancelledJob(t *testing.T) { prop.CheckSeed(t, 4888604, ownerScenario(nil)) }
 
-// TestOwnerFindsPlanted checks that the scenarios detect injected bugs: orders without fencing, ends
+// TestOwnerDetectsFaults checks that the scenarios detect injected bugs: orders without fencing, ends
 // acknowledged before they are stored, transactions without preconditions and forgotten shares.
-func TestOwnerFindsPlanted(t *testing.T) {
-	for name, plant := range map[string]func(*testCluster){
+func TestOwnerDetectsFaults(t *testing.T) {
+	for name, inject := range map[string]func(*testCluster){
 		"orders without fencing": func(e *testCluster) {
 			e.wrapWorkers = func(w platform.Workers) platform.Workers { return unfenced{w} }
 		},
@@ -349,6 +349,6 @@
 			e.wrapRows = func(r platform.Rows) platform.Rows { return withoutShares{r} }
 		},
 	} {
-		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, ownerScenario(plant)), qt.IsTrue) })
+		t.Run(name, func(t *testing.T) { qt.Assert(t, prop.FindsFailure(t, ownerScenario(inject)), qt.IsTrue) })
 	}
 }
--- a/pkg/shard/session.go
+++ b/pkg/shard/session.go
@@ -51,7 +51,7 @@
 	trial           *trial                         // trial that it is reserved for, nil for none
 	pausedUntil     time.Duration                  // accepts no new tasks until then
 	cordonedUntil   time.Duration                  // its VM is being emptied until then
-	zoneOut         func(zone string) bool         // reports whether a zone is out of use
+	zoneEvacuated   func(zone string) bool         // reports whether a zone is out of use
 
 	notEmptyLoggedAt time.Duration // when the log last said why its VM is not empty
 
@@ -116,7 +116,7 @@
 }
 
 // outOfUse reports whether the worker's zone is out of use, so that nothing starts there.
-func (s *session) outOfUse() bool { return s.zoneOut(s.info.Zone) }
+func (s *session) outOfUse() bool { return s.zoneEvacuated(s.info.Zone) }
 
 // acceptsTasks reports whether any task may start at the worker.
 func (s *session) acceptsTasks(now time.Duration) bool { return s.usable(now) && s.trial == nil }
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -117,9 +117,9 @@
 
 // suspensions suspends owners while tasks wait for room and others take over the shard without
 // reaching all of its workers.
-func suspensions(plant func(*testCluster)) func(*rapid.T) {
+func suspensions(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newScenario(t, plant)
+		m := newScenario(t, inject)
 		e := m.e
 		defer e.close()
 		for range rapid.IntRange(1, 2).Draw(t, "workers") {
@@ -146,7 +146,7 @@
 // TestSuspended checks the invariants while the machines of owners are suspended.
 func TestSuspended(t *testing.T) { prop.Check(t, suspensions(nil)) }
 
-// TestSuspendedFindsPlanted checks that it detects owners whose clock does not count suspended time.
-func TestSuspendedFindsPlanted(t *testing.T) {
+// TestSuspendedDetectsFaults checks that it detects owners whose clock does not count suspended time.
+func TestSuspendedDetectsFaults(t *testing.T) {
 	qt.Assert(t, prop.FindsFailure(t, suspensions(func(e *testCluster) { e.steadyClockOnly = true })), qt.IsTrue)
 }
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -22,7 +22,7 @@
 	vms map[string]string
 	out map[string]time.Time // zones out of use, and since when
 	// wrapReport alters what an entry learns of zones, to inject a bug; nil for unaltered.
-	wrapReport func(zoneOut func(zone string) bool) func(zone string) bool
+	wrapReport func(zoneEvacuated func(zone string) bool) func(zone string) bool
 }
 
 // put sets the zone of a VM.
@@ -69,23 +69,23 @@
 
 // reportTo returns the function by which an entry learns the zones out of use.
 func (z *zones) reportTo(string) func(zone string) bool {
-	zoneOut := func(zone string) bool {
+	zoneEvacuated := func(zone string) bool {
 		z.mu.Lock()
 		defer z.mu.Unlock()
 		_, out := z.out[zone]
 		return out
 	}
 	if z.wrapReport != nil {
-		return z.wrapReport(zoneOut)
+		return z.wrapReport(zoneEvacuated)
 	}
-	return zoneOut
+	return zoneEvacuated
 }
 
 // evacuations takes zones out of use and back while the owner is replaced, calls are
 // lost or late, and workers crash; some jobs are scheduled.
-func evacuations(plant func(*testCluster)) func(*rapid.T) {
+func evacuations(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newScenario(t, plant)
+		m := newScenario(t, inject)
 		e := m.e
 		defer e.close()
 		for i, vm := range []string{"w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "w9"} {
@@ -131,21 +131,21 @@
 // TestEvacuations checks that nothing starts in zones out of use.
 func TestEvacuations(t *testing.T) { prop.Check(t, evacuations(nil)) }
 
-// TestEvacuationsFindsPlanted checks that evacuations detects an owner that never learns of zones,
+// TestEvacuationsDetectsFaults checks that evacuations detects an owner that never learns of zones,
 // and one that learns of them only when it takes over.
-func TestEvacuationsFindsPlanted(t *testing.T) {
-	for name, wrap := range map[string]func(zoneOut func(string) bool) func(string) bool{
+func TestEvacuationsDetectsFaults(t *testing.T) {
+	for name, wrap := range map[string]func(zoneEvacuated func(string) bool) func(string) bool{
 		"never informed": func(func(string) bool) func(string) bool {
 			return func(string) bool { return false }
 		},
-		"informed at the takeover only": func(zoneOut func(string) bool) func(string) bool {
-			known := map[string]bool{"z1": zoneOut("z1"), "z2": zoneOut("z2")}
+		"informed at the takeover only": func(zoneEvacuated func(string) bool) func(string) bool {
+			known := map[string]bool{"z1": zoneEvacuated("z1"), "z2": zoneEvacuated("z2")}
 			return func(zone string) bool { return known[zone] }
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			plant := func(e *testCluster) { e.zones.wrapReport = wrap }
-			qt.Assert(t, prop.FindsFailure(t, evacuations(plant)), qt.IsTrue)
+			inject := func(e *testCluster) { e.zones.wrapReport = wrap }
+			qt.Assert(t, prop.FindsFailure(t, evacuations(inject)), qt.IsTrue)
 		})
 	}
 }
