--- a/_scripts/ablate.sh
+++ b/_scripts/ablate.sh
@@ -18,16 +18,16 @@
 stragglers|pkg/shard/upkeep.go|/o.checkStragglers(now)/d
 penalty|pkg/shard/health.go|s/failurePenalty = 0.35/failurePenalty = 0.0/
 packing|pkg/placement/place.go|s/score := -float64(h.Free.CPU)/score := float64(h.Free.CPU)/
-late-jobs-last|pkg/placement/place.go|/cmp.Compare(a.late(now), b.late(now)),/d
-order-by-slack|pkg/placement/place.go|/cmp.Compare(a.late(now), b.late(now)),/d;/cmp.Compare(a.Deadline-a.Left, b.Deadline-b.Left),/d
-trend|pkg/fleetops/demand.go|s/return int(max(0, t.slope) \* trendAhead.Seconds())/return 0/
+late-jobs-last|pkg/placement/place.go|/cmp.Compare(a.latenessRank(now), b.latenessRank(now)),/d
+order-by-slack|pkg/placement/place.go|/cmp.Compare(a.latenessRank(now), b.latenessRank(now)),/d;/cmp.Compare(a.Deadline-a.RemainingPath, b.Deadline-b.RemainingPath),/d
+trend|pkg/fleetops/demand.go|s/return int(max(0, t.slope) \* forecastHorizon.Seconds())/return 0/
 arrivals|pkg/shard/load.go|/l.Arriving = o.arrivals.demand(now)/d
 headroom|pkg/fleetops/sizing.go|s/Headroom: 0.15, Reserve: 1/Headroom: 0.0, Reserve: 0/
-hedged-commits|pkg/shard/hedge.go|s/hedgesAtOnce = 3/hedgesAtOnce = 1/
-learned-durations|pkg/shard/estimate.go|s/if l == nil || l.seen/if true || l == nil || l.seen/
-waiting-for-owners|pkg/node/calls.go|s/callerWait = 2 \* time.Second/callerWait = ownerWait/
-handover-names-tasks|pkg/shard/held.go|s/if w.LetGo > 0 \&\& w.LetGo == o.claim.Term-1/if false/
-promised-first|pkg/placement/place.go|/cmp.Compare(a.excess(), b.excess()),/d
+hedged-commits|pkg/shard/hedge.go|s/maxTries = 3/maxTries = 1/
+learned-durations|pkg/shard/estimate.go|s/if ds == nil || ds.count/if true || ds == nil || ds.count/
+waiting-for-owners|pkg/node/calls.go|s/clientWait = 2 \* time.Second/clientWait = ownerWait/
+handover-names-tasks|pkg/shard/inherited.go|s/if w.ReleaseTerm > 0 \&\& w.ReleaseTerm == o.claim.Term-1/if false/
+promised-first|pkg/placement/place.go|/cmp.Compare(a.excessRank(), b.excessRank()),/d
 orders-not-sent|pkg/shard/dispatch.go|s/case !platform.IsNotDone(err):/case true:/
 room-soon|pkg/shard/evacuate.go|s/ \&\& !placement.Reserve(step, soon)//;s/hosts, soon := o.hostsToTry(now), o.hostsSoon(now)/hosts := o.hostsToTry(now)/
 LIST
