--- a/_scripts/ablate.sh
+++ b/_scripts/ablate.sh
@@ -15,7 +15,7 @@
 # Name, file and sed script of each mechanism.
 mechanisms() {
 	cat <<'LIST'
-stragglers|pkg/shard/upkeep.go|/o.checkStragglers(now)/d
+stragglers|pkg/shard/checks.go|/o.checkStragglers(now)/d
 penalty|pkg/shard/health.go|s/failurePenalty = 0.35/failurePenalty = 0.0/
 packing|pkg/placement/place.go|s/score := -float64(h.Free.CPU)/score := float64(h.Free.CPU)/
 late-jobs-last|pkg/placement/place.go|/cmp.Compare(a.latenessRank(now), b.latenessRank(now)),/d
