--- a/pkg/node/work.go
+++ b/pkg/node/work.go
@@ -45,7 +45,7 @@
 		Pool: pool, Self: n.identity(), Clock: n.clock, Retention: seconds(n.settings.Timing.RetentionS), MaxLease: time.Duration(n.settings.Timing.MaxLeaseMs) * time.Millisecond,
 		MaxRowBytes: n.settings.Store.RowBytes,
 		Rows:        n.rows, Workers: n.platform, Machines: n.platform, Adviser: n.platform,
-		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.uptime, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneOut: n.evacuations.contains, BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
+		Metrics: n.metrics, Log: n.log, StoreUptime: n.rows.uptime, HasEnded: n.members.HasEnded, StandDown: n.standDown, ZoneEvacuated: n.evacuations.contains, BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
 	}, seen, cat, n.allWorkers())
 	if err != nil {
 		return nil, err // no typed nil in the interface
@@ -74,7 +74,7 @@
 	// that arrive after one of this holder.
 	r, err := fleetops.Open(ctx, fleetops.Config{
 		Self: n.identity(), Log: n.log, Clock: n.clock,
-		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneOut: n.evacuations.contains,
+		Rows: n.rows, Machines: n.platform, Drain: n.drainVM, Load: n.loadOf, Report: n.source.EncodeWave, Waves: n.allWaves, ZoneEvacuated: n.evacuations.contains,
 		OrderGap: time.Duration(n.settings.Timing.LeaseMs) * time.Millisecond, MaintenanceTime: seconds(n.settings.Timing.MaintenanceS),
 		BeforeTakeover: events.BeforeTakeover, OnGivenUp: events.OnGivenUp,
 	}, seen, cat)
--- a/pkg/shard/place.go
+++ b/pkg/shard/place.go
@@ -159,7 +159,7 @@
 // start. The tasks of a gang start together, so they share one trial and may share a worker.
 func splitByRestriction(c placement.Candidate) (free, trialOnly []placement.Candidate) {
 	if c.Step.Spec.Gang {
-		switch c.Step.Verdict() {
+		switch c.Step.Restriction() {
 		case quarantine.TrialOnly:
 			return nil, []placement.Candidate{c}
 		case quarantine.Blocked, quarantine.Poison:
@@ -173,7 +173,7 @@
 	for _, t := range c.Tasks {
 		one := c
 		one.Tasks = []*jobs.Task{t}
-		switch t.Verdict() {
+		switch t.Restriction() {
 		case quarantine.Unrestricted:
 			clean.Tasks = append(clean.Tasks, t)
 		case quarantine.Separate:
@@ -218,7 +218,7 @@
 		if !includeAwaiting && o.mayRunAtPendingWorker(t) {
 			continue
 		}
-		if t.Idle() || t.WantsCopy && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
+		if t.Idle() || t.CopyRequested && !t.Done && len(t.Attempts) == 1 && len(t.Losses) == 0 {
 			tasks = append(tasks, t)
 		}
 	}
