--- a/pkg/fleetops/runner.go
+++ b/pkg/fleetops/runner.go
@@ -40,7 +40,7 @@
 	Drain    Drainer
 	Load     Loader
 	Waves    func() []Wave // all maintenance requests known so far
-	// ZoneOut reports whether the operator has evacuated an availability zone; nil means that none
+	// ZoneEvacuated reports whether the operator has evacuated an availability zone; nil means that none
 	// is.
 	ZoneEvacuated func(zone string) bool
 	Report        func(wave int, completed bool) (platform.Row, error) // encodes the row that reports a wave to the operator
--- a/pkg/jobs/losses.go
+++ b/pkg/jobs/losses.go
@@ -9,13 +9,13 @@
 	t.Step.Job.lossesVersion++
 }
 
-// Verdict returns how the task may be started, given the worker losses attributed to it.
+// Restriction returns where the task may start, given the worker losses attributed to it.
 func (t *Task) Restriction() quarantine.Restriction { return t.Losses.Restriction() }
 
 // Suspect reports whether the task is restricted in where it may start.
 func (t *Task) Suspect() bool { return len(t.Losses) > 0 && t.Restriction() != quarantine.Unrestricted }
 
-// Verdict returns how the step's tasks may be started together: the most restrictive verdict of
+// Restriction returns where the step's tasks may start together: the strictest restriction of
 // its tasks.
 func (s *StepRun) Restriction() quarantine.Restriction {
 	worst := quarantine.Unrestricted
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -118,7 +118,7 @@
 	return l
 }
 
-// noteZoneOut counts a worker in a zone that is out of use.
+// noteEvacuatedZone counts a worker in a zone that is out of use.
 func (l *Load) noteEvacuatedZone(s *session) {
 	if l.ZonesOut == nil {
 		l.ZonesOut = map[string]ZoneLoad{}
--- a/pkg/shard/owner.go
+++ b/pkg/shard/owner.go
@@ -68,7 +68,7 @@
 
 	StoreUptime func() time.Duration // how long the table service has answered this entry without a failure, 0 while it does not
 
-	// ZoneOut reports whether the operator has taken an availability zone out of use; nil for none.
+	// ZoneEvacuated reports whether the operator has taken an availability zone out of use; nil for none.
 	ZoneEvacuated func(zone string) bool
 
 	BeforeTakeover func()      // called before the takeover's transaction is sent
