--- a/pkg/jobs/progress.go
+++ b/pkg/jobs/progress.go
@@ -127,7 +127,7 @@
 			t.Failed = failed
 		}
 		if losses, ok := sp.Losses[i]; ok {
-			t.Losses = losses.CountProvisional() // recorded before starts on trial, whose outcome is not known here
+			t.Losses = losses.ConfirmProvisional() // recorded before starts on trial, whose outcome is not known here
 		}
 		if checkpoint, ok := sp.Checkpoints[i]; ok {
 			t.Checkpoint = checkpoint
--- a/pkg/quarantine/loss.go
+++ b/pkg/quarantine/loss.go
@@ -122,9 +122,9 @@
 	return with
 }
 
-// CountProvisional returns the losses with the provisional ones counted. A new owner calls it,
+// ConfirmProvisional returns the losses with the provisional ones counted. A new owner calls it,
 // since the owner that recorded them is gone; boots that turn out to be alive are removed later.
-func (ls Losses) CountProvisional() Losses {
+func (ls Losses) ConfirmProvisional() Losses {
 	counted := slices.Clone(ls)
 	for i := range counted {
 		counted[i].Provisional = false
