--- a/pkg/shard/checks.go
+++ b/pkg/shard/checks.go
@@ -63,7 +63,7 @@
 	if !changed {
 		return
 	}
-	o.log.Warn().Str("event", "owner_at_limit").Bool("at_limit", o.rate.AtLimit()).Float64("starts_per_s", o.rate.PerSecond()).
+	o.log.Warn().Str("event", "owner_at_limit").Bool("at_limit", o.rate.Limiting()).Float64("starts_per_s", o.rate.PerSecond()).
 		Dur("fastest_answer", w.Fastest).Int("answered", w.Answered).Int("lost", w.Lost).Send()
 }
 
--- a/pkg/shard/load.go
+++ b/pkg/shard/load.go
@@ -106,7 +106,7 @@
 	l.Tight = slowestVMs(limited)
 	slices.SortFunc(l.Light, func(a, b string) int { return cmp.Or(cmp.Compare(used[a], used[b]), cmp.Compare(a, b)) })
 	l.Floor = o.minWorkers()
-	l.AtLimit = o.rate.AtLimit()
+	l.AtLimit = o.rate.Limiting()
 	l.Arriving = o.arrivals.demand(now)
 	demand := o.newDemand()
 	o.eachStartable(true, func(s *jobs.StepRun, startable []*jobs.Task) {
--- a/pkg/shard/poll.go
+++ b/pkg/shard/poll.go
@@ -60,7 +60,7 @@
 func (o *Owner) pollLoop(ctx context.Context, s *session) {
 	for ctx.Err() == nil {
 		o.mu.Lock()
-		plan := s.planPoll(o.now(), o.rate.AtLimit())
+		plan := s.planPoll(o.now(), o.rate.Limiting())
 		if o.releasing && !s.outcomeUnknown {
 			// During a handover new ends stay at the worker for the next owner, so that storing
 			// them does not delay it. Leases outlast the handover without renewal.
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -59,8 +59,8 @@
 // PerSecond returns the limit in starts per second, 0 for none.
 func (r *Limiter) PerSecond() float64 { return r.limit }
 
-// AtLimit reports whether a limit is in force.
-func (r *Limiter) AtLimit() bool { return r.limit > 0 }
+// Limiting reports whether a limit is in force.
+func (r *Limiter) Limiting() bool { return r.limit > 0 }
 
 // Available returns how many tasks may be started now.
 func (r *Limiter) Available(now time.Duration) int {
--- a/pkg/startrate/rate_test.go
+++ b/pkg/startrate/rate_test.go
@@ -55,7 +55,7 @@
 					r.Observe(time.Second, false)
 				}
 				_, changed := r.Update(now)
-				out += fmt.Sprintf("%d answered, at limit %v, changed %v, %.0f a second\n", answers, r.AtLimit(), changed, r.PerSecond())
+				out += fmt.Sprintf("%d answered, at limit %v, changed %v, %.0f a second\n", answers, r.Limiting(), changed, r.PerSecond())
 			}
 			return out
 		default:
