--- a/pkg/entry/adapters.go
+++ b/pkg/entry/adapters.go
@@ -66,7 +66,7 @@
 func (m marker) MarkList(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceList, closed) }
 
 // MarkLeaving implements membership.Marker.
-func (m marker) MarkLeaving(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceProbe, closed) }
+func (m marker) MarkLeaving(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceLeaving, closed) }
 
 // MarkHealth implements membership.Marker.
 func (m marker) MarkHealth(vm string, closed bool) { m.g.SetClosed(vm, gateway.SourceHealth, closed) }
--- a/pkg/gateway/gateway_test.go
+++ b/pkg/gateway/gateway_test.go
@@ -303,7 +303,7 @@
 // TestServerClosed closes a server by each source while requests run: no request may start
 // there afterwards, and its in-flight count must fall to zero and stay there.
 func TestServerClosed(t *testing.T) {
-	for _, src := range []gateway.Source{gateway.SourceTable, gateway.SourceList, gateway.SourceProbe} {
+	for _, src := range []gateway.Source{gateway.SourceTable, gateway.SourceList, gateway.SourceLeaving} {
 		t.Run(fmt.Sprint(src), func(t *testing.T) {
 			c := qt.New(t)
 			var started [2]atomic.Int64
@@ -587,8 +587,8 @@
 		used[before[room]]++
 	}
 	c.Check(used, qt.HasLen, 4)
-	a.SetClosed("w1", gateway.SourceProbe, true)
-	b.SetClosed("w1", gateway.SourceProbe, true)
+	a.SetClosed("w1", gateway.SourceLeaving, true)
+	b.SetClosed("w1", gateway.SourceLeaving, true)
 	for room := range rooms {
 		after := place(room)
 		c.Check(after, qt.Not(qt.Equals), "w1")
--- a/pkg/gateway/property_test.go
+++ b/pkg/gateway/property_test.go
@@ -247,7 +247,7 @@
 			wg.Wait()
 		},
 		"mark": func(t *rapid.T) {
-			src := rapid.SampledFrom([]gateway.Source{gateway.SourceList, gateway.SourceProbe, gateway.SourceHealth}).Draw(t, "source")
+			src := rapid.SampledFrom([]gateway.Source{gateway.SourceList, gateway.SourceLeaving, gateway.SourceHealth}).Draw(t, "source")
 			h.gateways[rapid.IntRange(0, 1).Draw(t, "entry")].SetClosed(fmt.Sprintf("w%d", rapid.IntRange(1, 3).Draw(t, "vm")), src, rapid.Bool().Draw(t, "closed"))
 		},
 		"store": func(t *rapid.T) {
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -18,7 +18,7 @@
 const (
 	SourceTable   Source = 1 << iota // the VM's phase in the table
 	SourceList                       // the platform's VM list
-	SourceProbe                      // the server reports that it is leaving
+	SourceLeaving                      // the server reports that it is leaving
 	SourceHealth                     // failed health probes
 	SourcePassive                    // failed exchanges (outlier ejection)
 )
