--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -17,8 +17,8 @@
 // statusWorkers is the number of concurrent status queries to VMs.
 const statusWorkers = 16
 
-// Prober provides the results of health probes and the platform's VM list.
-type Prober interface {
+// Servers provides the results of health probes and the platform's VM list.
+type Servers interface {
 	Health(vm string) (h membership.Health, at time.Time)
 	List() platform.VMList
 }
@@ -31,7 +31,7 @@
 // Observer collects the observations on which decisions are based.
 type Observer struct {
 	VMs           platform.VMs
-	Prober        Prober
+	Prober        Servers
 	Entries       Entries
 	LocalInFlight func(vm string) int // requests in flight from this entry
 
