--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -110,7 +110,7 @@
 		view = bootIgnorer{view}
 	}
 	n := &node{replica: replica.New(view), inFlight: map[string]int{}}
-	o := &Observer{VMs: view, Prober: prober{h}, Entries: entryCounter{h}, LocalInFlight: func(string) int { return 0 }}
+	o := &Observer{VMs: view, Servers: prober{h}, Entries: entryCounter{h}, LocalInFlight: func(string) int { return 0 }}
 	n.loop = New("node", n.replica, view, o, WithLimits(fleet.Limits{
 		DownAfter: 3 * time.Second, RepairAfter: 5 * time.Second, ReplaceAfter: 20 * time.Second, MaxActions: 8,
 	}))
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -31,7 +31,7 @@
 // Observer collects the observations on which decisions are based.
 type Observer struct {
 	VMs           platform.VMs
-	Prober        Servers
+	Servers        Servers
 	Entries       Entries
 	LocalInFlight func(vm string) int // requests in flight from this entry
 
@@ -50,12 +50,12 @@
 func (o *Observer) Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation {
 	observations := make(map[string]fleet.Observation, len(snap.VMs))
 	listed := map[string]platform.VMState{}
-	for _, vm := range o.Prober.List().VMs {
+	for _, vm := range o.Servers.List().VMs {
 		listed[vm.Name] = vm.State
 	}
 	var draining, toQuery []string
 	for name, row := range snap.VMs {
-		h, at := o.Prober.Health(name)
+		h, at := o.Servers.Health(name)
 		obs := fleet.Observation{InFlight: o.LocalInFlight(name), Listed: listed[name]}
 		obs.Health, obs.Since = o.trackHealth(name, h, at, row.Value)
 		observations[name] = obs
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -129,7 +129,7 @@
 	e.peers.SetAddresses(s.Peers.Seeds)
 	e.servers = membership.NewServers(s.Zone, e.replica, e.platform, marker{e.gateway}, serversOptions...)
 	e.follower = replica.NewFollower(e.replica, ms(s.Control.HeadIntervalMs), e.isReader, e.log)
-	e.observer = &control.Observer{VMs: e.platform, Prober: e.servers, Entries: e.entries(), LocalInFlight: e.gateway.InFlight}
+	e.observer = &control.Observer{VMs: e.platform, Servers: e.servers, Entries: e.entries(), LocalInFlight: e.gateway.InFlight}
 	e.loop = control.New(s.Name, e.replica, e.platform, e.observer,
 		control.WithStep(ms(s.Control.StepIntervalMs)),
 		control.WithLease(ms(s.Control.LeaseMs)),
