--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -49,8 +49,8 @@
 // Option configures a Loop.
 type Option func(*Loop)
 
-// WithStep sets the interval between decisions.
-func WithStep(d time.Duration) Option { return func(l *Loop) { l.step = d } }
+// WithInterval sets the interval between decisions.
+func WithInterval(d time.Duration) Option { return func(l *Loop) { l.step = d } }
 
 // WithLease sets how long the lease is valid without renewal.
 func WithLease(d time.Duration) Option { return func(l *Loop) { l.lease.duration = d } }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -131,7 +131,7 @@
 	e.follower = replica.NewFollower(e.replica, ms(s.Control.HeadIntervalMs), e.isReader, e.log)
 	e.observer = &control.Observer{VMs: e.platform, Servers: e.servers, Entries: e.entries(), LocalInFlight: e.gateway.InFlight}
 	e.loop = control.New(s.Name, e.replica, e.platform, e.observer,
-		control.WithStep(ms(s.Control.StepIntervalMs)),
+		control.WithInterval(ms(s.Control.StepIntervalMs)),
 		control.WithLease(ms(s.Control.LeaseMs)),
 		control.WithLimits(e.limits),
 		control.WithPaused(func() bool { return e.stopping() || !e.gateway.Ready() }),
