--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -215,8 +215,8 @@
 	return nil
 }
 
-// Reset closes the connections to a boot, so that renewals waiting for an end return at once.
-func (w *Workers) Reset(name string) {
+// CloseConnections closes the connections to a boot, so that renewals waiting for an end return at once.
+func (w *Workers) CloseConnections(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.boots[name]
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -67,7 +67,7 @@
 	}
 	w := listed[at]
 	if !silent {
-		e.workers.Reset(e.workers.CurrentBoot(id))
+		e.workers.CloseConnections(e.workers.CurrentBoot(id))
 	}
 	w.Boot = platform.BootID(id, time.Now().Add(-e.clockBehind).UnixMilli())
 	e.workers.Boot(w, 0)
