--- a/pkg/ownership/ping.go
+++ b/pkg/ownership/ping.go
@@ -141,7 +141,7 @@
 	}
 	m.recordPing(p, reply, err, sentAt, timedOut)
 	if err != nil {
-		return !timedOut && errors.As(err, new(peer.ErrLinkLost))
+		return !timedOut && errors.As(err, new(peer.ErrNoAnswer))
 	}
 	for _, o := range reply.Owners {
 		m.local.OwnerRowReported(o.Pool, shard.OwnerRowFromNews(o))
--- a/pkg/peer/caller.go
+++ b/pkg/peer/caller.go
@@ -27,11 +27,11 @@
 // Error returns the cause.
 func (e ErrNotSent) Error() string { return "call was not sent: " + e.Cause.Error() }
 
-// ErrLinkLost reports a call without an answer; it may have been executed.
-type ErrLinkLost struct{ Cause error }
+// ErrNoAnswer reports a call without an answer; it may have been executed.
+type ErrNoAnswer struct{ Cause error }
 
 // Error returns the cause.
-func (e ErrLinkLost) Error() string { return "no answer from peer: " + e.Cause.Error() }
+func (e ErrNoAnswer) Error() string { return "no answer from peer: " + e.Cause.Error() }
 
 // Caller sends concurrent calls to one peer over one link, which is opened on demand.
 type Caller struct {
@@ -46,7 +46,7 @@
 // NewCaller returns a caller of the peer at a host:port address.
 func NewCaller(address string) *Caller { return &Caller{address: address} }
 
-// Call sends a call and waits for its reply. Errors wrap [ErrNotSent] or [ErrLinkLost].
+// Call sends a call and waits for its reply. Errors wrap [ErrNotSent] or [ErrNoAnswer].
 func (c *Caller) Call(ctx context.Context, q *schema.Call) (reply *schema.CallReply, err error) {
 	defer func() { err = errors.Wrapf(err, "call peer %s", c.address) }()
 	l, err := c.open(ctx)
--- a/pkg/peer/calllink.go
+++ b/pkg/peer/calllink.go
@@ -88,12 +88,12 @@
 		case reply := <-got:
 			return reply, nil
 		case <-l.done:
-			return nil, ErrLinkLost{Cause: l.err}
+			return nil, ErrNoAnswer{Cause: l.err}
 		case <-ctx.Done():
 			l.mu.Lock()
 			delete(l.waiting, id)
 			l.mu.Unlock()
-			return nil, ErrLinkLost{Cause: ctx.Err()}
+			return nil, ErrNoAnswer{Cause: ctx.Err()}
 		case <-tick.C:
 			onIdle()
 		}
