--- a/pkg/control/control.go
+++ b/pkg/control/control.go
@@ -16,16 +16,16 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// Table is the entry's replica of the table.
+// Table is the entry's replica of the fleet table; it is implemented by package replica.
 type Table interface {
 	Snapshot() *table.Snapshot
 	Commit(ctx context.Context, e *table.Edit) (*schema.Entry, error)
 }
 
 const (
-	defaultStep   = 500 * time.Millisecond
-	defaultLease  = 5 * time.Second
-	commitTimeout = 3 * time.Second
+	defaultInterval = 500 * time.Millisecond
+	defaultLease    = 5 * time.Second
+	commitTimeout   = 3 * time.Second
 )
 
 // Loop is the control loop of one entry.
@@ -35,7 +35,7 @@
 	platform   platform.Platform
 	observer   *Observer
 	limits     fleet.Limits
-	step       time.Duration
+	interval   time.Duration
 	lease      *lease
 	log        zerolog.Logger
 	paused     func() bool
@@ -43,14 +43,14 @@
 	holdsLease atomic.Bool
 }
 
-// HoldsLease reports whether this entry held the lease at its last step.
+// HoldsLease reports whether this entry held the lease in its last pass.
 func (l *Loop) HoldsLease() bool { return l.holdsLease.Load() }
 
 // Option configures a Loop.
 type Option func(*Loop)
 
-// WithInterval sets the interval between decisions.
-func WithInterval(d time.Duration) Option { return func(l *Loop) { l.step = d } }
+// WithInterval sets the time between two passes.
+func WithInterval(d time.Duration) Option { return func(l *Loop) { l.interval = d } }
 
 // WithLease sets how long the lease is valid without renewal.
 func WithLease(d time.Duration) Option { return func(l *Loop) { l.lease.duration = d } }
@@ -68,7 +68,7 @@
 func New(name string, t Table, p platform.Platform, o *Observer, opts ...Option) *Loop {
 	l := &Loop{
 		name: name, table: t, platform: p, observer: o,
-		limits: fleet.DefaultLimits(), step: defaultStep, log: zerolog.Nop(),
+		limits: fleet.DefaultLimits(), interval: defaultInterval, log: zerolog.Nop(),
 		lease:  &lease{store: p, holder: name + "-" + randomID(), duration: defaultLease},
 		paused: func() bool { return false },
 		decide: fleet.Decide,
@@ -85,9 +85,9 @@
 	return hex.EncodeToString(raw)
 }
 
-// Run makes a decision at each interval until ctx ends, then releases the lease.
+// Run makes a pass at each interval until ctx ends, then releases the lease.
 func (l *Loop) Run(ctx context.Context) error {
-	t := time.NewTicker(l.step)
+	t := time.NewTicker(l.interval)
 	defer t.Stop()
 	for {
 		select {
@@ -104,7 +104,7 @@
 	}
 }
 
-// Step makes one decision and executes it, if this entry holds the lease.
+// Step makes one pass: if this entry holds the lease, it decides on actions and executes them.
 func (l *Loop) Step(ctx context.Context) {
 	if l.paused() {
 		l.holdsLease.Store(false)
@@ -131,7 +131,7 @@
 	}
 }
 
-// execute executes one action. A failed action is decided again in a later step.
+// execute executes one action. A failed action is decided again in a later pass.
 func (l *Loop) execute(ctx context.Context, a fleet.Action) {
 	var err error
 	if a.IsEffect() {
--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -14,10 +14,11 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// statusWorkers is the number of concurrent status queries to VMs.
-const statusWorkers = 16
+// maxConcurrentQueries bounds the concurrent status queries to VMs.
+const maxConcurrentQueries = 16
 
-// Servers provides the results of health probes and the platform's VM list.
+// Servers provides the health of the backend servers and the platform's VM list; it is implemented
+// by [membership.Servers].
 type Servers interface {
 	Health(vm string) (h membership.Health, at time.Time)
 	List() platform.VMList
@@ -31,7 +32,7 @@
 // Observer collects the observations on which decisions are based.
 type Observer struct {
 	VMs           platform.VMs
-	Servers        Servers
+	Servers       Servers
 	Entries       Entries
 	LocalInFlight func(vm string) int // requests in flight from this entry
 
@@ -82,9 +83,9 @@
 	return observations
 }
 
-// trackHealth converts a probe result to health and the time since when it has lasted. For a VM
-// that is being checked after a reboot only the latest probe counts, so that results from
-// before the reboot are ignored.
+// trackHealth converts a probe result to health and the time since when it has lasted. A server
+// that is leaving has unknown health. While a VM is checked after a reboot, the time is that of the
+// latest probe, so that results from before the reboot do not count.
 func (o *Observer) trackHealth(name string, h membership.Health, at time.Time, vm schema.VM) (fleet.Health, time.Time) {
 	health := fleet.HealthUnknown
 	switch h {
@@ -111,7 +112,7 @@
 	var mu sync.Mutex
 	out := make(map[string]*platform.VMStatus, len(names))
 	var g errgroup.Group
-	g.SetLimit(statusWorkers)
+	g.SetLimit(maxConcurrentQueries)
 	for _, name := range names {
 		g.Go(func() error {
 			status, err := o.VMs.VMStatus(ctx, name)
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -14,14 +14,14 @@
 // connTrace records which connection an attempt uses.
 type connTrace struct {
 	mu            sync.Mutex
-	conn          *sealedConn
+	conn          *countingConn
 	writtenBefore int64 // bytes written to conn before the attempt
 }
 
 func (t *connTrace) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if c, ok := info.Conn.(*sealedConn); ok {
+	if c, ok := info.Conn.(*countingConn); ok {
 		t.conn = c
 		t.writtenBefore = c.bytesWritten()
 	}
@@ -31,7 +31,7 @@
 func (t *connTrace) abort() Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.conn == nil || t.conn.seal() == t.writtenBefore {
+	if t.conn == nil || t.conn.closeAndCount() == t.writtenBefore {
 		return OutcomeNotRun
 	}
 	return OutcomeUnknown
--- a/pkg/gateway/conn.go
+++ b/pkg/gateway/conn.go
@@ -21,23 +21,23 @@
 	keepAlivePeriod        = 15 * time.Second
 )
 
-var errSealed = errors.New("the exchange was given up")
+var errAttemptAbandoned = errors.New("the exchange was given up")
 
-// sealedConn counts the bytes written and rejects writes after it is sealed.
-type sealedConn struct {
+// countingConn counts the bytes written. It rejects writes after closeAndCount.
+type countingConn struct {
 	net.Conn
 
 	mu      sync.Mutex
 	written int64
-	sealed  bool
+	closed  bool
 }
 
-// Write implements net.Conn. It fails once the connection is sealed.
-func (c *sealedConn) Write(p []byte) (n int, err error) {
+// Write implements net.Conn. It fails after closeAndCount.
+func (c *countingConn) Write(p []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.sealed {
-		return 0, errSealed
+	if c.closed {
+		return 0, errAttemptAbandoned
 	}
 	n, err = c.Conn.Write(p)
 	if err != nil && n == 0 && len(p) > 0 {
@@ -48,18 +48,18 @@
 }
 
 // bytesWritten returns the number of bytes written so far.
-func (c *sealedConn) bytesWritten() int64 {
+func (c *countingConn) bytesWritten() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// seal closes the connection and returns the number of bytes ever written to it.
-func (c *sealedConn) seal() int64 {
+// closeAndCount closes the connection and returns the number of bytes ever written to it.
+func (c *countingConn) closeAndCount() int64 {
 	_ = c.SetWriteDeadline(time.Unix(1, 0)) // unblocks a Write that holds the mutex
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.sealed = true
+	c.closed = true
 	_ = c.Close()
 	return c.written
 }
@@ -75,7 +75,7 @@
 				if err != nil {
 					return nil, err
 				}
-				return &sealedConn{Conn: conn}, nil
+				return &countingConn{Conn: conn}, nil
 			},
 			DisableCompression:     true,
 			MaxIdleConnsPerHost:    maxIdlePerHost,
--- a/pkg/gateway/doc.go
+++ b/pkg/gateway/doc.go
@@ -11,14 +11,14 @@
 // draining relies on.
 //
 // The result of a request is reported as an [Outcome]. OutcomeNotRun means that no byte of the
-// request was written to a connection of a backend server; the connection is sealed before its
+// request was written to a connection of a backend server; the connection rejects writes before its
 // byte count is read, so no byte can follow. If a response fails after part of it was sent, the
 // caller's connection is aborted, so that a truncated response is never taken for a complete
 // one.
 //
 // net/http resends some requests by itself when an idle connection turns out to be closed.
 // Every outgoing request has a body that cannot be rewound, which disables that. A connection
-// carries one exchange at a time and is closed when an attempt is abandoned, so a late response
+// carries one attempt at a time and is closed when an attempt is abandoned, so a late response
 // is never matched to another request.
 //
 // Subpackages: balance chooses servers, limit bounds concurrency and rates, retry holds the
--- a/pkg/gateway/limit/adaptive.go
+++ b/pkg/gateway/limit/adaptive.go
@@ -30,8 +30,8 @@
 	minDecreaseInterval = 50 * time.Millisecond
 )
 
-// classShare is the fraction of a server's limit that a class may use, so that higher classes
-// always find capacity.
+// classShare is the fraction of a server's limit that a class of requests may use, so that higher
+// classes always find capacity.
 var classShare = map[schema.Class]float64{
 	schema.ClassLive: 1, schema.ClassInteractive: 1, schema.ClassClerk: 0.85, schema.ClassBatch: 0.7,
 }
--- a/pkg/gateway/once/doc.go
+++ b/pkg/gateway/once/doc.go
@@ -9,7 +9,7 @@
 // token matches. A request whose key was claimed before is never run; the entry that ran it
 // replays the saved response as long as it holds it.
 //
-// While the store is unavailable no key can be claimed, and requests with keys are rejected
+// While the table service is unavailable no key can be claimed, and requests with keys are rejected
 // without running, although earlier requests with the same keys may have run. A claim is
 // released, in one attempt that is never retried, if its request certainly did not run.
 package once
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -26,8 +26,8 @@
 	HeaderReason    = "Gannetwell-Reason"      // response: the Reason of a failure
 	HeaderDeadline  = "Gannetwell-Deadline-Ms" // request: time left, in milliseconds
 	HeaderEntry     = "Gannetwell-Entry"       // response: name of the entry
-	HeaderTeam      = "Gannetwell-Team"        // request: team for rate limiting
-	HeaderRoom      = "Gannetwell-Room"        // request: requests of one room go to the same backend server
+	HeaderTeam      = "Gannetwell-Team"        // request: team of the caller, whose rate limit applies
+	HeaderRoom      = "Gannetwell-Room"        // request: affinity key; equal values go to the same backend server
 )
 
 // Reason names why a request failed, in headers, logs and metrics.
--- a/pkg/gateway/server.go
+++ b/pkg/gateway/server.go
@@ -11,16 +11,16 @@
 )
 
 // Source is one source of information about whether a server accepts requests. Each can close
-// the server on its own.
+// the server, that is take it out of rotation, on its own.
 type Source uint32
 
 // The sources.
 const (
 	SourceTable   Source = 1 << iota // the VM's phase in the table
 	SourceList                       // the platform's VM list
-	SourceLeaving                      // the server reports that it is leaving
-	SourceHealth                     // failed health probes
-	SourcePassive                    // failed exchanges (outlier ejection)
+	SourceLeaving                    // its health endpoint reports that it is leaving
+	SourceHealth                     // its health probes fail
+	SourcePassive                    // failed attempts (outlier ejection)
 )
 
 // advisorySources can be wrong about a whole service at once, so they are ignored when they
@@ -47,7 +47,7 @@
 	ejections   atomic.Int64  // consecutive ejections
 	latency     atomic.Uint64 // peak-sensitive moving average in nanoseconds, as float bits
 	sampledAt   atomic.Int64  // time of the last latency sample, Unix nanoseconds
-	failures    atomic.Int64  // consecutive failed exchanges
+	failures    atomic.Int64  // consecutive failed attempts
 	reopenAt    atomic.Int64  // end of the ejection, Unix nanoseconds
 	transport   *http.Transport
 }
@@ -176,7 +176,7 @@
 	}
 }
 
-// recordFailure counts a failed exchange and ejects the server if mayEject allows it.
+// recordFailure counts a failed attempt and ejects the server if mayEject allows it.
 func (s *Server) recordFailure(mayEject func() bool) {
 	n := s.failures.Add(1)
 	ejections := s.ejections.Load()
--- a/pkg/httpc/client.go
+++ b/pkg/httpc/client.go
@@ -14,8 +14,7 @@
 )
 
 const (
-	// maxBodyBytes is the size limit of a response body, in bytes.
-	maxBodyBytes = 8 << 20
+	maxBodyBytes = 8 << 20 // of a response
 	// readBufferBytes holds the usual response of a worker in one read.
 	readBufferBytes = 2 << 10
 )
--- a/pkg/httpc/conn.go
+++ b/pkg/httpc/conn.go
@@ -26,7 +26,7 @@
 
 	// State of the current request.
 	sentAt      time.Time
-	dueAt       time.Time     // when the response is expected at the latest
+	dueAt       time.Time     // sentAt plus the request's LongPoll
 	deadline    time.Time     // end of the request, zero for none
 	idleTimeout time.Duration // longest time without a byte, 0 for none
 	received    bool          // a byte of the response has arrived
--- a/pkg/httpc/host.go
+++ b/pkg/httpc/host.go
@@ -12,9 +12,8 @@
 	idleConnTimeout = 2 * time.Minute
 	// sweepInterval is the time between removals of closed and old idle connections.
 	sweepInterval = 5 * time.Second
-	// overdueAfter is the delay after which a missing response makes older idle connections of
-	// the host suspect. It is shorter than the usual time to a retry, which then uses a
-	// connection known to work.
+	// overdueAfter is the delay after conn.dueAt from which a missing response makes older idle
+	// connections of the host suspect. It should be shorter than the callers' retry delay.
 	overdueAfter = 200 * time.Millisecond
 )
 
@@ -22,9 +21,9 @@
 type host struct {
 	idle   []*conn // most recently used last
 	active []*conn // with a request in progress
-	// suspectUntil is the send time of a request without a response; connections that have not
-	// received data since are not reused.
-	suspectUntil time.Time
+	// suspectBefore is the send time of the latest request whose response is overdue; connections
+	// that have not received data since are not reused.
+	suspectBefore time.Time
 }
 
 // getConn returns an idle connection to a host, or a new one.
@@ -56,7 +55,7 @@
 	for len(h.idle) > 0 {
 		cn := h.idle[len(h.idle)-1]
 		h.idle = h.idle[:len(h.idle)-1]
-		if cn.lastReceived.After(h.suspectUntil) && !cn.isClosed() {
+		if cn.lastReceived.After(h.suspectBefore) && !cn.isClosed() {
 			cn.reused = true
 			return cn
 		}
@@ -68,8 +67,8 @@
 // markSuspect makes idle connections suspect if the response to a request is overdue.
 func (h *host) markSuspect(now time.Time) {
 	for _, cn := range h.active {
-		if now.Sub(cn.dueAt) > overdueAfter && cn.sentAt.After(h.suspectUntil) {
-			h.suspectUntil = cn.sentAt
+		if now.Sub(cn.dueAt) > overdueAfter && cn.sentAt.After(h.suspectBefore) {
+			h.suspectBefore = cn.sentAt
 		}
 	}
 }
@@ -101,8 +100,8 @@
 	}
 	if err == nil {
 		cn.lastReceived = now
-	} else if isTimeout(err) && cn.sentAt.After(h.suspectUntil) {
-		h.suspectUntil = cn.sentAt
+	} else if isTimeout(err) && cn.sentAt.After(h.suspectBefore) {
+		h.suspectBefore = cn.sentAt
 	}
 	switch {
 	case err != nil:
@@ -123,7 +122,7 @@
 func (c *Client) sweep(now time.Time) {
 	for name, h := range c.hosts {
 		h.idle = slices.DeleteFunc(h.idle, func(cn *conn) bool {
-			old := now.Sub(cn.lastReceived) > idleConnTimeout || !cn.lastReceived.After(h.suspectUntil) || cn.isClosed()
+			old := now.Sub(cn.lastReceived) > idleConnTimeout || !cn.lastReceived.After(h.suspectBefore) || cn.isClosed()
 			if old {
 				_ = cn.Close()
 			}
--- a/pkg/membership/exchange.go
+++ b/pkg/membership/exchange.go
@@ -10,15 +10,15 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// exchange sends a peer the table entries that it lacks and applies those in its reply. It also
-// asks for the peer's requests in flight to the VMs in drains.
-func (p *Peers) exchange(ctx context.Context, l *link, drains []string) (reply *schema.PeerReply, err error) {
+// exchange sends a peer the changes of the table that it lacks and applies those in its reply. It
+// also asks for the peer's requests in flight to drainingVMs.
+func (p *Peers) exchange(ctx context.Context, l *link, drainingVMs []string) (reply *schema.PeerReply, err error) {
 	p.mu.Lock()
 	theirs, heard := l.status.State.Revision, !l.status.LastContact.IsZero()
 	p.mu.Unlock()
-	q := &schema.PeerRequest{From: p.Self(), Drains: drains}
+	q := &schema.PeerRequest{From: p.Self(), Drains: drainingVMs}
 	if heard {
-		q.Entries, _ = p.replica.Since(theirs, entriesPerMessage)
+		q.Entries, _ = p.replica.Since(theirs, changesPerMessage)
 	}
 	reply, err = l.client.Exchange(ctx, q)
 	p.recordExchange(l, reply, err)
@@ -44,7 +44,7 @@
 	}
 }
 
-// applyReply applies the table entries or the snapshot of a reply.
+// applyReply applies the table changes or the snapshot of a reply.
 func (p *Peers) applyReply(reply *schema.PeerReply) {
 	if reply.Snapshot != nil {
 		p.adoptSnapshot(reply.Snapshot)
@@ -78,7 +78,7 @@
 	for _, vm := range q.Drains {
 		reply.InFlight = append(reply.InFlight, schema.VMInFlight{VM: vm, Count: p.inFlight(vm)})
 	}
-	entries, ok := p.replica.Since(q.From.Revision, entriesPerMessage)
+	entries, ok := p.replica.Since(q.From.Revision, changesPerMessage)
 	if !ok {
 		reply.Snapshot = snapshotOf(p.replica.Snapshot())
 	}
@@ -92,8 +92,8 @@
 	defer p.mu.Unlock()
 	l, ok := p.links[s.Address]
 	if !ok && !s.Ended {
-		delete(p.departed, s.Address) // it has sent a request, so it is running
-		p.add(s.Address)              // may be missing from the VM list still
+		delete(p.endedAt, s.Address) // it has sent a request, so it is running
+		p.add(s.Address)             // may be missing from the VM list still
 		l, ok = p.links[s.Address]
 	}
 	if !ok {
@@ -107,7 +107,7 @@
 	}
 	if s.Ended {
 		p.remove(s.Address, l)
-		p.departed[s.Address] = time.Now() // the VM list may still name it
+		p.endedAt[s.Address] = time.Now() // the VM list may still name it
 		return
 	}
 	l.status.State = s
--- a/pkg/membership/peers.go
+++ b/pkg/membership/peers.go
@@ -20,13 +20,13 @@
 )
 
 const (
-	// entriesPerMessage bounds the table entries in one message.
-	entriesPerMessage = 64
+	// changesPerMessage bounds the changes of the table in one message.
+	changesPerMessage = 64
 	// linkRetention is how long after a peer was last heard its link is kept although the VM list
-	// no longer names it, and how long the address of a peer that has left is ignored.
+	// no longer names it, and how long the address of a peer that has ended is ignored.
 	linkRetention = 30 * time.Second
-	// pushFanOut is how many random peers a change is pushed to. Each of them pushes it on, so
-	// nearly all peers get it at a constant cost per entry; periodic exchanges reach the rest.
+	// pushFanOut is how many random peers a change is pushed to. Each of them pushes it on;
+	// periodic exchanges reach the peers that were missed.
 	pushFanOut = 8
 	// maxConcurrentExchanges bounds the peers that are asked at the same time.
 	maxConcurrentExchanges = 16
@@ -53,11 +53,11 @@
 	onBytes  func(sent, received int)
 
 	clientOpts []peer.ClientOption
-	left       atomic.Bool // Leave was called
+	ended      atomic.Bool // Leave was called
 
 	mu        sync.Mutex
 	links     map[string]*link     // by address
-	departed  map[string]time.Time // when a peer left, by address
+	endedAt   map[string]time.Time // when a peer ended, by address
 	nextIndex int                  // of the round-robin exchanges
 }
 
@@ -109,7 +109,7 @@
 		log:      zerolog.Nop(),
 		onBytes:  func(int, int) {},
 		links:    map[string]*link{},
-		departed: map[string]time.Time{},
+		endedAt:  map[string]time.Time{},
 	}
 	for _, o := range opts {
 		o(p)
@@ -122,14 +122,14 @@
 	s := p.self
 	s.Revision = p.replica.Revision()
 	s.Stopping = p.stopping()
-	s.Ended = p.left.Load()
+	s.Ended = p.ended.Load()
 	return s
 }
 
-// Leave tells every peer that this entry has nothing in flight and accepts no more requests, so that
-// no peer waits for it. Its links stay open until Run ends.
+// Leave tells every peer that this entry has ended: it has nothing in flight and accepts no more
+// requests, so that no peer waits for it. Its links stay open until Run ends.
 func (p *Peers) Leave(ctx context.Context) {
-	p.left.Store(true)
+	p.ended.Store(true)
 	p.SyncAll(ctx)
 }
 
@@ -159,7 +159,7 @@
 // add creates a link. The caller holds mu.
 func (p *Peers) add(addr string) {
 	_, known := p.links[addr]
-	if known || addr == p.self.Address || addr == "" || time.Since(p.departed[addr]) < linkRetention {
+	if known || addr == p.self.Address || addr == "" || time.Since(p.endedAt[addr]) < linkRetention {
 		return
 	}
 	client := peer.NewClient(addr, p.secret, append(p.clientOpts, peer.WithTLS(p.tls), peer.WithBytes(p.onBytes))...)
--- a/pkg/membership/servers.go
+++ b/pkg/membership/servers.go
@@ -27,8 +27,8 @@
 	HealthBad     Health = "bad"
 )
 
-// Marker closes and opens backend servers in the request path, separately for each source: the VM
-// list, the server's own report and failed probes.
+// Marker takes backend servers out of rotation (closes them) and back in, separately for each
+// source: the VM list, the server's own report and failed probes.
 type Marker interface {
 	MarkList(vm string, closed bool)
 	MarkLeaving(vm string, closed bool)
@@ -178,7 +178,7 @@
 	return append(out, of...)
 }
 
-// applyList marks the workers by a VM list, except those whose row in the table is newer.
+// applyList marks the backend servers by a VM list, except those whose row in the table is newer.
 func (s *Servers) applyList(list platform.VMList) {
 	snap := s.replica.Snapshot()
 	for _, vm := range list.VMs {
--- a/pkg/peer/caller.go
+++ b/pkg/peer/caller.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// dialTimeout bounds the dial of an entry in the same region.
+	// dialTimeout bounds the dial of a peer.
 	dialTimeout = 800 * time.Millisecond
 	// callWriteTimeout bounds the write of one frame.
 	callWriteTimeout = 2 * time.Second
@@ -27,7 +27,8 @@
 // Error returns the cause.
 func (e ErrNotSent) Error() string { return "call was not sent: " + e.Cause.Error() }
 
-// ErrNoAnswer reports a call without an answer; it may have been executed.
+// ErrNoAnswer reports a call that was not answered before its link broke or its context ended; it
+// may have been executed.
 type ErrNoAnswer struct{ Cause error }
 
 // Error returns the cause.
--- a/pkg/peer/calllink.go
+++ b/pkg/peer/calllink.go
@@ -78,8 +78,8 @@
 	return l.receivedAt
 }
 
-// call sends a call and waits for its reply; while it waits it runs onIdle every idleProbeDelay.
-func (l *callLink) call(ctx context.Context, q *schema.Call, onIdle func()) (*schema.CallReply, error) {
+// call sends a call and waits for its reply; while it waits it runs onTick every idleProbeDelay.
+func (l *callLink) call(ctx context.Context, q *schema.Call, onTick func()) (*schema.CallReply, error) {
 	id, got := l.send(q)
 	tick := time.NewTicker(idleProbeDelay)
 	defer tick.Stop()
@@ -95,7 +95,7 @@
 			l.mu.Unlock()
 			return nil, ErrNoAnswer{Cause: ctx.Err()}
 		case <-tick.C:
-			onIdle()
+			onTick()
 		}
 	}
 }
--- a/pkg/peer/handshake.go
+++ b/pkg/peer/handshake.go
@@ -13,8 +13,7 @@
 	"github.com/gannetwell/gannetwell/pkg/schema"
 )
 
-// protocolVersion is the version of the peer protocol.
-const protocolVersion = 1
+const protocolVersion = 1 // both sides must have the same
 
 const nonceBytes = 16
 
--- a/pkg/peer/stalled.go
+++ b/pkg/peer/stalled.go
@@ -21,14 +21,14 @@
 // errLinkStalled is the error of a link that was replaced.
 var errLinkStalled = errors.New("link stalled and was replaced")
 
-// probe is a ping whose reply lists no owner rows, since none has a newer version.
+// probe is a ping with the highest version of the owner table, so that the reply lists no rows of it.
 var probe = &schema.Call{Kind: schema.CallKindPing, OwnersVersion: math.MaxInt64}
 
 // checkStalled replaces a link that has stalled while a call waits on it. It probes the peer on
 // that link first. If no data arrives, it opens another link and switches to it only once the peer
 // has answered there, since a new link does not help with a slow or failed peer.
 func (c *Caller) checkStalled(l *callLink) {
-	if !l.probeUnanswered() {
+	if !l.probeIfSilent() {
 		return
 	}
 	c.mu.Lock()
@@ -40,9 +40,9 @@
 	go c.replaceIfStalled(l)
 }
 
-// probeUnanswered reports whether the last probe has gone unanswered; it sends one if no data has
-// arrived for idleProbeDelay.
-func (l *callLink) probeUnanswered() bool {
+// probeIfSilent sends a probe if no data has arrived for idleProbeDelay. It reports whether an
+// earlier probe has gone unanswered for as long.
+func (l *callLink) probeIfSilent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
--- a/pkg/placement/budget.go
+++ b/pkg/placement/budget.go
@@ -14,7 +14,7 @@
 type Budget struct {
 	Limit    platform.Resources // of the account over all pools, 0 for none
 	Left     platform.Resources // unused part of the account's share in this pool
-	Exceeded bool               // a task was not started although a host had room for it
+	Exceeded bool               // it did not cover a task or gang that was to start
 }
 
 // NewBudget returns the budget of an account with a share of its limit, given what it has running.
@@ -27,7 +27,8 @@
 	}}
 }
 
-// covers reports whether n tasks of a step may start; a nil budget covers any.
+// covers reports whether n tasks of a step may start, and sets Exceeded if not. A nil budget covers
+// any number.
 func (b *Budget) covers(st *jobs.Step, n int) bool {
 	if b == nil {
 		return true
--- a/pkg/placement/host.go
+++ b/pkg/placement/host.go
@@ -7,10 +7,10 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// maxRoom is the room of a host for tasks that need no resources.
+// maxRoom is the result of [Host.Room] for tasks that need no resources.
 const maxRoom = 1 << 16
 
-// Host is a worker with its free resources, as placement sees it.
+// Host is one boot of a worker, with the state that placement needs.
 type Host struct {
 	Boot     string
 	Rack     string
--- a/pkg/placement/place.go
+++ b/pkg/placement/place.go
@@ -11,7 +11,7 @@
 
 // Weights in the score of a host, relative to the CPU capacity of the host.
 const (
-	// dataRackWeight outweighs any difference in load, since tasks away from their data take much longer.
+	// dataRackWeight outweighs the other terms, since a task runs much longer away from its data.
 	dataRackWeight = 4.0
 	// spreadWeight keeps tasks of one long-running step on different workers.
 	spreadWeight = 1.5
@@ -59,7 +59,8 @@
 	})
 }
 
-// servingRank puts long-running tasks other than fillers first, since they serve requests.
+// servingRank is 1 for long-running tasks other than fillers, which serve requests. Sort puts the
+// higher rank first.
 func (c *Candidate) servingRank() int {
 	if c.Step.Spec.LongRunning && !c.Step.Spec.Filler {
 		return 1
@@ -67,8 +68,8 @@
 	return 0
 }
 
-// excessRank puts jobs over the guaranteed rate of their account after all others, so that one
-// account that submits too much does not make the jobs of others late.
+// excessRank is 1 for jobs over the guaranteed rate of their account. Sort puts the lower rank
+// first, so that an account that submits too much does not make the jobs of others late.
 func (c *Candidate) excessRank() int {
 	if c.Excess {
 		return 1
@@ -122,7 +123,8 @@
 
 func fitKeyOf(st *jobs.Step) fitKey { return fitKey{charge: Charge(st), label: st.Label} }
 
-// planStep chooses hosts for the tasks of a step; it reports whether the last one found room.
+// planStep chooses hosts for the tasks of a step. roomLeft is false if no host had room for one of
+// them; it is true if the limit or the budget ended the plan.
 func planStep(c *Candidate, hosts []*Host, limit int) (starts []Start, roomLeft bool) {
 	var last *Host
 	for _, t := range c.Tasks {
@@ -168,9 +170,9 @@
 	return true
 }
 
-// bestHost returns the host with the highest score for a task of the step, nil if none has room. A
-// speculative copy goes to another host than the other attempts of t, which may be nil: the second attempt on a
-// host is not charged there.
+// bestHost returns the host with the highest score for a task of the step, nil if none has room. It
+// excludes the hosts of the other attempts of t, which may be nil: a host takes resources for only
+// one attempt of a task.
 func bestHost(c *Candidate, t *jobs.Task, hosts []*Host) (chosen *Host) {
 	s := c.Step
 	var top float64
--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -177,9 +177,9 @@
 	number int64
 }
 
-// omitEntry removes one entry from every omitEvery-th report of a boot. An attempt is
+// omitItem removes one running or ended attempt from every omitEvery-th report of a boot. An attempt is
 // omitted at most once.
-func (w *Workers) omitEntry(b *boot, r *platform.WorkerReport) {
+func (w *Workers) omitItem(b *boot, r *platform.WorkerReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b.reportCount++
--- a/pkg/platform/fake/orders.go
+++ b/pkg/platform/fake/orders.go
@@ -172,7 +172,7 @@
 	if err := v.sendOrder(ctx, OrderRenew, ref, "", renew); err != nil {
 		return report, err
 	}
-	defer func() { v.w.omitEntry(answering, &report) }()
+	defer func() { v.w.omitItem(answering, &report) }()
 	if o.Wait <= 0 || len(report.Ended) > 0 || changed == nil {
 		return report, nil
 	}
--- a/pkg/platform/fake/rows.go
+++ b/pkg/platform/fake/rows.go
@@ -34,16 +34,16 @@
 
 // Limits of a transaction on the users' platform.
 const (
-	maxTxnEntries = 100
-	maxTxnBytes   = 1_000_000
-	maxRowBytes   = 65_536
-	maxKeyBytes   = 200
+	maxTxnOps   = 100
+	maxTxnBytes = 1_000_000
+	maxRowBytes = 65_536
+	maxKeyBytes = 200
 )
 
 // checkTxn returns an error for a transaction that exceeds the limits.
 func checkTxn(txn *platform.RowTxn) error {
 	bytes, reason := 0, ""
-	if len(txn.Expect)+len(txn.Put)+len(txn.Remove) > maxTxnEntries {
+	if len(txn.Expect)+len(txn.Put)+len(txn.Remove) > maxTxnOps {
 		reason = "too many entries"
 	}
 	for i := range txn.Put {
--- a/pkg/platform/platform.go
+++ b/pkg/platform/platform.go
@@ -93,7 +93,7 @@
 type VMStatus struct {
 	Name      string  `json:"name"`
 	State     VMState `json:"state"`
-	Boot      int     `json:"boot"`      // number of boots so far
+	Boot      int     `json:"boot"`      // number of boots so far, unlike the ID in Worker.Boot
 	Operation string  `json:"operation"` // ID of the last completed reboot operation
 	InFlight  int     `json:"in_flight"` // requests that its backend server is processing
 }
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -28,7 +28,8 @@
 	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
 
-// Worker is one boot of a worker as registered in the worker directory.
+// Worker is a running worker process as registered in the worker directory. A restarted process is
+// another Worker, with another Boot.
 type Worker struct {
 	Boot     string // see [BootID]
 	VM       string
@@ -77,7 +78,7 @@
 	Token      int64
 	LeaseUntil int64         // in ms of the worker's clock, 0 to renew nothing
 	AckedSeq   int64         // ends up to this sequence number are acknowledged
-	Wait       time.Duration // how long to wait for an unacknowledged end
+	Wait       time.Duration // how long the worker may delay its report until it has an unacknowledged end
 }
 
 // RunningAttempt is an attempt that is running on a worker.
@@ -86,7 +87,9 @@
 	Attempt    int64
 	Checkpoint string
 	Percent    int // progress; for a long-running task 100 once it serves requests
-	Load       int // tail latency in ms of a long-running task, else thousandths of a core in use
+	// Load is the tail latency in milliseconds of a long-running task, and for any other task the
+	// CPU in use, in thousandths of a core.
+	Load int
 }
 
 // EndReason is why an attempt ended.
--- a/pkg/quarantine/loss.go
+++ b/pkg/quarantine/loss.go
@@ -32,8 +32,8 @@
 	Trial     bool          `msgpack:"t,omitempty"` // the attempt was in a trial
 	Ended     bool          `msgpack:"s,omitempty"` // the boot is known to have ended; otherwise it only stopped answering
 	Delivered bool          `msgpack:"f,omitempty"` // the worker certainly had the attempt
-	// Provisional marks a loss recorded before the start is sent. It does not count until a new
-	// owner takes over, which cannot know what became of the attempt.
+	// Provisional marks a record written before the start is sent, while the worker is not lost. A
+	// new owner, which cannot know what became of the attempt, counts it as a loss.
 	Provisional bool `msgpack:"a,omitempty"`
 }
 
@@ -43,7 +43,8 @@
 // Restriction tells where a task may start.
 type Restriction string
 
-// The restrictions, from the least to the strictest.
+// The restrictions, from the least to the strictest. Logs show the string values, so these stay
+// when a constant is renamed.
 const (
 	Unrestricted Restriction = "clear"    // on any worker
 	Separate     Restriction = "watched"  // on a worker without another suspected task
@@ -122,8 +123,8 @@
 	return with
 }
 
-// ConfirmProvisional returns the losses with the provisional ones counted. A new owner calls it,
-// since the owner that recorded them is gone; boots that turn out to be alive are removed later.
+// ConfirmProvisional returns the losses with the provisional ones made to count. A new owner calls
+// it when it takes over; it removes the losses of boots that turn out to be alive by WithoutBoot.
 func (ls Losses) ConfirmProvisional() Losses {
 	counted := slices.Clone(ls)
 	for i := range counted {
@@ -174,7 +175,7 @@
 	return marked
 }
 
-// HasEarly reports whether a worker was lost right after a start of the task.
+// HasEarly reports whether a worker was lost right after a start of the task, or during a trial.
 func (ls Losses) HasEarly() bool {
 	return slices.ContainsFunc(ls, Loss.early)
 }
--- a/pkg/startrate/rate.go
+++ b/pkg/startrate/rate.go
@@ -12,8 +12,8 @@
 	slowAnswer = 60 * time.Millisecond
 	// cutFactor is applied to the rate of answers to get the next limit when answers are slow.
 	cutFactor = 0.7
-	// growthFactor raises the limit after a window without slow answers, recoveryFactor after one
-	// with fast answers.
+	// growthFactor raises the limit if the fastest answer in a window is not slow, recoveryFactor
+	// if it is below fastAnswer.
 	growthFactor   = 1.25
 	recoveryFactor = 2
 	// fastAnswer is the fastest answer in a window below which the owner has capacity to spare.
@@ -23,8 +23,8 @@
 	minLostOrders = 8
 	// minRate is the lowest limit, in starts per second. It lets the owner notice that it has recovered.
 	minRate = 20
-	// liftFactor is the ratio of the limit to the rate of answers above which the limit is lifted.
-	liftFactor = 4
+	// removalFactor is the ratio of the limit to the rate of answers above which the limit is removed.
+	removalFactor = 4
 	// burstTime is the size of the token bucket, as a time at the limit.
 	burstTime = 200 * time.Millisecond
 )
@@ -80,7 +80,7 @@
 }
 
 // Update sets the limit from the last window if it is over, and returns that window; changed
-// reports whether a limit was imposed or lifted.
+// reports whether a limit was imposed or removed.
 func (r *Limiter) Update(now time.Duration) (w Window, changed bool) {
 	if r.windowStart == 0 {
 		r.windowStart = now
@@ -118,7 +118,7 @@
 	if w.Fastest < fastAnswer {
 		growth = recoveryFactor
 	}
-	if growth*limit > liftFactor*max(answered, minRate) {
+	if growth*limit > removalFactor*max(answered, minRate) {
 		return 0
 	}
 	return growth * limit
