--- a/pkg/control/machine_test.go
+++ b/pkg/control/machine_test.go
@@ -36,7 +36,7 @@
 type node struct {
 	replica     *replica.Replica
 	loop        *Loop
-	stepping    atomic.Bool // a step is in progress; harness.mu guards the fields below
+	stepping    atomic.Bool // a pass is in progress; harness.mu guards the fields below
 	inFlight    map[string]int
 	unreachable bool             // by the other nodes
 	pause       time.Duration    // before the next decision is executed
@@ -110,7 +110,7 @@
 		view = bootIgnorer{view}
 	}
 	n := &node{replica: replica.New(view), inFlight: map[string]int{}}
-	o := &Observer{VMs: view, Servers: prober{h}, Entries: entryCounter{h}, LocalInFlight: func(string) int { return 0 }}
+	o := &Observer{VMs: view, Servers: observedServers{h}, Entries: entryCounter{h}, LocalInFlight: func(string) int { return 0 }}
 	n.loop = New("node", n.replica, view, o, WithLimits(fleet.Limits{
 		DownAfter: 3 * time.Second, RepairAfter: 5 * time.Second, ReplaceAfter: 20 * time.Second, MaxActions: 8,
 	}))
@@ -273,10 +273,10 @@
 	return out
 }
 
-// prober reports the actual state of the VMs.
-type prober struct{ h *harness }
+// observedServers reports the actual state of the VMs.
+type observedServers struct{ h *harness }
 
-func (p prober) Health(vm string) (membership.Health, time.Time) {
+func (p observedServers) Health(vm string) (membership.Health, time.Time) {
 	p.h.mu.Lock()
 	defer p.h.mu.Unlock()
 	switch {
@@ -288,12 +288,12 @@
 	return membership.HealthGood, time.Now()
 }
 
-func (p prober) List() platform.VMList {
+func (p observedServers) List() platform.VMList {
 	list, _ := p.h.platform.View("z").ListVMs(context.Background(), "") // the list is empty on error
 	return list
 }
 
-// step makes one control step of a node.
+// step makes one pass of a node's control loop.
 func (h *harness) step(n *node) {
 	if n.stepping.Swap(true) {
 		return
--- a/pkg/gateway/attempt.go
+++ b/pkg/gateway/attempt.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// abort seals the connection and reports whether any byte of the request was written to it.
+// abort closes the connection and reports whether any byte of the request was written to it.
 func (t *connTrace) abort() Outcome {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/gateway/once/once.go
+++ b/pkg/gateway/once/once.go
@@ -98,7 +98,7 @@
 	closed    bool  // Run has ended
 }
 
-// New returns the claims of the named entry in a store. Run must be running for keys to be
+// New returns the claims of the named entry; store is the table that holds them. Run must be running for keys to be
 // claimed.
 func New(store platform.Table, entry string) *Claims {
 	return &Claims{store: store, entry: entry, wakeup: make(chan struct{}, 1), byKey: map[Key]*Claim{}}
--- a/pkg/gateway/outcome.go
+++ b/pkg/gateway/outcome.go
@@ -27,7 +27,7 @@
 	HeaderDeadline  = "Gannetwell-Deadline-Ms" // request: time left, in milliseconds
 	HeaderEntry     = "Gannetwell-Entry"       // response: name of the entry
 	HeaderTeam      = "Gannetwell-Team"        // request: team of the caller, whose rate limit applies
-	HeaderRoom      = "Gannetwell-Room"        // request: affinity key; equal values go to the same backend server
+	HeaderRoom      = "Gannetwell-Room"        // request: affinity key (room); requests of one room go to the same backend server
 )
 
 // Reason names why a request failed, in headers, logs and metrics.
--- a/pkg/membership/membership_test.go
+++ b/pkg/membership/membership_test.go
@@ -104,7 +104,7 @@
 }
 
 // TestStaleStatesIgnored checks that a late state is ignored: of an earlier incarnation, of an
-// earlier revision, or after the peer has left.
+// earlier revision, or after the peer has ended.
 func TestStaleStatesIgnored(t *testing.T) {
 	c := qt.New(t)
 	a := start(t, fake.New().View("z"), "a", "127.0.0.1:0")
--- a/pkg/platform/fake/attempts.go
+++ b/pkg/platform/fake/attempts.go
@@ -177,8 +177,8 @@
 	number int64
 }
 
-// omitItem removes one running or ended attempt from every omitEvery-th report of a boot. An attempt is
-// omitted at most once.
+// omitItem removes one running or ended attempt from every omitEvery-th report of a boot. An
+// attempt is omitted at most once.
 func (w *Workers) omitItem(b *boot, r *platform.WorkerReport) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -59,7 +59,7 @@
 	boots   map[string]*boot
 	// endOmissions counts, by boot and sequence number, the reports that must still omit the end.
 	endOmissions map[string]map[int64]int
-	// omitEvery makes every n-th report of a boot omit one entry, 0 for none.
+	// omitEvery makes every n-th report of a boot omit one attempt, 0 for none.
 	omitEvery int
 	// allowOvercommit makes workers start attempts that exceed their capacity.
 	allowOvercommit bool
--- a/pkg/platform/workers.go
+++ b/pkg/platform/workers.go
@@ -28,8 +28,8 @@
 	return Resources{CPU: r.CPU - o.CPU, MemoryMB: r.MemoryMB - o.MemoryMB, GPU: r.GPU - o.GPU}
 }
 
-// Worker is a running worker process as registered in the worker directory. A restarted process is
-// another Worker, with another Boot.
+// Worker is a running worker process as registered in the worker directory. After a
+// restart it is another Worker.
 type Worker struct {
 	Boot     string // see [BootID]
 	VM       string
