--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -165,7 +165,7 @@
 }
 
 // capacityGrace is how long a start may still rely on a boot's capacity before a reduction, which
-// owners learn from their next read of the worker directory.
+// owners learn from the worker's next row in the directory.
 const capacityGrace = 4500 * time.Millisecond
 
 // SetCapacity changes the capacity of a boot; its running attempts continue.
