--- a/pkg/control/observe.go
+++ b/pkg/control/observe.go
@@ -14,11 +14,12 @@
 	"github.com/gannetwell/gannetwell/pkg/table"
 )
 
-// statusWorkers is the number of concurrent status queries to VMs.
-const statusWorkers = 16
+// maxConcurrentQueries bounds the concurrent status queries to VMs.
+const maxConcurrentQueries = 16
 
-// Prober provides the results of health probes and the platform's VM list.
-type Prober interface {
+// Servers provides the health of the backend servers and the platform's VM list; it is implemented
+// by [membership.Servers].
+type Servers interface {
 	Health(vm string) (h membership.Health, at time.Time)
 	List() platform.VMList
 }
@@ -31,7 +32,7 @@
 // Observer collects the observations on which decisions are based.
 type Observer struct {
 	VMs           platform.VMs
-	Prober        Prober
+	Servers       Servers
 	Entries       Entries
 	LocalInFlight func(vm string) int // requests in flight from this entry
 
@@ -50,12 +51,12 @@
 func (o *Observer) Observe(ctx context.Context, snap *table.Snapshot) map[string]fleet.Observation {
 	observations := make(map[string]fleet.Observation, len(snap.VMs))
 	listed := map[string]platform.VMState{}
-	for _, vm := range o.Prober.List().VMs {
+	for _, vm := range o.Servers.List().VMs {
 		listed[vm.Name] = vm.State
 	}
 	var draining, toQuery []string
 	for name, row := range snap.VMs {
-		h, at := o.Prober.Health(name)
+		h, at := o.Servers.Health(name)
 		obs := fleet.Observation{InFlight: o.LocalInFlight(name), Listed: listed[name]}
 		obs.Health, obs.Since = o.trackHealth(name, h, at, row.Value)
 		observations[name] = obs
@@ -82,9 +83,9 @@
 	return observations
 }
 
-// trackHealth converts a probe result to health and the time since when it has lasted. For a VM
-// that is being checked after a reboot only the latest probe counts, so that results from
-// before the reboot are ignored.
+// trackHealth converts a probe result to health and the time since when it has lasted. A server
+// that is leaving has unknown health. While a VM is checked after a reboot, the time is that of the
+// latest probe, so that results from before the reboot do not count.
 func (o *Observer) trackHealth(name string, h membership.Health, at time.Time, vm schema.VM) (fleet.Health, time.Time) {
 	health := fleet.HealthUnknown
 	switch h {
@@ -111,7 +112,7 @@
 	var mu sync.Mutex
 	out := make(map[string]*platform.VMStatus, len(names))
 	var g errgroup.Group
-	g.SetLimit(statusWorkers)
+	g.SetLimit(maxConcurrentQueries)
 	for _, name := range names {
 		g.Go(func() error {
 			status, err := o.VMs.VMStatus(ctx, name)
--- a/pkg/peer/calllink.go
+++ b/pkg/peer/calllink.go
@@ -78,8 +78,8 @@
 	return l.receivedAt
 }
 
-// call sends a call and waits for its reply; while it waits it runs onIdle every idleProbeDelay.
-func (l *callLink) call(ctx context.Context, q *schema.Call, onIdle func()) (*schema.CallReply, error) {
+// call sends a call and waits for its reply; while it waits it runs onTick every idleProbeDelay.
+func (l *callLink) call(ctx context.Context, q *schema.Call, onTick func()) (*schema.CallReply, error) {
 	id, got := l.send(q)
 	tick := time.NewTicker(idleProbeDelay)
 	defer tick.Stop()
@@ -88,14 +88,14 @@
 		case reply := <-got:
 			return reply, nil
 		case <-l.done:
-			return nil, ErrLinkLost{Cause: l.err}
+			return nil, ErrNoAnswer{Cause: l.err}
 		case <-ctx.Done():
 			l.mu.Lock()
 			delete(l.waiting, id)
 			l.mu.Unlock()
-			return nil, ErrLinkLost{Cause: ctx.Err()}
+			return nil, ErrNoAnswer{Cause: ctx.Err()}
 		case <-tick.C:
-			onIdle()
+			onTick()
 		}
 	}
 }
--- a/pkg/platform/fake/workers.go
+++ b/pkg/platform/fake/workers.go
@@ -59,7 +59,7 @@
 	boots   map[string]*boot
 	// endOmissions counts, by boot and sequence number, the reports that must still omit the end.
 	endOmissions map[string]map[int64]int
-	// omitEvery makes every n-th report of a boot omit one entry, 0 for none.
+	// omitEvery makes every n-th report of a boot omit one attempt, 0 for none.
 	omitEvery int
 	// allowOvercommit makes workers start attempts that exceed their capacity.
 	allowOvercommit bool
@@ -164,8 +164,8 @@
 	}
 }
 
-// capacityGrace is how long a start may still rely on a boot's capacity before a reduction:
-// owners learn of it from a later heartbeat.
+// capacityGrace is how long a start may still rely on a boot's capacity before a reduction, which
+// owners learn from the worker's next row in the directory.
 const capacityGrace = 4500 * time.Millisecond
 
 // SetCapacity changes the capacity of a boot; its running attempts continue.
@@ -215,8 +215,8 @@
 	return nil
 }
 
-// Reset closes the connections to a boot, so that renewals waiting for an end return at once.
-func (w *Workers) Reset(name string) {
+// CloseConnections closes the connections to a boot, so that renewals waiting for an end return at once.
+func (w *Workers) CloseConnections(name string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	b := w.boots[name]
