--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -16,26 +16,26 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// orderGapMachine plays random events on successive holders of the fleet operations, which may
+// orderGapScenario applies random events to successive holders of the fleet operations lease, which may
 // overlap.
-type orderGapMachine struct {
+type orderGapScenario struct {
 	t       *rapid.T
 	s       *testFleet
 	since   time.Time
 	holders map[string]*Runner
 	names   []string // of the entries, in the order of their takeovers
 
-	mu         sync.Mutex
-	thaws      map[string]time.Time  // when a frozen entry resumes, by entry
-	rowFaults  map[string]fake.Fault // by entry, * for all
-	lostAnswer map[string]bool       // entries whose orders are not answered
+	mu          sync.Mutex
+	frozenUntil map[string]time.Time  // end of the freeze, by entry
+	rowFaults   map[string]fake.Fault // by entry, * for all
+	lostAnswer  map[string]bool       // entries whose orders are not answered
 }
 
 // orderGapProperty checks that two holders' orders for one VM keep the minimum gap and come in the
 // order of their tokens. inject may break the services.
-func orderGapProperty(inject func(m *orderGapMachine)) func(*rapid.T) {
+func orderGapProperty(inject func(m *orderGapScenario)) func(*rapid.T) {
 	return func(t *rapid.T) {
-		m := newOrderGapMachine(t)
+		m := newOrderGapScenario(t)
 		if inject != nil {
 			inject(m)
 		}
@@ -45,15 +45,15 @@
 			time.Sleep(time.Duration(rapid.IntRange(1, 1500).Draw(t, "pause")) * time.Millisecond)
 		}
 		m.settle()
-		if broken := m.violations(); len(broken) > 0 {
-			t.Fatalf("%s", strings.Join(broken, "\n"))
+		if violations := m.violations(); len(violations) > 0 {
+			t.Fatalf("%s", strings.Join(violations, "\n"))
 		}
 	}
 }
 
-func newOrderGapMachine(t *rapid.T) *orderGapMachine {
-	m := &orderGapMachine{
-		t: t, since: time.Now(), holders: map[string]*Runner{}, thaws: map[string]time.Time{},
+func newOrderGapScenario(t *rapid.T) *orderGapScenario {
+	m := &orderGapScenario{
+		t: t, since: time.Now(), holders: map[string]*Runner{}, frozenUntil: map[string]time.Time{},
 		rowFaults: map[string]fake.Fault{}, lostAnswer: map[string]bool{},
 		s: &testFleet{rows: fake.NewRows(4*time.Millisecond, 2*time.Second), need: map[string]int{"a": 1, "b": 1}},
 	}
@@ -78,19 +78,19 @@
 	return m
 }
 
-func (m *orderGapMachine) step() {
+func (m *orderGapScenario) step() {
 	kinds := []func(){m.demand, m.demand, m.demand, m.takeOver, m.takeOver, m.kill, m.release, m.freeze, m.rowFault, m.outage, m.loseAnswers, m.heal}
 	kinds[rapid.IntRange(0, len(kinds)-1).Draw(m.t, "kind")]()
 }
 
-func (m *orderGapMachine) demand() {
+func (m *orderGapScenario) demand() {
 	for _, pool := range []string{"a", "b"} {
 		m.s.setNeed(pool, rapid.IntRange(0, 4).Draw(m.t, pool))
 	}
 }
 
 // takeOver has a new entry take over while former holders keep running.
-func (m *orderGapMachine) takeOver() {
+func (m *orderGapScenario) takeOver() {
 	name := fmt.Sprintf("e%d", len(m.names))
 	m.names = append(m.names, name)
 	if r, err := m.s.tryOpen(name, m.since); err == nil {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (m *orderGapMachine) last() (name string, r *Runner) {
+func (m *orderGapScenario) last() (name string, r *Runner) {
 	for _, n := range m.names {
 		if m.holders[n] != nil {
 			name = n
@@ -107,7 +107,7 @@
 	return name, m.holders[name]
 }
 
-func (m *orderGapMachine) kill() {
+func (m *orderGapScenario) kill() {
 	if name, r := m.last(); r != nil {
 		r.Close()
 		delete(m.holders, name)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (m *orderGapMachine) release() {
+func (m *orderGapScenario) release() {
 	if name, r := m.last(); r != nil {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -125,33 +125,33 @@
 	}
 }
 
-func (m *orderGapMachine) freeze() {
+func (m *orderGapScenario) freeze() {
 	name, _ := m.last()
 	d := time.Duration(rapid.IntRange(300, 6000).Draw(m.t, "frozen")) * time.Millisecond
-	m.locked(func() { m.thaws[name] = time.Now().Add(d) })
+	m.locked(func() { m.frozenUntil[name] = time.Now().Add(d) })
 }
 
-func (m *orderGapMachine) rowFault() {
+func (m *orderGapScenario) rowFault() {
 	name, _ := m.last()
 	f := rapid.SampledFrom([]fake.Fault{fake.FaultDown, fake.FaultLostAfter, fake.FaultLate}).Draw(m.t, "fault")
 	m.locked(func() { m.rowFaults[name] = f })
 }
 
-func (m *orderGapMachine) outage() { m.locked(func() { m.rowFaults["*"] = fake.FaultDown }) }
+func (m *orderGapScenario) outage() { m.locked(func() { m.rowFaults["*"] = fake.FaultDown }) }
 
-func (m *orderGapMachine) loseAnswers() {
+func (m *orderGapScenario) loseAnswers() {
 	name, _ := m.last()
 	m.locked(func() { m.lostAnswer[name] = true })
 }
 
-func (m *orderGapMachine) heal() {
+func (m *orderGapScenario) heal() {
 	m.locked(func() {
 		clear(m.rowFaults)
 		clear(m.lostAnswer)
 	})
 }
 
-func (m *orderGapMachine) settle() {
+func (m *orderGapScenario) settle() {
 	m.heal()
 	m.takeOver()
 	m.demand()
@@ -161,22 +161,22 @@
 	}
 }
 
-func (m *orderGapMachine) locked(f func()) {
+func (m *orderGapScenario) locked(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
 // waitWhileFrozen blocks while an entry is frozen.
-func (m *orderGapMachine) waitWhileFrozen(entry string) {
-	var thaw time.Time
-	m.locked(func() { thaw = m.thaws[entry] })
-	time.Sleep(time.Until(thaw))
+func (m *orderGapScenario) waitWhileFrozen(entry string) {
+	var until time.Time
+	m.locked(func() { until = m.frozenUntil[entry] })
+	time.Sleep(time.Until(until))
 }
 
 // violations returns the orders that came too soon after another holder's, or without a newer
 // token.
-func (m *orderGapMachine) violations() (broken []string) {
+func (m *orderGapScenario) violations() (broken []string) {
 	m.s.vms.mu.Lock()
 	defer m.s.vms.mu.Unlock()
 	before := map[string]order{}
@@ -198,7 +198,7 @@
 // sees the answer.
 type frozenRows struct {
 	platform.Rows
-	m     *orderGapMachine
+	m     *orderGapScenario
 	entry string
 }
 
@@ -219,7 +219,7 @@
 // frozenVMs is the VM service as seen by an entry that may freeze before a call.
 type frozenVMs struct {
 	platform.Machines
-	m     *orderGapMachine
+	m     *orderGapScenario
 	entry string
 }
 
@@ -258,7 +258,7 @@
 		"announcements of former holders hidden": func(rows platform.Rows) platform.Rows { return hiddenAnnouncements{rows} },
 	} {
 		t.Run(name, func(t *testing.T) {
-			found := prop.FindsFailure(t, orderGapProperty(func(m *orderGapMachine) {
+			found := prop.FindsFailure(t, orderGapProperty(func(m *orderGapScenario) {
 				rowsOf := m.s.rowsOf
 				m.s.rowsOf = func(entry string, rows platform.Rows) platform.Rows { return wrap(rowsOf(entry, rows)) }
 			}))
--- a/pkg/jobs/registry_test.go
+++ b/pkg/jobs/registry_test.go
@@ -9,7 +9,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// The checkpoint of a failed long-running task is lost if its owner is replaced before it is stored.
+// TestFailedEndPersistsCheckpoint guards against losing the checkpoint of a failed long-running task
+// when its owner is replaced: the end must be stored before it is acknowledged.
 func TestFailedEndPersistsCheckpoint(t *testing.T) {
 	reg := jobs.NewRegistry(1)
 	reg.Add("j", jobs.Record{MaxAttempts: 2, Spec: jobs.Spec{Steps: []jobs.Step{{Count: 1, LongRunning: true, Checkpointing: true}}}}, 0)
--- a/pkg/ownership/claim_test.go
+++ b/pkg/ownership/claim_test.go
@@ -15,10 +15,10 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// unstableEntry is a [Local] whose table service comes and goes.
+// unstableEntry is a [Local] whose table service can become unavailable and recover.
 type unstableEntry struct {
 	fixedEntry
-	storeSince time.Time // since when the table service answers, zero if it does not
+	storeSince time.Time // since when the table service (the store) answers, zero if it does not
 }
 
 func (e *unstableEntry) ReachesStore() bool { return !e.storeSince.IsZero() }
@@ -30,16 +30,16 @@
 	return time.Since(e.storeSince)
 }
 
-// outage is a cluster of five entries without the table service; a sixth entry, which owned the
-// only shard, has ended.
-type outage struct {
+// claimCluster is a cluster of entries, at first without the table service; another entry, which owned
+// the only shard, has ended.
+type claimCluster struct {
 	entries  []*unstableEntry
 	managers []*Manager
 	claims   chan string // names of the entries that claim the shard
 }
 
-func newOutage() *outage {
-	o := &outage{claims: make(chan string, 100)}
+func newClaimCluster() *claimCluster {
+	o := &claimCluster{claims: make(chan string, 100)}
 	names := []string{"e1", "e2", "e3", "e4", "e5"}
 	since := time.Now()
 	time.Sleep(time.Minute)
@@ -65,7 +65,7 @@
 }
 
 // manager returns the manager of an entry whose claims are recorded and always fail.
-func (o *outage) manager(self string, m *Members, since time.Time) *Manager {
+func (o *claimCluster) manager(self string, m *Members, since time.Time) *Manager {
 	open := func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (LocalOwner, error) {
 		o.claims <- self
 		return nil, errors.New("another entry was first")
@@ -77,7 +77,7 @@
 }
 
 // runPass runs one pass on all entries and returns those that claimed the shard.
-func (o *outage) runPass() (claimed []string) {
+func (o *claimCluster) runPass() (claimed []string) {
 	for _, mgr := range o.managers {
 		mgr.claimShards(context.Background())
 	}
@@ -93,7 +93,7 @@
 func TestClaimsAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		o := newOutage()
+		o := newClaimCluster()
 		c.Check(o.runPass(), qt.HasLen, 0)
 		for _, e := range o.entries {
 			e.storeSince = time.Now()
@@ -107,7 +107,7 @@
 func TestRowReadAfterClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		o := newOutage()
+		o := newClaimCluster()
 		mgr := o.managers[0]
 		mgr.open = func(context.Context, string, shard.ObservedOwner, *catalog.Catalog, Events) (LocalOwner, error) {
 			return nil, errors.Wrap(shard.ErrNotOwner{}, "take over")
@@ -132,7 +132,7 @@
 		m := NewMembers(Member{Name: "e1", CPUs: 1, Start: 2}, nil, zerolog.Nop(), elapsed.New(elapsed.WithOrigin(since)), e)
 		m.peers["e2"] = memberHeard("e2", 0)
 		m.peers["e2"].Start = 2
-		o := &outage{claims: make(chan string, 10)}
+		o := &claimCluster{claims: make(chan string, 10)}
 		mgr := o.manager("e1", m, since)
 		mgr.shards["p"].row = shard.OwnerRow{Entry: "e1", Start: 1, Term: 1}
 		ctx, cancel := context.WithCancel(context.Background())
--- a/pkg/ownership/rebalance_test.go
+++ b/pkg/ownership/rebalance_test.go
@@ -52,7 +52,7 @@
 func (*releaseRecorder) Confirm(time.Duration)                    {}
 
 // TestRebalance checks that a small entry hands a shard over to the largest one. If the owner row
-// still names the small entry afterwards, it claims the shard again without waiting for its rank.
+// still names the small entry afterwards, it claims the shard again at once, without the delay by rank.
 func TestRebalance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/ownership/standdown_test.go
+++ b/pkg/ownership/standdown_test.go
@@ -28,8 +28,8 @@
 	o.ended.Store(true)
 }
 
-// TestStandDown checks that an entry reports that it has stood down only after its owner has
-// closed, and not for an older row or while it claims the shard.
+// TestStandDown checks that an entry confirms standing down only once its local owner is closed, and
+// refuses for an owner row older than its own or while it claims the shard.
 func TestStandDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/shard/cluster_test.go
+++ b/pkg/shard/cluster_test.go
@@ -44,30 +44,30 @@
 	listed      []platform.Worker
 	machines    []platform.Machine
 	allowed     []string // boots that the advice service allows; if empty the queue needs no advice
-	entryStarts int64    // number of started entries
+	ownerStarts int64    // owners started so far, which number the starts of entries
 	// wrapRows and wrapWorkers inject bugs that the tests must detect.
-	wrapRows          func(platform.Rows) platform.Rows
-	wrapWorkers       func(platform.Workers) platform.Workers
-	adviceCalls       int // calls of Advise
-	limits            []catalog.Account
-	steadyClockOnly   bool                     // entries that may be suspended have the steady clock only
-	suspendable       map[string]*entryMachine // entries that may be suspended, by name
-	ownersMu          sync.Mutex               // guards owners
-	owners            map[string]*shard.Owner
-	closed            bool
-	faults            map[string]fake.Fault    // by "op entry" and "op boot entry", with * for any
-	faultsLeft        map[string]int           // calls that a fault still affects, 0 or less for all
-	failing           map[string]int           // failures that a task has left, by task name
-	crashing          map[string]time.Duration // tasks that crash their worker, with the delay after their start
-	crashRestartDelay time.Duration            // how long a crashed worker stays away
-	boots             int                      // number of boots started after a crash
-	clockBehind       time.Duration            // how far the clock is behind by which workers report their start
-	keepWorkerIDs     bool                     // workers report their start time and keep their ID across boots
-	zones             zones                    // availability zones of the workers
-	schedule          schedule                 // of the next job submitted
-	standDown         func(ctx context.Context, former shard.OwnerRow, newer platform.Row) bool
-	log               sharedLog
-	out               io.Writer // destination of the log
+	wrapRows           func(platform.Rows) platform.Rows
+	wrapWorkers        func(platform.Workers) platform.Workers
+	adviceCalls        int // calls of Advise
+	limits             []catalog.Account
+	monotonicClockOnly bool                        // suspendable entries have the monotonic clock only
+	suspendable        map[string]*suspendableHost // machines of the entries that may be suspended, by entry
+	ownersMu           sync.Mutex                  // guards owners
+	owners             map[string]*shard.Owner
+	closed             bool
+	faults             map[string]fake.Fault    // by "op entry" and "op boot entry", with * for any
+	faultsLeft         map[string]int           // calls that a fault still affects, 0 or less for all
+	failing            map[string]int           // failures that a task has left, by task name
+	crashing           map[string]time.Duration // tasks that crash their worker, with the delay after their start
+	crashRestartDelay  time.Duration            // how long a crashed worker stays away
+	boots              int                      // number of boots started after a crash
+	clockBehind        time.Duration            // how far the clock is behind by which workers report their start
+	keepWorkerIDs      bool                     // workers report their start time and keep their ID across boots
+	zones              zones                    // availability zones of the workers
+	schedule           schedule                 // of the next job submitted
+	standDown          func(ctx context.Context, former shard.OwnerRow, newer platform.Row) bool
+	log                sharedLog
+	out                io.Writer // destination of the log
 }
 
 // sharedLog collects the owners' log lines; safe for concurrent use.
@@ -97,7 +97,7 @@
 }
 
 func newTestCluster(t fataler) *testCluster {
-	e := &testCluster{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*entryMachine{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
+	e := &testCluster{t: t, crashRestartDelay: defaultCrashRestartDelay, suspendable: map[string]*suspendableHost{}, since: time.Now(), owners: map[string]*shard.Owner{}, faults: map[string]fake.Fault{}, faultsLeft: map[string]int{}, failing: map[string]int{}, crashing: map[string]time.Duration{}}
 	e.observer = newObserver(e)
 	e.out = &e.log
 	e.rows = fake.NewRows(4*time.Millisecond, 3*time.Second)
@@ -279,9 +279,9 @@
 	if err != nil {
 		return err.Error() + "\n"
 	}
-	e.entryStarts++
+	e.ownerStarts++
 	cfg := shard.Config{
-		Pool: pool, Self: shard.Identity{Entry: entry, Start: e.entryStarts, Address: entry},
+		Pool: pool, Self: shard.Identity{Entry: entry, Start: e.ownerStarts, Address: entry},
 		Rows: rows, Workers: workers, Machines: e, Adviser: e, Metrics: noMetrics{}, Retention: time.Hour, MaxLease: fake.MaxLease,
 		Log: zerolog.New(e.out).With().Str("entry", entry).Logger().Hook(e), Clock: clock,
 		StoreUptime: func() time.Duration { return time.Since(e.since) },
--- a/pkg/shard/crash_seeds_test.go
+++ b/pkg/shard/crash_seeds_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestInnocentBesideSilence guards against failing a job because of workers that were only silent:
-// their losses are no proof against its task.
+// their loss does not show that its task crashes workers.
 func TestInnocentBesideSilence(t *testing.T) { prop.CheckSeed(t, 2142713, crashes(nil)) }
 
 // TestTrialSurvivesTakeover guards against an owner that adopts an attempt in a trial and starts a
--- a/pkg/shard/directory_test.go
+++ b/pkg/shard/directory_test.go
@@ -58,7 +58,7 @@
 }
 
 // restart ends a listed worker and starts it again with the same ID and address. Its connections
-// are closed, or with silent just stop answering; its directory entry changes after listAfter.
+// are closed, or with silent just stop answering; its directory row changes after listAfter.
 func (e *testCluster) restart(id string, silent bool, listAfter time.Duration) {
 	listed := e.directory()
 	at := slices.IndexFunc(listed, func(w platform.Worker) bool { return isWorker(w, id) })
@@ -74,7 +74,7 @@
 	time.AfterFunc(listAfter, func() { e.relistRestarted(w) })
 }
 
-// isWorker reports whether a directory entry is of the worker with an ID, whichever boot.
+// isWorker reports whether a directory row is of the worker with an ID, whichever boot.
 func isWorker(w platform.Worker, id string) bool {
 	worker, _ := platform.ParseBootID(w.Boot)
 	return worker == id
@@ -96,7 +96,7 @@
 	}
 }
 
-// relist replaces the entry of a VM's present boot by that of an ended one, as an outdated
+// relist replaces the row of a VM's present boot by that of an ended one, as an outdated
 // directory does.
 func (e *testCluster) relist(boot, vm, address string) string {
 	e.locked(func() {
@@ -106,19 +106,19 @@
 	return ""
 }
 
-// heartbeat is the delay until a worker's directory entry shows a change of its room.
-const heartbeat = 1500 * time.Millisecond
+// directoryDelay is the delay until a worker's directory row shows a change of its capacity.
+const directoryDelay = 1500 * time.Millisecond
 
-// resize changes a worker's room; the directory shows it after a heartbeat.
+// resize changes a worker's capacity; the directory shows it after directoryDelay.
 func (e *testCluster) resize(boot string, cpu int) {
-	room := platform.Resources{CPU: cpu, MemoryMB: 1 << 20}
-	e.workers.SetCapacity(boot, room)
-	time.AfterFunc(heartbeat, func() {
+	capacity := platform.Resources{CPU: cpu, MemoryMB: 1 << 20}
+	e.workers.SetCapacity(boot, capacity)
+	time.AfterFunc(directoryDelay, func() {
 		e.locked(func() {
 			e.listed = slices.Clone(e.listed)
 			for i := range e.listed {
 				if e.listed[i].Boot == boot {
-					e.listed[i].Capacity = room
+					e.listed[i].Capacity = capacity
 				}
 			}
 		})
--- a/pkg/shard/guarantee_test.go
+++ b/pkg/shard/guarantee_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestGuaranteedRate submits jobs at several rates against a guaranteed rate of five per second.
+// TestGuaranteedRate takes tokens at several rates from a guaranteed rate of five per second.
 func TestGuaranteedRate(t *testing.T) {
 	c := qt.New(t)
 	for _, test := range []struct {
--- a/pkg/shard/incomplete_reports_test.go
+++ b/pkg/shard/incomplete_reports_test.go
@@ -8,7 +8,7 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// incompleteLists has reports omit entries, each at most once, while owners are replaced and workers
+// incompleteLists has workers' reports omit ends and running attempts, each at most once, while owners are replaced and workers
 // restart. Starts are always answered, since a single report decides on one that is not.
 func incompleteLists(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
--- a/pkg/shard/predecessor_test.go
+++ b/pkg/shard/predecessor_test.go
@@ -14,7 +14,7 @@
 )
 
 // startDelay returns how long after a takeover a task that was waiting before it starts, while the
-// predecessor goes on.
+// predecessor keeps running.
 func startDelay(t *testing.T, set func(*testCluster)) (after time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newTestCluster(t)
@@ -47,8 +47,8 @@
 	return n
 }
 
-// TestWaitForPredecessor checks that stored jobs wait until the predecessor's confirmation has
-// expired, and not at all if it has ended or confirms that it has stopped.
+// TestWaitForPredecessor checks that a new owner starts stored jobs once the predecessor's last
+// confirmation of ownership has expired, and at once if the predecessor has ended or stood down.
 func TestWaitForPredecessor(t *testing.T) {
 	c := qt.New(t)
 	unnotified := startDelay(t, func(*testCluster) {})
--- a/pkg/shard/record_test.go
+++ b/pkg/shard/record_test.go
@@ -33,14 +33,15 @@
 	return strings.TrimSpace(e.state(entry, id, shard.Requester{Operator: true}))
 }
 
-// oldRecord is the record of leased workers as earlier versions store it, in one row.
+// oldRecord is the record of leased workers, those that may hold a lease, as earlier versions store it
+// in one row.
 type oldRecord []struct {
 	Boot    string `msgpack:"b"`
 	VM      string `msgpack:"v"`
 	Address string `msgpack:"a"`
 }
 
-// recordRow is the row in which earlier versions store it.
+// recordRow returns the row in which earlier versions store the record.
 func recordRow(value []byte) platform.Row {
 	return platform.Row{RowKey: platform.RowKey{Table: "workers", Partition: pool, Key: "row"}, Value: value}
 }
@@ -79,8 +80,8 @@
 	})
 }
 
-// TestEarlierVersionTakesOver checks that an earlier version can't decode the present record, and so
-// assumes that any worker may hold a lease.
+// TestEarlierVersionTakesOver checks that decoding the present record as an earlier version does
+// fails, rather than yielding a wrong list of leased workers.
 func TestEarlierVersionTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -154,8 +155,8 @@
 	})
 }
 
-// TestOversizedStoredJob checks that a takeover sets a stored job apart that is too large for this
-// version: its state is unknown, none of its tasks starts, and other jobs go on.
+// TestOversizedStoredJob checks that a stored job too large for this version does not block a
+// takeover: the owner reports that job's state as unknown, starts none of its tasks, and runs others.
 func TestOversizedStoredJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/shard/restart_test.go
+++ b/pkg/shard/restart_test.go
@@ -51,16 +51,16 @@
 	m.submitJob(jobID(m.jobs), texts[rapid.IntRange(0, len(texts)-1).Draw(m.t, "text")])
 }
 
-// maxRestartsAtWork bounds the random restarts while a job is open. More of them could not be
+// maxRestartsUnderLoad bounds the random restarts while a job is open. More of them could not be
 // distinguished from crashes caused by a task.
-const maxRestartsAtWork = 2
+const maxRestartsUnderLoad = 2
 
 // restart restarts a worker under its ID; the directory may show that late.
 func (m *scenario) restart() {
 	listed := m.e.directory()
 	worker, _ := platform.ParseBootID(listed[rapid.IntRange(0, len(listed)-1).Draw(m.t, "worker")].Boot)
 	if m.hasActiveJobs() {
-		if m.restartsUnderLoad++; m.restartsUnderLoad > maxRestartsAtWork || m.crashingTasks {
+		if m.restartsUnderLoad++; m.restartsUnderLoad > maxRestartsUnderLoad || m.crashingTasks {
 			return
 		}
 	}
@@ -129,8 +129,8 @@
 	return f.Workers.RenewLeases(ctx, w, o)
 }
 
-// TestStartReachesNextBoot guards against a start that reaches the next boot unnoticed: its end
-// would be acknowledged by the numbers of the boot before and be lost.
+// TestStartReachesNextBoot guards against a start that reaches the next boot unnoticed: its end would
+// be lost, as the owner has already acknowledged that end number of the previous boot.
 func TestStartReachesNextBoot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -153,7 +153,7 @@
 }
 
 // TestStartInFirstMillisecond guards against the same failure in the first millisecond of a boot,
-// whose clock reads 0. It must not be taken for an answer without a clock.
+// whose clock reads 0. A reading of 0 must not be treated as missing from the answer.
 func TestStartInFirstMillisecond(t *testing.T) {
 	for at := 50 * time.Millisecond; at < 75*time.Millisecond; at += 100 * time.Microsecond {
 		synctest.Test(t, func(t *testing.T) {
@@ -177,7 +177,7 @@
 
 // TestStartInFirstMillisecondDrawn runs a random scenario that showed the same failure.
 func TestStartInFirstMillisecondDrawn(t *testing.T) {
-	defer func(before uint64) { *salt = before }(*salt)
-	*salt = 18
+	defer func(before uint64) { *eventOrderSeed = before }(*eventOrderSeed)
+	*eventOrderSeed = 18
 	prop.CheckSeed(t, 39651348, restarts(nil))
 }
--- a/pkg/shard/scenario_test.go
+++ b/pkg/shard/scenario_test.go
@@ -41,13 +41,13 @@
 
 var rowFaults = []fake.Fault{fake.FaultDown, fake.FaultLostBefore, fake.FaultLostAfter, fake.FaultLate}
 
-// salt varies the order of simultaneous events in drawn scenarios, for manual searches.
-var salt = flag.Uint64("salt", 0, "order of simultaneous events in drawn scenarios")
+// eventOrderSeed varies the order of simultaneous events in drawn scenarios, for manual searches.
+var eventOrderSeed = flag.Uint64("salt", 0, "order of simultaneous events in drawn scenarios")
 
 // newScenario returns a scenario on its own testCluster, to which inject, unless nil, adds a bug.
 func newScenario(t *rapid.T, inject func(*testCluster)) *scenario {
 	e := newTestCluster(t)
-	spread := fake.NewJitter(*salt)
+	spread := fake.NewJitter(*eventOrderSeed)
 	e.rows.SetJitter(spread)
 	e.workers.SetJitter(spread)
 	if inject != nil {
@@ -157,9 +157,9 @@
 		return
 	}
 	id := jobID(rapid.IntRange(1, m.jobs).Draw(m.t, "job"))
-	job := m.e.owners[m.currentOwner]
-	state, _ := job.State(id, shard.Requester{Operator: true})
-	if out := job.Cancel(context.Background(), id, shard.Requester{Operator: true}); out == schema.CallOutcomeOk && !state.Final() {
+	owner := m.e.owners[m.currentOwner]
+	state, _ := owner.State(id, shard.Requester{Operator: true})
+	if out := owner.Cancel(context.Background(), id, shard.Requester{Operator: true}); out == schema.CallOutcomeOk && !state.Final() {
 		m.e.locked(func() { m.e.observer.cancelled[id] = time.Now() })
 	}
 }
@@ -214,7 +214,7 @@
 func (m *scenario) startNextOwner() {
 	m.entries++
 	name := fmt.Sprintf("e%d", m.entries)
-	m.e.suspendable[name] = newEntryMachine(m.e.since, m.e.steadyClockOnly)
+	m.e.suspendable[name] = newSuspendableHost(m.e.since, m.e.monotonicClockOnly)
 	if strings.HasPrefix(m.e.startOwner(name), "term") {
 		m.currentOwner = name
 	}
@@ -292,7 +292,7 @@
 	machine.wake()
 }
 
-// finish ends all faults and checks that each accepted job becomes final and no guarantee was violated.
+// finish ends all faults and checks that each accepted job becomes final and no invariant was violated.
 func (m *scenario) finish() {
 	m.clearFaults()
 	m.boot()
@@ -308,8 +308,8 @@
 	synctest.Wait()
 	m.e.mu.Lock()
 	defer m.e.mu.Unlock()
-	if broken := m.e.observer.violations; len(broken) > 0 {
-		m.t.Fatalf("violated: %s\n%s", strings.Join(broken, "\n"), m.e.log.String())
+	if violations := m.e.observer.violations; len(violations) > 0 {
+		m.t.Fatalf("violated: %s\n%s", strings.Join(violations, "\n"), m.e.log.String())
 	}
 	for id := range m.accepted {
 		state, out := m.e.owners[m.currentOwner].State(id, shard.Requester{Operator: true})
@@ -324,7 +324,7 @@
 	}
 }
 
-// TestOwner checks the guarantees over drawn submissions, cancels, crashes, takeovers,
+// TestOwner checks the invariants over drawn submissions, cancels, crashes, takeovers,
 // replacements without notice and lost or late answers.
 func TestOwner(t *testing.T) { prop.Check(t, ownerScenario(nil)) }
 
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -96,7 +96,7 @@
 		e.restart(arg("worker", ""), arg("silent", "") != "", after)
 		return ""
 	case "suspendable":
-		e.suspendable[entry] = newEntryMachine(e.since, arg("clock", "") == "steady")
+		e.suspendable[entry] = newSuspendableHost(e.since, arg("clock", "") == "steady")
 		return ""
 	case "suspend":
 		e.suspendable[entry].suspend()
--- a/pkg/shard/storm_test.go
+++ b/pkg/shard/storm_test.go
@@ -16,8 +16,8 @@
 	"github.com/gannetwell/gannetwell/pkg/shard"
 )
 
-// A busy pool of 30 workers with about twelve tasks each, and among the jobs some with a task
-// that crashes each worker that starts it.
+// The storm workload: a busy pool of 30 workers with about twelve tasks each, where some jobs have a
+// task that crashes each worker on which it starts.
 const (
 	stormWorkers     = 30
 	stormJobs        = 600
@@ -155,7 +155,7 @@
 	if len(s.detectedAfter) > 0 {
 		median = s.detectedAfter[len(s.detectedAfter)/2]
 	}
-	return fmt.Sprintf("in time %d, late %d, open %d, wrongly failed %d; workers lost %d, most by one task %d; caught %d of %d, half within %s; long-running tasks at work %d",
+	return fmt.Sprintf("in time %d, late %d, open %d, wrongly failed %d; workers lost %d, most by one task %d; detected %d of %d, half within %s; long-running tasks running %d",
 		s.inTime, s.late, s.open, s.wronglyFailed, s.lost(), slices.Max(append(s.workersDown, 0)), len(s.detectedAfter), len(s.detectedAfter)+s.undetected, median.Round(100*time.Millisecond), s.longRunning)
 }
 
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -15,11 +15,11 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// entryMachine is the machine of an entry, which can be suspended: meanwhile its monotonic clock
-// stands still and no calls go out.
-type entryMachine struct {
-	since  time.Time
-	steady bool // injected bug: the clock does not count suspended time
+// suspendableHost is the machine that an entry runs on. While it is suspended, its monotonic clock
+// stops and no calls go out.
+type suspendableHost struct {
+	since         time.Time
+	monotonicOnly bool // injected bug: the clock is the monotonic one, without the suspended time
 
 	mu    sync.Mutex
 	from  time.Time // start of the present suspension
@@ -27,17 +27,17 @@
 	awake chan struct{} // closed while it is not suspended
 }
 
-func newEntryMachine(since time.Time, steady bool) *entryMachine {
-	m := &entryMachine{since: since, steady: steady, awake: make(chan struct{})}
+func newSuspendableHost(since time.Time, steady bool) *suspendableHost {
+	m := &suspendableHost{since: since, monotonicOnly: steady, awake: make(chan struct{})}
 	close(m.awake)
 	return m
 }
 
-func (m *entryMachine) clock() *elapsed.Clock {
+func (m *suspendableHost) clock() *elapsed.Clock {
 	return elapsed.New(elapsed.WithSource(
 		func() time.Duration { return time.Since(m.since) - m.suspended() },
 		func() time.Duration {
-			if m.steady {
+			if m.monotonicOnly {
 				return 0
 			}
 			return m.suspended()
@@ -45,7 +45,7 @@
 }
 
 // suspended returns how long the machine was suspended so far.
-func (m *entryMachine) suspended() time.Duration {
+func (m *suspendableHost) suspended() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.from.IsZero() {
@@ -54,13 +54,13 @@
 	return m.total + time.Since(m.from)
 }
 
-func (m *entryMachine) suspend() {
+func (m *suspendableHost) suspend() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.from, m.awake = time.Now(), make(chan struct{})
 }
 
-func (m *entryMachine) wake() {
+func (m *suspendableHost) wake() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.total += time.Since(m.from)
@@ -68,13 +68,13 @@
 	close(m.awake)
 }
 
-// call makes a call unless the machine is suspended. Then it waits until the machine wakes, and fails.
-func (m *entryMachine) call(do func() error) error {
+// call makes a call unless the machine is suspended. Then it waits until the machine resumes, and fails.
+func (m *suspendableHost) call(do func() error) error {
 	m.mu.Lock()
 	awake, asleep := m.awake, !m.from.IsZero()
 	m.mu.Unlock()
 	if asleep {
-		<-awake // ignores ctx, whose timer stands still as well
+		<-awake // ignores ctx, whose timer is stopped as well
 		return platform.ErrNotDone{Op: "call", Cause: "the machine was suspended"}
 	}
 	return do()
@@ -82,7 +82,7 @@
 
 type suspendedRows struct {
 	platform.Rows
-	m *entryMachine
+	m *suspendableHost
 }
 
 func (r suspendedRows) CommitRows(ctx context.Context, txn platform.RowTxn) (version int64, err error) {
@@ -97,7 +97,7 @@
 
 type suspendedWorkers struct {
 	platform.Workers
-	m *entryMachine
+	m *suspendableHost
 }
 
 func (w suspendedWorkers) StartAttempt(ctx context.Context, ref platform.WorkerRef, o platform.StartOrder) (clock int64, err error) {
@@ -115,7 +115,7 @@
 	return report, err
 }
 
-// suspensions suspends owners while tasks wait for room and others take over the shard without
+// suspensions suspends owners while tasks wait for capacity and others take over the shard without
 // reaching all of its workers.
 func suspensions(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
@@ -148,5 +148,5 @@
 
 // TestSuspendedDetectsFaults checks that it detects owners whose clock does not count suspended time.
 func TestSuspendedDetectsFaults(t *testing.T) {
-	qt.Assert(t, prop.FindsFailure(t, suspensions(func(e *testCluster) { e.steadyClockOnly = true })), qt.IsTrue)
+	qt.Assert(t, prop.FindsFailure(t, suspensions(func(e *testCluster) { e.monotonicClockOnly = true })), qt.IsTrue)
 }
