--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -16,7 +16,7 @@
 	"github.com/gannetwell/gannetwell/pkg/platform/fake"
 )
 
-// orderGapScenario applies random events to successive holders of the fleet operations lease, which may
+// orderGapScenario applies random events to successive holders of the fleet operations, which may
 // overlap.
 type orderGapScenario struct {
 	t       *rapid.T
--- a/pkg/node/recover_test.go
+++ b/pkg/node/recover_test.go
@@ -90,8 +90,8 @@
 	return true
 }
 
-// TestFeedAfterOutage guards against a feed that misses changes made while the table service answered
-// none of its polls.
+// TestFeedAfterOutage guards against a feed that misses later changes after some of its polls got no
+// answer.
 func TestFeedAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/pkg/shard/ends_test.go
+++ b/pkg/shard/ends_test.go
@@ -8,7 +8,8 @@
 	"github.com/gannetwell/gannetwell/pkg/platform"
 )
 
-// TestCountable checks which ends are applied after each of several reports.
+// TestCountable checks which ends are applied after each of several reports: those behind a gap wait
+// for the next report and are applied then, even if it omits them.
 func TestCountable(t *testing.T) {
 	for name, tc := range map[string]struct {
 		seen  int64
--- a/pkg/shard/incomplete_reports_test.go
+++ b/pkg/shard/incomplete_reports_test.go
@@ -26,5 +26,5 @@
 	}
 }
 
-// TestShortLists checks the guarantees while reports of workers omit entries.
+// TestShortLists checks the invariants while reports of workers omit ends or running attempts.
 func TestShortLists(t *testing.T) { prop.Check(t, incompleteLists(nil)) }
--- a/pkg/shard/mixed_test.go
+++ b/pkg/shard/mixed_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// TestMixed checks the guarantees with all faults combined.
+// TestMixed checks the invariants with all faults combined.
 func TestMixed(t *testing.T) { prop.Check(t, mixed(nil)) }
 
 // TestMixedDetectsFaults checks that mixed detects injected bugs.
--- a/pkg/shard/observer_test.go
+++ b/pkg/shard/observer_test.go
@@ -78,7 +78,7 @@
 	if at, ok := w.cancelled[job]; ok && time.Since(at) > cancelBound {
 		w.violated("%s started at %s %s after its job was cancelled", task, boot, time.Since(at))
 	}
-	if zone, since, ok := w.cluster.zones.outSince(boot); ok && since > evacuateBound {
+	if zone, since, ok := w.cluster.zones.evacuatedSince(boot); ok && since > evacuateBound {
 		w.violated("%s started at %s %s after its zone %s was taken out of use", task, boot, since, zone)
 	}
 	w.checkOrder(task, job)
--- a/pkg/shard/script_test.go
+++ b/pkg/shard/script_test.go
@@ -47,10 +47,10 @@
 		e.publish()
 		return ""
 	case "zone-out":
-		e.zones.takeOut(arg("zone", ""))
+		e.zones.evacuate(arg("zone", ""))
 		return ""
 	case "zone-back":
-		e.zones.takeBack(arg("zone", ""))
+		e.zones.restore(arg("zone", ""))
 		return ""
 	case "leave-out":
 		end, _ := strconv.ParseInt(arg("end", "0"), 10, 64)
--- a/pkg/shard/zones_test.go
+++ b/pkg/shard/zones_test.go
@@ -12,15 +12,15 @@
 	"github.com/gannetwell/gannetwell/internal/prop"
 )
 
-// evacuateBound is how long after a zone was taken out of use a task may still start there;
-// starts may be carried out that much later than ordered.
+// evacuateBound is how long after a zone was evacuated a task may still start there;
+// starts may take effect that much later than ordered.
 const evacuateBound = 5 * time.Second
 
-// zones holds the availability zones of VMs and the zones out of use.
+// zones holds the availability zones of VMs and the evacuated zones, which are out of use.
 type zones struct {
-	mu  sync.Mutex // separate from the cluster's, since owners ask while holding their own lock
-	vms map[string]string
-	out map[string]time.Time // zones out of use, and since when
+	mu        sync.Mutex // separate from the cluster's, since owners ask while holding their own lock
+	vms       map[string]string
+	evacuated map[string]time.Time // evacuated zones, with the start of the evacuation
 	// wrapReport alters what an entry learns of zones, to inject a bug; nil for unaltered.
 	wrapReport func(zoneEvacuated func(zone string) bool) func(zone string) bool
 }
@@ -30,7 +30,7 @@
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	if z.vms == nil {
-		z.vms, z.out = map[string]string{}, map[string]time.Time{}
+		z.vms, z.evacuated = map[string]string{}, map[string]time.Time{}
 	}
 	z.vms[vm] = zone
 }
@@ -41,38 +41,38 @@
 	return z.vms[vm]
 }
 
-func (z *zones) takeOut(zone string) {
+func (z *zones) evacuate(zone string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	if _, out := z.out[zone]; !out {
-		z.out[zone] = time.Now()
+	if _, out := z.evacuated[zone]; !out {
+		z.evacuated[zone] = time.Now()
 	}
 }
 
-func (z *zones) takeBack(zone string) {
+func (z *zones) restore(zone string) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	delete(z.out, zone)
+	delete(z.evacuated, zone)
 }
 
-// outSince returns the zone of a boot's VM, which is named like its first boot, and for how long
-// it has been out of use.
-func (z *zones) outSince(boot string) (zone string, since time.Duration, out bool) {
+// evacuatedSince returns the zone of a boot's VM, which is named like its first boot, and for how long
+// it has been evacuated.
+func (z *zones) evacuatedSince(boot string) (zone string, since time.Duration, out bool) {
 	vm, _, _ := strings.Cut(boot, "-")
 	vm, _, _ = strings.Cut(vm, "@")
 	zone = z.of(vm)
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	at, out := z.out[zone]
+	at, out := z.evacuated[zone]
 	return zone, time.Since(at), out
 }
 
-// reportTo returns the function by which an entry learns the zones out of use.
+// reportTo returns the function by which an entry learns the evacuated zones.
 func (z *zones) reportTo(string) func(zone string) bool {
 	zoneEvacuated := func(zone string) bool {
 		z.mu.Lock()
 		defer z.mu.Unlock()
-		_, out := z.out[zone]
+		_, out := z.evacuated[zone]
 		return out
 	}
 	if z.wrapReport != nil {
@@ -81,7 +81,7 @@
 	return zoneEvacuated
 }
 
-// evacuations takes zones out of use and back while the owner is replaced, calls are
+// evacuations evacuates and restores zones while the owner is replaced, calls are
 // lost or late, and workers crash; some jobs are scheduled.
 func evacuations(inject func(*testCluster)) func(*rapid.T) {
 	return func(t *rapid.T) {
@@ -99,8 +99,8 @@
 			m.pause(1, 1500, "pause")
 		}
 		m.pause(1, 9000, "until zones are back")
-		e.zones.takeBack("z1")
-		e.zones.takeBack("z2")
+		e.zones.restore("z1")
+		e.zones.restore("z2")
 		m.finish()
 	}
 }
@@ -121,14 +121,14 @@
 }
 
 func (m *scenario) takeZoneOut() {
-	m.e.zones.takeOut(rapid.SampledFrom([]string{"z1", "z2"}).Draw(m.t, "zone"))
+	m.e.zones.evacuate(rapid.SampledFrom([]string{"z1", "z2"}).Draw(m.t, "zone"))
 }
 
 func (m *scenario) takeZoneBack() {
-	m.e.zones.takeBack(rapid.SampledFrom([]string{"z1", "z2"}).Draw(m.t, "zone"))
+	m.e.zones.restore(rapid.SampledFrom([]string{"z1", "z2"}).Draw(m.t, "zone"))
 }
 
-// TestEvacuations checks that nothing starts in zones out of use.
+// TestEvacuations checks that nothing starts in evacuated zones.
 func TestEvacuations(t *testing.T) { prop.Check(t, evacuations(nil)) }
 
 // TestEvacuationsDetectsFaults checks that evacuations detects an owner that never learns of zones,
