--- a/pkg/fleetops/ordergap_test.go
+++ b/pkg/fleetops/ordergap_test.go
@@ -176,7 +176,7 @@
 
 // violations returns the orders that came too soon after another holder's, or without a newer
 // token.
-func (m *orderGapScenario) violations() (broken []string) {
+func (m *orderGapScenario) violations() (found []string) {
 	m.s.vms.mu.Lock()
 	defer m.s.vms.mu.Unlock()
 	before := map[string]order{}
@@ -186,12 +186,12 @@
 		switch {
 		case !ok || p.holder == o.holder:
 		case o.token <= p.token:
-			broken = append(broken, fmt.Sprintf("%s: order of %s (token %d) after one of %s (token %d)", o.vm, o.holder, o.token, p.holder, p.token))
+			found = append(found, fmt.Sprintf("%s: order of %s (token %d) after one of %s (token %d)", o.vm, o.holder, o.token, p.holder, p.token))
 		case o.at.Sub(p.at) < orderGap:
-			broken = append(broken, fmt.Sprintf("%s: order of %s %v after one of %s", o.vm, o.holder, o.at.Sub(p.at), p.holder))
+			found = append(found, fmt.Sprintf("%s: order of %s %v after one of %s", o.vm, o.holder, o.at.Sub(p.at), p.holder))
 		}
 	}
-	return broken
+	return found
 }
 
 // frozenRows is the table service as seen by an entry that may freeze before a call and before it
--- a/pkg/shard/suspend_test.go
+++ b/pkg/shard/suspend_test.go
@@ -27,8 +27,8 @@
 	awake chan struct{} // closed while it is not suspended
 }
 
-func newSuspendableHost(since time.Time, steady bool) *suspendableHost {
-	m := &suspendableHost{since: since, monotonicOnly: steady, awake: make(chan struct{})}
+func newSuspendableHost(since time.Time, monotonicOnly bool) *suspendableHost {
+	m := &suspendableHost{since: since, monotonicOnly: monotonicOnly, awake: make(chan struct{})}
 	close(m.awake)
 	return m
 }
